--- a/src/node/routing_snapshot.h
+++ b/src/node/routing_snapshot.h
@@ -35,7 +35,7 @@
 };
 
 // Where a request goes by the generation that read it.
-struct Way {
+struct RequestRoute {
   std::shared_ptr<const Traffic> traffic;
   int request_class = 0;
   int pool = 0;
