--- a/src/node/policy_host.cpp
+++ b/src/node/policy_host.cpp
@@ -11,8 +11,7 @@
 namespace shorelead::node {
 namespace {
 
-// Of a request whose body is still coming.
-constexpr Millis kNotDue = 1e15;
+constexpr Millis kNotDue = 1e15;  // of a request whose body is still coming
 
 }  // namespace
 
@@ -153,8 +152,7 @@
   return due;
 }
 
-// Guards against what was decided before a list said otherwise: a connection that comes up late would carry
-// it long after. The module hears that it was not sent, and decides anew.
+// A connection that comes up late would carry it long after the list said otherwise: the module decides anew.
 void PolicyHost::drop_unwanted(Millis now) {
   const auto [sends, probes] =
       deferred_actions_.take_unwanted([this](BackendId i) { return endpoints_.wanted(i); });
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -85,15 +85,13 @@
   reused ? ++reused_ : ++opened_;
   connection->age = reused ? loop_.now() - connection->unused_since : 0;
   if (reused) {
-    connection->write_request(
-        Ending::kStoppedUnsent);  // what befell a kept connection says nothing of its backend
+    connection->write_request(Ending::kStoppedUnsent);  // a kept connection's fault is not its backend's
     return watch(*connection);
   }
   connecting_->start(*connection);
   if (connection->job) watch(*connection);
 }
 
-// Sets the one timer of what is under way there.
 void Upstream::watch(Connection& connection) {
   loop_.cancel(connection.job->limit);
   connection.job->limit = loop_.at(
@@ -102,8 +100,7 @@
       });
 }
 
-// Guards against calling an answer late that lies there to be read: after a time in which this node got no
-// processor, what came in and what fell due are found together, in any order.
+// Reads first: after a time without a processor, an answer that came and its time limit are found together.
 bool Upstream::over_by_now(Connection& connection) {
   const std::uint64_t serial = connection.job->serial;
   const auto over = [&] { return !connection.job || connection.job->serial != serial; };
@@ -143,8 +140,7 @@
   const std::shared_ptr<Connection> hold = connection.shared_from_this();
   if (!streamed_responses_->begin(connection)) return finish(connection, Ending::kErred, nullptr, false);
   finish(connection, Ending::kServed, &connection.answer, false);
-  if (connection.answer_flow && !connection.answer_flow->has_sink())
-    connection.end_flow(false);  // its request had been answered before
+  if (connection.answer_flow && !connection.answer_flow->has_sink()) connection.end_flow(false);  // answered
 }
 
 void Upstream::finish(Connection& connection, Ending ending, const Message* answer, bool keep) {
@@ -179,9 +175,8 @@
   } else {
     connections_->forget(connection, connection.withdrawn ? Ending::kWithdrawn : ending);
   }
-  // Whoever is silent may have lost the connections kept to it as well: what is sent on them then would be
-  // reset later and might have run, while a new one that does not come up proves that nothing did. But one
-  // used since this attempt began shows that the backend is there, and only this answer was lost.
+  // A silent backend may have lost these as well: requests on them would be reset later and might have run; a
+  // new one that fails proves that nothing ran. One used since this attempt began shows the backend is there.
   if (ending == Ending::kTimeout && !job->probe) {
     for (const auto& other : connections_->of({connection.backend})) {
       if (other->unused && other->unused_since < job->started) connections_->forget(*other, Ending::kTimeout);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -212,9 +212,8 @@
 }
 
 TEST(OwnFile, ThePlatformsFileHalvesWhoMeetsAtABackendOfAGrownFleet) {
-  // From days at size: 100 nodes before 60 backends, where connections at a backend are scarce. With the file
-  // that `run` names, at most 65 of them have a backend in hand; a fleet of the first size is worked with
-  // whole.
+  // 100 nodes before 60 backends, where connections at a backend are scarce. With the file that `run` names,
+  // at most 65 nodes have a backend in hand; a fleet of the first size is worked with whole.
   for (const int backends : {60, 14}) {
     std::map<std::string, int> nodes;
     for (int me = 0; me < 100; ++me) {
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -1,5 +1,4 @@
-// The view of who is there, in simulated time: each hard case by itself, and by property random histories
-// with cuts, compactions, lies and restarts, against a plain record of what was told.
+// The view in simulated time: hard cases, and random histories (cuts, compactions, lies, restarts) by record.
 #include "membership/view.h"
 
 #include <gtest/gtest.h>
@@ -165,8 +164,7 @@
   EXPECT_EQ(said(view.tick(301 + options.flap_wait)), "b3=ready");
 }
 
-// The first source that names a backend says what it is; a drain by any of them counts, and what one saw
-// leave after its drain the other does not bring back.
+// The first source that names a backend describes it; a drain by any counts, and no other source undoes it.
 TEST(View, SourcesByPrecedence) {
   View view({}, 2);
   Member far = backend("a");
@@ -195,8 +193,7 @@
 
 // ---- random histories ----
 
-// What the registry really went through: every backend's last change, and what a client was told of it.
-// Drains told and not overturned by newer news are the ones that must never be missed.
+// Every backend's last change in the registry, and what a client was told: drains not overturned must count.
 RC_GTEST_PROP(ViewModel, ConvergesMissesNoDrainAndResurrectsNobody, ()) {
   Options options;
   options.floor = *rc::gen::element(0.0, 0.5);
--- a/tests/policy_host_test.cpp
+++ b/tests/policy_host_test.cpp
@@ -102,8 +102,7 @@
   EXPECT_EQ(sent_to().size(), 2U);
 }
 
-// It may have been restarted while it was out, and the list is seconds late: no more than a cold one's
-// budget.
+// It may have restarted while it was out, and the list is seconds late: no more than a cold one's budget.
 TEST(PolicyHost, ABackendBackFromTheHandIsColdUntilTheListKnowsBetter) {
   Settings s = settings();
   s.warm_up = 10000;
@@ -127,8 +126,7 @@
   EXPECT_LT(sent["s-0"], 30) << "warm, it would have half of 200";
 }
 
-// Open requests keep the class and the number of attempts under which they came; a class that is as it was
-// keeps its number, one with another effect has a new one.
+// Open requests keep their class and number of attempts; a class with another effect has a new number.
 TEST(PolicyHost, NewSettingsCountForRequestsThatComeThen) {
   Settings s = settings();
   s.fall_multiple = 1;
