--- a/src/node/upstream.h
+++ b/src/node/upstream.h
@@ -93,7 +93,7 @@
   bool over_by_now(Connection& connection);
   int others_out(
       const Connection& connection) const;  // attempts at the same request that were written and are out
-  void watch(Connection& connection);  // sets the one timer of what is under way there
+  void watch(Connection& connection);       // sets the one timer of what is under way there
   void limit(Connection& connection);
   void pass_on(Connection& connection);
   void finish(Connection& connection, Ending ending, const Message* answer, bool keep);
