--- a/tests/manage/manage_test.cpp
+++ b/tests/manage/manage_test.cpp
@@ -1,4 +1,4 @@
-// The admin server's pure parts: calls, bans, the drain's states and the request counters of metrics.
+// The admin server's pure parts: calls, bans, the drain's states and the request counters.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
