--- a/bench/subset/compare.cpp
+++ b/bench/subset/compare.cpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "lab/subset_ways.h"
-#include "subset/lots.h"
+#include "subset/partition.h"
 
 namespace {
 
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <limits>
 
-#include "peers/form.h"
+#include "peers/message_codec.h"
 
 namespace shorelead::drill {
 namespace {
--- a/src/estimate/backends.h
+++ b/src/estimate/backends.h
@@ -7,7 +7,7 @@
 #include <cstddef>
 #include <functional>
 
-#include "base/grown.h"
+#include "base/growing_vector.h"
 #include "estimate/load.h"
 #include "estimate/own_attempts.h"
 #include "estimate/request_rate.h"
--- a/src/lab/subset_ways.h
+++ b/src/lab/subset_ways.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "subset/lots.h"
+#include "subset/partition.h"
 
 namespace shorelead::lab {
 
--- a/src/node/facade.h
+++ b/src/node/facade.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "estimate/room.h"
+#include "estimate/spare_capacity.h"
 #include "node/class_numbers.h"
 #include "node/errands.h"
 #include "node/further.h"
--- a/src/peers/form.cpp
+++ b/src/peers/message_codec.cpp
@@ -1,4 +1,4 @@
-#include "peers/form.h"
+#include "peers/message_codec.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/peers/keeper.h
+++ b/src/peers/owned_ledgers.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-#include "base/grown.h"
+#include "base/growing_vector.h"
 #include "peers/ledger.h"
 
 namespace shorelead::peers {
--- a/src/policy/fellows.h
+++ b/src/policy/fellows.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "base/token_bucket.h"
-#include "peers/keeper.h"
+#include "peers/owned_ledgers.h"
 #include "policy/lists.h"
 
 namespace shorelead::policy {
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -3,7 +3,7 @@
 // sake.
 #pragma once
 
-#include "base/kept_median.h"
+#include "base/cached_median.h"
 #include "base/span_budget.h"
 #include "policy/lists.h"
 
--- a/src/subset/fleet.h
+++ b/src/subset/fleet.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "subset/lots.h"
+#include "subset/partition.h"
 
 namespace shorelead::subset {
 
--- a/src/subset/lots.cpp
+++ b/src/subset/partition.cpp
@@ -1,5 +1,5 @@
 #define XXH_INLINE_ALL
-#include "subset/lots.h"
+#include "subset/partition.h"
 
 #include <xxhash.h>
 
--- a/tests/peers/peers_test.cpp
+++ b/tests/peers/peers_test.cpp
@@ -4,7 +4,7 @@
 
 #include <cmath>
 
-#include "peers/form.h"
+#include "peers/message_codec.h"
 #include "peers/ledger.h"
 
 namespace shorelead::peers {
