--- a/src/estimate/backends.h
+++ b/src/estimate/backends.h
@@ -130,7 +130,7 @@
 
   static constexpr double kReportLife = 2;  // service times in which a report loses most of its meaning
   const View& v_;
-  Grown<Figures> of_;
+  GrowingVector<Figures> of_;
   ServiceTimes times_;
   FleetLoad load_;
   RequestRate arrivals_;
--- a/src/peers/owned_ledgers.h
+++ b/src/peers/owned_ledgers.h
@@ -36,7 +36,7 @@
   }
 
  private:
-  Grown<BackendLedger> backends_;
+  GrowingVector<BackendLedger> backends_;
   std::vector<RateLedger> tenants_;
 };
 
--- a/src/policy/confirmations.h
+++ b/src/policy/confirmations.h
@@ -38,7 +38,7 @@
   };
 
   const Context& c_;
-  Grown<Checked> of_;
+  GrowingVector<Checked> of_;
   ListValidity validity_;
 };
 
--- a/src/policy/fellows.h
+++ b/src/policy/fellows.h
@@ -92,7 +92,7 @@
   Context& c_;
   const Lists& lists_;
   estimate::Backends& known_;
-  Grown<Millis> until_;  // of each backend: an answer is waited for
+  GrowingVector<Millis> until_;  // of each backend: an answer is waited for
   peers::Keeper keeper_;
   std::vector<Purse> purses_;  // of each tenant
 };
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -89,8 +89,8 @@
 
   const Context& c_;
   const Lists& lists_;
-  Grown<std::vector<Record>> of_;
-  Grown<KeptMedian> medians_;
+  GrowingVector<std::vector<Record>> of_;
+  GrowingVector<KeptMedian> medians_;
   std::uint64_t outcomes_ = 0;  // judged so far
 };
 
@@ -115,7 +115,7 @@
  private:
   Context& c_;
   const estimate::Backends& known_;
-  Grown<SpanBudget> of_;
+  GrowingVector<SpanBudget> of_;
 };
 
 }  // namespace shorelead::policy
--- a/src/policy/probes.h
+++ b/src/policy/probes.h
@@ -89,7 +89,7 @@
   };
   Context& c_;
   const Lists& lists_;
-  Grown<Probed> of_;
+  GrowingVector<Probed> of_;
   Millis round_ = kPeriod;  // time from one probe of a backend to the next
   std::size_t first_ = 0;   // where the next tick begins under a ceiling
 };
--- a/src/policy/rotation.h
+++ b/src/policy/rotation.h
@@ -144,7 +144,7 @@
   Context& c_;
   const Lists& lists_;
   const Probes& probes_;
-  Grown<Part> of_;
+  GrowingVector<Part> of_;
   std::deque<BackendId> turns_;
   double mean_share_ = 1;  // of the backends in the rotation
 };
