--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -90,7 +90,7 @@
   const Context& c_;
   const Lists& lists_;
   GrowingVector<std::vector<Record>> of_;
-  GrowingVector<KeptMedian> medians_;
+  GrowingVector<CachedMedian> medians_;
   std::uint64_t outcomes_ = 0;  // judged so far
 };
 
