--- a/src/estimate/backends.cpp
+++ b/src/estimate/backends.cpp
@@ -24,7 +24,7 @@
 
 Sent Backends::sent(std::size_t i, int request_class, double work) {
   const Sent sent{request_class, work, v_.now, crowd(i, work), warmth(i)};
-  of_[i].own.add(v_.now, work, !v_.by_keepers);
+  of_[i].own.add(v_.now, work, !v_.peers_report_load);
   return sent;
 }
 
@@ -35,7 +35,7 @@
   if (lost) return;
   const bool crowded = sent.crowd > sent.work || f.load.busy > kCrowdedShare;
   const Millis alone = elapsed / sent.crowd * sent.warmth;
-  times_.learn(f.speed, {sent.request_class, alone, served, sent.warmth >= 1, crowded, v_.by_keepers});
+  times_.learn(f.speed, {sent.request_class, alone, served, sent.warmth >= 1, crowded, v_.peers_report_load});
 }
 
 double Backends::ratio(const Sent& sent, Millis elapsed) const {
@@ -44,10 +44,10 @@
 
 // A report that leaves out requests which this node has had there for long is wrong.
 void Backends::reported(std::size_t i, const LoadReport& report) {
-  if (v_.by_keepers && v_.now - told_at_ < kToldLife) return;  // keepers' word is newer
+  if (v_.peers_report_load && v_.now - told_at_ < kToldLife) return;  // keepers' word is newer
   Figures& f = of_[i];
   const Millis before = v_.now - kSettled * times_.mean();
-  load_.report(f.load, report, f.own.work(), v_.by_keepers ? 0 : f.own.settled(before), v_.now);
+  load_.report(f.load, report, f.own.work(), v_.peers_report_load ? 0 : f.own.settled(before), v_.now);
 }
 
 void Backends::told(std::size_t i, double work, double held, double ratio) {
@@ -75,7 +75,7 @@
     size += f.size;
   }
   if (size > 0) lanes_per_size_ = lanes / size, pace_per_size_ = pace / size;
-  times_.fade(rate() * share * kRecordSpan, speeds, v_.by_keepers);
+  times_.fade(rate() * share * kRecordSpan, speeds, v_.peers_report_load);
   arrivals_.close_period();
   closed_at_ = v_.now;
 }
--- a/src/estimate/backends.h
+++ b/src/estimate/backends.h
@@ -18,12 +18,12 @@
 // What the estimates go by: the moment, and what the settings say of the way in which news comes.
 struct View {
   Millis now = 0;
-  Millis period = 1000;      // close_period() is called once in it
-  Millis warm_up = 0;        // a started backend is warm no later than this,
-  double cold_share = 1;     // and does at least this share of its work when it starts
-  double sharers = 1;        // nodes that send to each backend
-  bool by_keepers = false;   // keepers tell of load and speed; else reports and answers do
-  bool seldom_told = false;  // looks are too dear, so each backend is heard of once in seconds
+  Millis period = 1000;            // close_period() is called once in it
+  Millis warm_up = 0;              // a started backend is warm no later than this,
+  double cold_share = 1;           // and does at least this share of its work when it starts
+  double sharers = 1;              // nodes that send to each backend
+  bool peers_report_load = false;  // keepers tell of load and speed; else reports and answers do
+  bool seldom_told = false;        // looks are too dear, so each backend is heard of once in seconds
 };
 
 // What is remembered of an attempt, to learn by its end.
@@ -53,10 +53,10 @@
     return expected_work > 0 ? times_.hinted(expected_work) : 1;
   }
   Sent sent(std::size_t i, int request_class, double work);
-  void overdue(std::size_t i, Millis sent) { of_[i].own.overdue(sent, !v_.by_keepers); }
+  void overdue(std::size_t i, Millis sent) { of_[i].own.overdue(sent, !v_.peers_report_load); }
   // An attempt is over, `elapsed` after it was sent, whether or not it is remembered.
   void ended(std::size_t i, Millis elapsed, bool served) {
-    of_[i].own.end(v_.now - elapsed, served, !v_.by_keepers);
+    of_[i].own.end(v_.now - elapsed, served, !v_.peers_report_load);
   }
   // And one that is: answered, or without an answer by then.
   void learn(std::size_t i, const Sent& sent, Millis elapsed, bool served);
@@ -91,7 +91,7 @@
   }
   // Requests in its hands: counted where keepers tell, else in mean requests.
   double held(std::size_t i) const {
-    return v_.by_keepers ? of_[i].others_held + of_[i].own.held() : in_hand(of_[i]);
+    return v_.peers_report_load ? of_[i].others_held + of_[i].own.held() : in_hand(of_[i]);
   }
   // Its load with one more of so much work, in service times.
   double crowd(std::size_t i, double work) const { return crowd(of_[i], work); }
@@ -120,7 +120,7 @@
   // none, as its budget sees to that, or it would get nothing until it is warm.
   double in_hand(const Figures& f) const {
     if (!load_.told()) return f.own.work() * std::max(1.0, v_.sharers);
-    const bool remembered = v_.seldom_told && !v_.by_keepers;
+    const bool remembered = v_.seldom_told && !v_.peers_report_load;
     return f.own.work() + load_.others(f.load, kReportLife * times_.mean(), cold(f), remembered, v_.now);
   }
   double crowd(const Figures& f, double work) const {
--- a/src/peers/owned_ledgers.h
+++ b/src/peers/owned_ledgers.h
@@ -12,14 +12,14 @@
 
 namespace shorelead::peers {
 
-class Keeper {
+class OwnedLedgers {
  public:
   void set_tenants(std::size_t count) { tenants_.resize(count); }
-  void forget(std::size_t backend) { backends_[backend] = {}; }
+  void reset(std::size_t backend) { backends_[backend] = {}; }
   // Word of `peer` about a backend, or a tenant, by its number here; the answer, where it wants one. Who asks
   // of a backend may send there within `window`.
-  std::optional<PeerMessage> take(int peer, const PeerMessage& m, std::size_t number, Millis window,
-                                  Millis now) {
+  std::optional<PeerMessage> receive(int peer, const PeerMessage& m, std::size_t number, Millis window,
+                                     Millis now) {
     PeerMessage answer;
     if (m.kind == PeerMessage::Kind::kTell) backends_[number].tell(peer, m, now);
     if (m.kind == PeerMessage::Kind::kAsk) {
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -39,7 +39,7 @@
     warm_up = settings.warm_up;
     cold_share = settings.cold_share;
     seldom_told = too_dear(kLooks);
-    by_keepers =
+    peers_report_load =
         settings.instances > 1 && settings.peer_messages && !settings.reports_with_answers && seldom_told;
     share(sharing);
   }
@@ -49,7 +49,8 @@
   // Exception "look first": where only probes bring reports, all is old news; some are looked at before each
   // attempt, by probes where those are cheap, else by asking the fellow that keeps what all tell.
   bool looks_first() const {
-    return by_keepers || (!settings.reports_with_answers && settings.probing && !too_dear(kFirstLooks));
+    return peers_report_load ||
+           (!settings.reports_with_answers && settings.probing && !too_dear(kFirstLooks));
   }
   bool too_dear(int looks) const { return settings.probe_price * looks > kLookPrice; }
   double stated_nodes() const { return std::max(1, settings.instances); }
--- a/src/policy/fellows.h
+++ b/src/policy/fellows.h
@@ -19,46 +19,47 @@
       : c_(context), lists_(lists), known_(known) {
     settings_changed();
   }
-  void welcome(BackendId i) { until_[i] = 0, keeper_.forget(i); }
+  void welcome(BackendId i) { until_[i] = 0, owned_ledgers_.reset(i); }
   void settings_changed() {
     purses_.resize(c_.settings.tenants.size());
-    keeper_.set_tenants(purses_.size());
+    owned_ledgers_.set_tenants(purses_.size());
   }
 
   // Takes a message in; true if it was an answer about a backend.
   bool hear(const PeerTold& e) {
     const PeerMessage& m = e.message;
-    if (!c_.by_keepers || e.peer < 0 || e.peer >= c_.settings.instances) return false;
+    if (!c_.peers_report_load || e.peer < 0 || e.peer >= c_.settings.instances) return false;
     const bool rates = m.kind == PeerMessage::Kind::kRate || m.kind == PeerMessage::Kind::kTotal;
     const std::optional<BackendId> i = lists_.tagged(m.about);
     if (rates ? m.about >= purses_.size() : !i) return false;
     if (m.kind == PeerMessage::Kind::kTotal) return purses_[m.about].all = m.rate, false;
     if (m.kind == PeerMessage::Kind::kAnswer)
       return until_[*i] = 0, known_.told(*i, m.work, m.held, m.ratio), true;
-    const auto answer = keeper_.take(e.peer, m, rates ? m.about : *i, kLookShare * c_.shortest_aim, c_.now);
+    const auto answer =
+        owned_ledgers_.receive(e.peer, m, rates ? m.about : *i, kLookShare * c_.shortest_aim, c_.now);
     return answer && say(e.peer, *answer);
   }
 
   // Asks a backend's keeper; true if that is this node, and the answer is here.
   bool ask(BackendId i) {
     until_[i] = c_.now + kLookShare * c_.shortest_aim;
-    return say(keeper(lists_[i].tag), {.kind = PeerMessage::Kind::kAsk, .about = lists_[i].tag});
+    return say(owner_of(lists_[i].tag), {.kind = PeerMessage::Kind::kAsk, .about = lists_[i].tag});
   }
   bool asked(BackendId i) const { return until_[i] > 0; }
   bool awaits(BackendId i, Millis slack) const { return c_.now < until_[i] - slack; }
 
   // Tells the keeper what this node has out there, and how an attempt ended.
   void tell(BackendId i, PeerMessage::Ending ending, double ratio = 0) {
-    if (!c_.by_keepers) return;
+    if (!c_.peers_report_load) return;
     const estimate::OwnAttempts& own = known_.own(i);
     const std::uint32_t tag = lists_[i].tag;
-    say(keeper(tag), {PeerMessage::Kind::kTell, tag, own.work(), own.held(), ratio, ending});
+    say(owner_of(tag), {PeerMessage::Kind::kTell, tag, own.work(), own.held(), ratio, ending});
   }
 
   void tell_rates() {
-    for (std::uint32_t n = 0; c_.by_keepers && n < purses_.size(); ++n) {
+    for (std::uint32_t n = 0; c_.peers_report_load && n < purses_.size(); ++n) {
       purses_[n].rate = std::exchange(purses_[n].came, 0) * 1000 / kPeriod;
-      say(keeper(n), {.kind = PeerMessage::Kind::kRate, .about = n, .rate = purses_[n].rate});
+      say(owner_of(n), {.kind = PeerMessage::Kind::kRate, .about = n, .rate = purses_[n].rate});
     }
   }
 
@@ -80,7 +81,7 @@
     double all = 0;   // and of all, as its keeper told
     TokenBucket bucket;
   };
-  int keeper(std::uint32_t about) const {
+  int owner_of(std::uint32_t about) const {
     return static_cast<int>(Random(about).next() % static_cast<std::uint64_t>(c_.settings.instances));
   }
   bool say(int peer, const PeerMessage& m) {
@@ -93,7 +94,7 @@
   const Lists& lists_;
   estimate::Backends& known_;
   GrowingVector<Millis> until_;  // of each backend: an answer is waited for
-  peers::Keeper keeper_;
+  peers::OwnedLedgers owned_ledgers_;
   std::vector<Purse> purses_;  // of each tenant
 };
 
--- a/src/policy/looking.h
+++ b/src/policy/looking.h
@@ -26,7 +26,7 @@
     const std::size_t old = r.asked.size();
     if (c_.looks_first()) {
       if (r.looks >= kLookRounds) return;
-      const std::size_t most = old + static_cast<std::size_t>(c_.by_keepers ? kAsks : kFirstLooks);
+      const std::size_t most = old + static_cast<std::size_t>(c_.peers_report_load ? kAsks : kFirstLooks);
       r.key != 0 && c_.settings.warm_keys ? prefer(r, most) : next_turns(r, most);
     } else if (confirmations_.list_outdated()) {
       const std::size_t most =
@@ -53,11 +53,11 @@
 
   // Asks for news of a backend, its keeper or itself; true if that keeper is this node, and all is told.
   bool ask(BackendId i) const {
-    if (!c_.by_keepers) return probes_.look(i), false;
+    if (!c_.peers_report_load) return probes_.look(i), false;
     return !fellows_.awaits(i, 0) && fellows_.ask(i);
   }
   // Whether an answer is to come once it was asked; and whether it is still worth waiting for.
-  bool to_come(BackendId i) const { return !c_.by_keepers || fellows_.asked(i); }
+  bool to_come(BackendId i) const { return !c_.peers_report_load || fellows_.asked(i); }
   bool awaited(BackendId i) const { return probes_.looked_at(i) || fellows_.awaits(i, kTimerSlack); }
 
   Context& c_;
--- a/src/policy/requests.h
+++ b/src/policy/requests.h
@@ -42,7 +42,7 @@
     r.aim_at = c_.now + c_.request_class(e.request_class).aim;
     r.key = e.key, r.home = e.home, r.worth = e.worth, r.client_retry = e.client_retry;
     r.work = known_.arrived(e.expected_work), retries_.earn();
-    r.over_share = c_.by_keepers && !e.client_retry && !fellows_.within_share(e.tenant);
+    r.over_share = c_.peers_report_load && !e.client_retry && !fellows_.within_share(e.tenant);
     proceed(open_.insert_or_assign(e.request, std::move(r)).first->second);
   }
 
