--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -175,7 +175,7 @@
     return StreamStarted{request_field(line), as_index(need(line, "Trial"), "Trial")};
   }
   if (message == "Inbox") {
-    const auto told = peers::read(parse_hex(text(line, "Raw")));
+    const auto told = peers::decode(parse_hex(text(line, "Raw")));
     if (!told) return std::nullopt;
     return PeerTold{as_index(need(line, "Neighbour"), "Neighbour"), *told};
   }
@@ -251,7 +251,7 @@
   } else if (const auto* tell = std::get_if<TellPeer>(&action)) {
     static constexpr char kDigits[] = "0123456789abcdef";
     std::string raw;
-    for (const char c : peers::write(tell->message)) {
+    for (const char c : peers::encode(tell->message)) {
       raw.push_back(kDigits[static_cast<unsigned char>(c) >> 4]);
       raw.push_back(kDigits[static_cast<unsigned char>(c) & 15]);
     }
--- a/src/peers/message_codec.cpp
+++ b/src/peers/message_codec.cpp
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-std::string write(const PeerMessage& message) {
+std::string encode(const PeerMessage& message) {
   std::string bytes;
   const auto put = [&bytes](unsigned value) { bytes.push_back(static_cast<char>(value & 255)); };
   put(kVersion << 4 | static_cast<unsigned>(message.kind));
@@ -83,7 +83,7 @@
   return bytes;
 }
 
-std::optional<PeerMessage> read(std::string_view bytes) {
+std::optional<PeerMessage> decode(std::string_view bytes) {
   const auto at = [bytes](std::size_t n) {
     return static_cast<unsigned>(static_cast<unsigned char>(bytes[n]));
   };
--- a/src/peers/message_codec.h
+++ b/src/peers/message_codec.h
@@ -18,7 +18,7 @@
 //   rate    requests a second, two bytes
 //   total   requests a second, two bytes
 // A ratio is 128 + 16 log2 of it, 3 at the least; 0 stands for none.
-std::string write(const PeerMessage& message);
-std::optional<PeerMessage> read(std::string_view bytes);
+std::string encode(const PeerMessage& message);
+std::optional<PeerMessage> decode(std::string_view bytes);
 
 }  // namespace shorelead::peers
--- a/tests/peers/peers_test.cpp
+++ b/tests/peers/peers_test.cpp
@@ -4,8 +4,8 @@
 
 #include <cmath>
 
-#include "peers/message_codec.h"
 #include "peers/ledger.h"
+#include "peers/message_codec.h"
 
 namespace shorelead::peers {
 namespace {
@@ -34,9 +34,9 @@
   if (m.kind == Kind::kTell) m.ending = static_cast<Ending>(*rc::gen::inRange(0, 3));
   if (m.kind == Kind::kTell && m.ending != Ending::kAnswered) m.ratio = 0;
   if (m.kind == Kind::kRate || m.kind == Kind::kTotal) m.rate = *rc::gen::inRange(0, 65536);
-  const std::string bytes = write(m);
+  const std::string bytes = encode(m);
   RC_ASSERT(bytes.size() <= kMostPeerBytes);
-  const auto back = read(bytes);
+  const auto back = decode(bytes);
   RC_ASSERT(back.has_value());
   RC_ASSERT(back->kind == m.kind && back->about == m.about && back->ending == m.ending);
   RC_ASSERT(back->work == m.work && back->held == m.held && back->rate == m.rate);
@@ -49,18 +49,19 @@
   for (int kind = 0; kind < 5; ++kind) {
     PeerMessage m;
     m.kind = static_cast<Kind>(kind);
-    const std::string bytes = write(m);
-    for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(read(bytes.substr(0, n))) << kind << " " << n;
-    EXPECT_FALSE(read(bytes + "x"));
+    const std::string bytes = encode(m);
+    for (std::size_t n = 0; n < bytes.size(); ++n)
+      EXPECT_FALSE(decode(bytes.substr(0, n))) << kind << " " << n;
+    EXPECT_FALSE(decode(bytes + "x"));
     std::string other = bytes;
     other[0] = static_cast<char>(0x20 | kind);
-    EXPECT_FALSE(read(other));
+    EXPECT_FALSE(decode(other));
     other[0] = static_cast<char>(0x10 | (kind + 5));
-    EXPECT_FALSE(read(other));
+    EXPECT_FALSE(decode(other));
   }
 }
 
-RC_GTEST_PROP(Form, AnyBytesAreReadOrRefused, (const std::string& bytes)) { (void)read(bytes); }
+RC_GTEST_PROP(Form, AnyBytesAreReadOrRefused, (const std::string& bytes)) { (void)decode(bytes); }
 
 TEST(Ledger, AddsUpWhatOthersHaveOut) {
   BackendLedger ledger;
