--- a/src/peers/ledger.cpp
+++ b/src/peers/ledger.cpp
@@ -31,7 +31,7 @@
 PeerMessage BackendLedger::known(int asker, Millis window, Millis now) {
   drop(now);
   PeerMessage message;
-  message.kind = PeerMessage::Kind::kAnswer;
+  message.kind = PeerMessage::Kind::kLoadReply;
   message.ratio = ratio_;
   Entry* own = nullptr;
   for (Entry& e : entries_) {
--- a/src/peers/owned_ledgers.h
+++ b/src/peers/owned_ledgers.h
@@ -21,12 +21,12 @@
   std::optional<PeerMessage> receive(int peer, const PeerMessage& m, std::size_t number, Millis window,
                                      Millis now) {
     PeerMessage answer;
-    if (m.kind == PeerMessage::Kind::kTell) backends_[number].tell(peer, m, now);
-    if (m.kind == PeerMessage::Kind::kAsk) {
+    if (m.kind == PeerMessage::Kind::kLoadUpdate) backends_[number].tell(peer, m, now);
+    if (m.kind == PeerMessage::Kind::kLoadQuery) {
       answer = backends_[number].known(peer, window, now);
-    } else if (m.kind == PeerMessage::Kind::kRate) {
+    } else if (m.kind == PeerMessage::Kind::kTenantRate) {
       tenants_.at(number).tell(peer, m.rate, now);
-      answer.kind = PeerMessage::Kind::kTotal;
+      answer.kind = PeerMessage::Kind::kTenantTotal;
       answer.rate = tenants_[number].total();
     } else {
       return std::nullopt;
--- a/src/policy/fellows.h
+++ b/src/policy/fellows.h
@@ -29,11 +29,11 @@
   bool hear(const PeerTold& e) {
     const PeerMessage& m = e.message;
     if (!c_.peers_report_load || e.peer < 0 || e.peer >= c_.settings.instances) return false;
-    const bool rates = m.kind == PeerMessage::Kind::kRate || m.kind == PeerMessage::Kind::kTotal;
+    const bool rates = m.kind == PeerMessage::Kind::kTenantRate || m.kind == PeerMessage::Kind::kTenantTotal;
     const std::optional<BackendId> i = lists_.tagged(m.about);
     if (rates ? m.about >= purses_.size() : !i) return false;
-    if (m.kind == PeerMessage::Kind::kTotal) return purses_[m.about].all = m.rate, false;
-    if (m.kind == PeerMessage::Kind::kAnswer)
+    if (m.kind == PeerMessage::Kind::kTenantTotal) return purses_[m.about].all = m.rate, false;
+    if (m.kind == PeerMessage::Kind::kLoadReply)
       return until_[*i] = 0, known_.told(*i, m.work, m.held, m.ratio), true;
     const auto answer =
         owned_ledgers_.receive(e.peer, m, rates ? m.about : *i, kLookShare * c_.shortest_aim, c_.now);
@@ -43,7 +43,7 @@
   // Asks a backend's keeper; true if that is this node, and the answer is here.
   bool ask(BackendId i) {
     until_[i] = c_.now + kLookShare * c_.shortest_aim;
-    return say(owner_of(lists_[i].tag), {.kind = PeerMessage::Kind::kAsk, .about = lists_[i].tag});
+    return say(owner_of(lists_[i].tag), {.kind = PeerMessage::Kind::kLoadQuery, .about = lists_[i].tag});
   }
   bool asked(BackendId i) const { return until_[i] > 0; }
   bool awaits(BackendId i, Millis slack) const { return c_.now < until_[i] - slack; }
@@ -53,13 +53,13 @@
     if (!c_.peers_report_load) return;
     const estimate::OwnAttempts& own = known_.own(i);
     const std::uint32_t tag = lists_[i].tag;
-    say(owner_of(tag), {PeerMessage::Kind::kTell, tag, own.work(), own.held(), ratio, ending});
+    say(owner_of(tag), {PeerMessage::Kind::kLoadUpdate, tag, own.work(), own.held(), ratio, ending});
   }
 
   void tell_rates() {
     for (std::uint32_t n = 0; c_.peers_report_load && n < purses_.size(); ++n) {
       purses_[n].rate = std::exchange(purses_[n].came, 0) * 1000 / kPeriod;
-      say(owner_of(n), {.kind = PeerMessage::Kind::kRate, .about = n, .rate = purses_[n].rate});
+      say(owner_of(n), {.kind = PeerMessage::Kind::kTenantRate, .about = n, .rate = purses_[n].rate});
     }
   }
 
--- a/tests/peers/peers_test.cpp
+++ b/tests/peers/peers_test.cpp
@@ -15,7 +15,7 @@
 
 PeerMessage tell(double held, Ending ending = Ending::kSent, double ratio = 0) {
   PeerMessage m;
-  m.kind = Kind::kTell;
+  m.kind = Kind::kLoadUpdate;
   m.work = m.held = held;
   m.ending = ending;
   m.ratio = ratio;
@@ -26,16 +26,16 @@
   PeerMessage m;
   m.kind = static_cast<Kind>(*rc::gen::inRange(0, 5));
   m.about = *rc::gen::arbitrary<std::uint32_t>();
-  if (m.kind == Kind::kTell || m.kind == Kind::kAnswer) {
+  if (m.kind == Kind::kLoadUpdate || m.kind == Kind::kLoadReply) {
     m.work = *rc::gen::inRange(0, 250) / 8.0;
     m.held = *rc::gen::inRange(0, 30);
     m.ratio = *rc::gen::inRange(1, 64) / 8.0;
   }
-  if (m.kind == Kind::kTell) m.ending = static_cast<Ending>(*rc::gen::inRange(0, 3));
-  if (m.kind == Kind::kTell && m.ending != Ending::kAnswered) m.ratio = 0;
-  if (m.kind == Kind::kRate || m.kind == Kind::kTotal) m.rate = *rc::gen::inRange(0, 65536);
+  if (m.kind == Kind::kLoadUpdate) m.ending = static_cast<Ending>(*rc::gen::inRange(0, 3));
+  if (m.kind == Kind::kLoadUpdate && m.ending != Ending::kAnswered) m.ratio = 0;
+  if (m.kind == Kind::kTenantRate || m.kind == Kind::kTenantTotal) m.rate = *rc::gen::inRange(0, 65536);
   const std::string bytes = encode(m);
-  RC_ASSERT(bytes.size() <= kMostPeerBytes);
+  RC_ASSERT(bytes.size() <= kMaxPeerMessageBytes);
   const auto back = decode(bytes);
   RC_ASSERT(back.has_value());
   RC_ASSERT(back->kind == m.kind && back->about == m.about && back->ending == m.ending);
--- a/tests/policy/stream_host.cpp
+++ b/tests/policy/stream_host.cpp
@@ -134,13 +134,13 @@
 void Host::answer(const TellPeer& told) {
   if (chance(0.1)) return;  // lost
   PeerMessage m{.about = told.message.about};
-  if (told.message.kind == PeerMessage::Kind::kAsk) {
-    m.kind = PeerMessage::Kind::kAnswer;
+  if (told.message.kind == PeerMessage::Kind::kLoadQuery) {
+    m.kind = PeerMessage::Kind::kLoadReply;
     m.work = static_cast<double>(random_.below(24)) / 8;
     m.held = static_cast<double>(random_.below(4));
     m.ratio = chance(0.2) ? 0 : 0.5 + random_.unit();
-  } else if (told.message.kind == PeerMessage::Kind::kRate) {
-    m.kind = PeerMessage::Kind::kTotal;
+  } else if (told.message.kind == PeerMessage::Kind::kTenantRate) {
+    m.kind = PeerMessage::Kind::kTenantTotal;
     m.rate = told.message.rate * (1 + static_cast<double>(random_.below(8)));
   } else {
     return;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1063,7 +1063,7 @@
 // The backends are fast: what many hold would still be answered in time.
 PeerTold told(const TellPeer& asked, double held, double ratio = 0.1) {
   PeerMessage m;
-  m.kind = PeerMessage::Kind::kAnswer;
+  m.kind = PeerMessage::Kind::kLoadReply;
   m.about = asked.message.about;
   m.work = m.held = held;
   m.ratio = ratio;
@@ -1077,7 +1077,7 @@
   std::vector<Action> last = first;
   for (std::size_t n = 0; n < todo.size(); ++n) {
     const auto* tell = std::get_if<TellPeer>(&todo[n]);
-    if (tell == nullptr || tell->message.kind != PeerMessage::Kind::kAsk) continue;
+    if (tell == nullptr || tell->message.kind != PeerMessage::Kind::kLoadQuery) continue;
     last = node.feed(told(*tell, held(tell->message.about / 1000 - 1)));
     todo.insert(todo.end(), last.begin(), last.end());
   }
@@ -1131,7 +1131,7 @@
   PeerMessage unknown;
   unknown.about = 12345;  // no backend that a list has named
   EXPECT_TRUE(node.feed(PeerTold{1, unknown}).empty());
-  unknown.kind = PeerMessage::Kind::kRate;  // nor a tenant
+  unknown.kind = PeerMessage::Kind::kTenantRate;  // nor a tenant
   EXPECT_TRUE(node.feed(PeerTold{1, unknown}).empty());
   Settings silent = fellow_settings();
   silent.peer_messages = false;
@@ -1266,7 +1266,7 @@
     node.list(tagged(9));
     node.run_to(node.now + kTestPeriod);
     PeerMessage total;
-    total.kind = PeerMessage::Kind::kTotal;
+    total.kind = PeerMessage::Kind::kTenantTotal;
     total.rate = all;
     std::size_t seen = node.log.size();
     int refused = 0;
