--- a/src/peers/ledger.h
+++ b/src/peers/ledger.h
@@ -1,6 +1,5 @@
-// What the keeper of a backend, or of a tenant, was told of it by all nodes. It owns adding that up and
-// knowing what of it no longer holds. It must never choose a backend or turn a request away: that is the
-// module's.
+// What an owner knows of one backend or tenant from the messages of all nodes: adds up what they report and
+// drops what no longer holds.
 #pragma once
 
 #include <vector>
@@ -12,11 +11,11 @@
 
 class BackendLedger {
  public:
-  // Word of `peer` after it sent there or an attempt ended. `ending` none of the three is kSent.
-  void tell(int peer, const PeerMessage& message, Millis now);
-  // What all but the asker have out there. Who asks may send: within `window` that counts as often as those
-  // who ask do send.
-  PeerMessage known(int asker, Millis window, Millis now);
+  // Takes in a load update of `peer`. An ending other than the three known ones counts as kSent.
+  void update(int peer, const PeerMessage& message, Millis now);
+  // The load that all nodes but `asker` have there. The asker may send an attempt within `window`; until then
+  // it counts towards the load with the share of queries that have been followed by an attempt.
+  PeerMessage load_for(int asker, Millis window, Millis now);
 
  private:
   struct Entry {
@@ -24,20 +23,20 @@
     double work = 0;
     double held = 0;
     Millis at = 0;
-    Millis promised = 0;   // it asked, and may send till then
-    double overtaken = 0;  // once so many answers came, its requests should have had theirs: they are lost
+    Millis reserved_until = 0;  // it queried the load and may send until then
+    double lost_after = 0;      // once so many answers have come, its requests are taken to be lost
   };
-  void drop(Millis now);
+  void drop_outdated(Millis now);
 
   std::vector<Entry> entries_;
-  double answers_ = 0;  // that all told of
-  double taken_ = 0.2;  // share of asks followed by a send
-  double ratio_ = 0;    // 0 = nobody told yet
+  double answers_ = 0;       // reported by all nodes
+  double send_share_ = 0.2;  // share of queries followed by an attempt
+  double ratio_ = 0;         // 0 = not reported yet
 };
 
 class RateLedger {
  public:
-  void tell(int peer, double rate, Millis now);
+  void update(int peer, double rate, Millis now);
   double total() const { return total_; }
 
  private:
--- a/src/peers/owned_ledgers.h
+++ b/src/peers/owned_ledgers.h
@@ -1,6 +1,5 @@
-// What this node keeps for all: the ledgers of the backends and tenants that it was told of. It owns taking
-// word of them in and answering it; it must never choose a backend or turn a request away: that is the
-// module's.
+// The ledgers of the backends and tenants that this node owns: takes in peers' messages about them and
+// answers their queries. Decides nothing about requests.
 #pragma once
 
 #include <cstddef>
@@ -16,16 +15,16 @@
  public:
   void set_tenants(std::size_t count) { tenants_.resize(count); }
   void reset(std::size_t backend) { backends_[backend] = {}; }
-  // Word of `peer` about a backend, or a tenant, by its number here; the answer, where it wants one. Who asks
-  // of a backend may send there within `window`.
+  // Takes in the message of `peer` about the backend or tenant that has `number` on this node. Returns the
+  // reply to a query. A peer that queries a backend's load may send an attempt there within `window`.
   std::optional<PeerMessage> receive(int peer, const PeerMessage& m, std::size_t number, Millis window,
                                      Millis now) {
     PeerMessage answer;
-    if (m.kind == PeerMessage::Kind::kLoadUpdate) backends_[number].tell(peer, m, now);
+    if (m.kind == PeerMessage::Kind::kLoadUpdate) backends_[number].update(peer, m, now);
     if (m.kind == PeerMessage::Kind::kLoadQuery) {
-      answer = backends_[number].known(peer, window, now);
+      answer = backends_[number].load_for(peer, window, now);
     } else if (m.kind == PeerMessage::Kind::kTenantRate) {
-      tenants_.at(number).tell(peer, m.rate, now);
+      tenants_.at(number).update(peer, m.rate, now);
       answer.kind = PeerMessage::Kind::kTenantTotal;
       answer.rate = tenants_[number].total();
     } else {
--- a/tests/peers/peers_test.cpp
+++ b/tests/peers/peers_test.cpp
@@ -13,7 +13,7 @@
 using Kind = PeerMessage::Kind;
 using Ending = PeerMessage::Ending;
 
-PeerMessage tell(double held, Ending ending = Ending::kSent, double ratio = 0) {
+PeerMessage load_update(double held, Ending ending = Ending::kSent, double ratio = 0) {
   PeerMessage m;
   m.kind = Kind::kLoadUpdate;
   m.work = m.held = held;
@@ -65,24 +65,24 @@
 
 TEST(Ledger, AddsUpWhatOthersHaveOut) {
   BackendLedger ledger;
-  ledger.tell(1, tell(2), 0);
-  ledger.tell(2, tell(3), 0);
-  ledger.tell(1, tell(1), 10);  // the newer word counts
-  EXPECT_EQ(ledger.known(1, 0, 20).held, 3);
-  EXPECT_EQ(ledger.known(2, 0, 20).held, 1);
-  EXPECT_EQ(ledger.known(3, 0, 20).held, 4);
-  EXPECT_EQ(ledger.known(3, 0, 5000).held, 0) << "old word is no word";
+  ledger.update(1, load_update(2), 0);
+  ledger.update(2, load_update(3), 0);
+  ledger.update(1, load_update(1), 10);  // the newer word counts
+  EXPECT_EQ(ledger.load_for(1, 0, 20).held, 3);
+  EXPECT_EQ(ledger.load_for(2, 0, 20).held, 1);
+  EXPECT_EQ(ledger.load_for(3, 0, 20).held, 4);
+  EXPECT_EQ(ledger.load_for(3, 0, 5000).held, 0) << "old word is no word";
 }
 
 // From answer_lost days: lost attempts filled a backend's bound for seconds while it stood idle.
 TEST(Ledger, WhatMoreAnswersOvertookThanWereBeforeItIsLost) {
   BackendLedger ledger;
-  ledger.tell(1, tell(1), 0);
+  ledger.update(1, load_update(1), 0);
   for (int n = 0; n < 2; ++n) {
-    EXPECT_EQ(ledger.known(9, 0, n).held, 1) << n;
-    ledger.tell(2, tell(0, Ending::kAnswered, 1), n);
+    EXPECT_EQ(ledger.load_for(9, 0, n).held, 1) << n;
+    ledger.update(2, load_update(0, Ending::kAnswered, 1), n);
   }
-  EXPECT_EQ(ledger.known(9, 0, 3).held, 0);
+  EXPECT_EQ(ledger.load_for(9, 0, 3).held, 0);
 }
 
 // Promises of a fixed weight made every backend look full where many ask and few send.
@@ -90,29 +90,30 @@
   BackendLedger idle_talk;
   BackendLedger earnest;
   for (int n = 0; n < 400; ++n) {
-    idle_talk.known(1, 100, n);
-    earnest.known(1, 100, n);
-    earnest.tell(1, tell(0), n);
+    idle_talk.load_for(1, 100, n);
+    earnest.load_for(1, 100, n);
+    earnest.update(1, load_update(0), n);
   }
-  idle_talk.known(1, 100, 400);
-  earnest.known(1, 100, 400);
-  EXPECT_LT(idle_talk.known(2, 100, 401).held, 0.05);
-  EXPECT_GT(earnest.known(2, 100, 401).held, 0.8);
+  idle_talk.load_for(1, 100, 400);
+  earnest.load_for(1, 100, 400);
+  EXPECT_LT(idle_talk.load_for(2, 100, 401).held, 0.05);
+  EXPECT_GT(earnest.load_for(2, 100, 401).held, 0.8);
 }
 
 TEST(Ledger, SpeedIsTheMeanOfWhatAllTell) {
   BackendLedger ledger;
-  for (int n = 0; n < 200; ++n) ledger.tell(n % 7, tell(0, Ending::kAnswered, n % 2 == 0 ? 1 : 3), n);
-  EXPECT_NEAR(ledger.known(9, 0, 200).ratio, 2, 0.4);
+  for (int n = 0; n < 200; ++n)
+    ledger.update(n % 7, load_update(0, Ending::kAnswered, n % 2 == 0 ? 1 : 3), n);
+  EXPECT_NEAR(ledger.load_for(9, 0, 200).ratio, 2, 0.4);
 }
 
 TEST(Rates, AreAddedUpAndForgotten) {
   RateLedger ledger;
-  ledger.tell(1, 10, 0);
-  ledger.tell(2, 5, 0);
-  ledger.tell(1, 20, 1000);
+  ledger.update(1, 10, 0);
+  ledger.update(2, 5, 0);
+  ledger.update(1, 20, 1000);
   EXPECT_EQ(ledger.total(), 25);
-  ledger.tell(1, 20, 3000);
+  ledger.update(1, 20, 3000);
   EXPECT_EQ(ledger.total(), 20) << "node 2 has told nothing for long";
 }
 
