--- a/src/estimate/backends.cpp
+++ b/src/estimate/backends.cpp
@@ -6,78 +6,83 @@
 namespace shorelead::estimate {
 namespace {
 
-constexpr Millis kToldLife = 2000;     // reports are passed over for so long after a keeper answered
-constexpr double kLeastTold = 0.5;     // mean requests: a shorter stay tells no speed, but of the way there
-constexpr double kSettled = 0.5;       // service times after which a report must count an attempt
-constexpr double kCrowdedShare = 0.8;  // busier than this, a backend's answers wait for each other
-constexpr double kRecordSpan = 5;      // seconds: a backend's own record holds what came in them
-constexpr double kLosingGain = 0.02;   // weight of one attempt in the share that is lost
+// How long backends' own load reports are ignored after an owner's reply, which is newer.
+constexpr Millis kPeerReportLifetime = 2000;
+// Load, in mean requests, under which a response time is mostly network time and tells no service time.
+constexpr double kMinMeasurableLoad = 0.5;
+constexpr double kSettledAfter = 0.5;  // mean service times after which a load report must count an attempt
+constexpr double kCrowdedUtilization = 0.8;  // share of busy cores over which requests wait for each other
+constexpr double kRecordSeconds = 5;         // seconds of responses that a backend's own estimate holds
+constexpr double kLossRateGain = 0.02;       // weight of one attempt in the share of lost attempts
 
 }  // namespace
 
-void Backends::welcome(std::size_t i) {
-  if (closed_at_ <= 0) closed_at_ = v_.now;
+void Backends::reset(std::size_t i) {
+  if (period_began_at_ <= 0) period_began_at_ = context_.now;
   Figures& f = of_[i];
   f = {f.started, f.size, std::move(f.own), {}, {}, 0};
-  f.load.lanes = lanes_like_warm(f);
+  f.load.concurrency = concurrency_like_warm(f);
 }
 
-Sent Backends::sent(std::size_t i, int request_class, double work) {
-  const Sent sent{request_class, work, v_.now, crowd(i, work), warmth(i)};
-  of_[i].own.add(v_.now, work, !v_.peers_report_load);
+AttemptRecord Backends::sent(std::size_t i, int request_class, double work) {
+  const AttemptRecord sent{request_class, work, context_.now, load_factor(i, work), warmth(i)};
+  of_[i].own.add(context_.now, work, !context_.peers_report_load);
   return sent;
 }
 
-void Backends::learn(std::size_t i, const Sent& sent, Millis elapsed, bool served) {
+void Backends::learn(std::size_t i, const AttemptRecord& sent, Millis elapsed, bool served) {
   Figures& f = of_[i];
   const bool lost = !served && f.own.overtaken(sent.at);
-  losing_ += kLosingGain * ((lost ? 1 : 0) - losing_);
+  loss_rate_ += kLossRateGain * ((lost ? 1 : 0) - loss_rate_);
   if (lost) return;
-  const bool crowded = sent.crowd > sent.work || f.load.busy > kCrowdedShare;
-  const Millis alone = elapsed / sent.crowd * sent.warmth;
-  times_.learn(f.speed, {sent.request_class, alone, served, sent.warmth >= 1, crowded, v_.peers_report_load});
+  const bool crowded = sent.load_factor > sent.work || f.load.busy > kCrowdedUtilization;
+  const Millis unloaded = elapsed / sent.load_factor * sent.warmth;
+  times_.learn(f.service_time,
+               {sent.request_class, unloaded, served, sent.warmth >= 1, crowded, context_.peers_report_load});
 }
 
-double Backends::ratio(const Sent& sent, Millis elapsed) const {
-  return sent.crowd < kLeastTold ? 0 : elapsed / sent.crowd * sent.warmth / times_.usual(sent.request_class);
+double Backends::service_time_ratio(const AttemptRecord& sent, Millis elapsed) const {
+  return sent.load_factor < kMinMeasurableLoad
+             ? 0
+             : elapsed / sent.load_factor * sent.warmth / times_.class_mean(sent.request_class);
 }
 
-// A report that leaves out requests which this node has had there for long is wrong.
 void Backends::reported(std::size_t i, const LoadReport& report) {
-  if (v_.peers_report_load && v_.now - told_at_ < kToldLife) return;  // keepers' word is newer
+  if (context_.peers_report_load && context_.now - peer_reported_at_ < kPeerReportLifetime) return;
   Figures& f = of_[i];
-  const Millis before = v_.now - kSettled * times_.mean();
-  load_.report(f.load, report, f.own.work(), v_.peers_report_load ? 0 : f.own.settled(before), v_.now);
+  const Millis before = context_.now - kSettledAfter * times_.mean();
+  load_.report(f.load, report, f.own.work(), context_.peers_report_load ? 0 : f.own.settled(before),
+               context_.now);
 }
 
-void Backends::told(std::size_t i, double work, double held, double ratio) {
+void Backends::peer_reported(std::size_t i, double work, double held, double ratio) {
   Figures& f = of_[i];
-  told_at_ = v_.now;
-  load_.tell(f.load, work, v_.now);
-  f.others_held = held;
-  if (ratio > 0) f.speed.ratio = ratio, f.speed.heard = true;
+  peer_reported_at_ = context_.now;
+  load_.set_others(f.load, work, context_.now);
+  f.held_by_others = held;
+  if (ratio > 0) f.service_time.ratio = ratio, f.service_time.updated = true;
 }
 
 void Backends::close_period(const std::function<bool(std::size_t)>& in_use, std::size_t count, double share) {
-  double lanes = 0;
-  double pace = 0;
+  double concurrency = 0;
+  double throughput = 0;
   double size = 0;
-  std::vector<Speed*> speeds;
+  std::vector<RelativeServiceTime*> service_times;
   for (std::size_t i = 0; i < count; ++i) {
     Figures& f = of_[i];
-    if (!f.load.lanes_known) f.load.lanes = lanes_like_warm(f);
+    if (!f.load.concurrency_known) f.load.concurrency = concurrency_like_warm(f);
     if (!in_use(i)) continue;
-    speeds.push_back(&f.speed);
-    if (cold(f) || !f.load.lanes_known) continue;
-    lanes += f.load.lanes;
-    // A backend that is slow for being crowded only seems to work on more at once.
-    pace += f.load.lanes / std::max(1.0, f.speed.ratio);
+    service_times.push_back(&f.service_time);
+    if (cold(f) || !f.load.concurrency_known) continue;
+    concurrency += f.load.concurrency;
+    // An overloaded backend is slow and so seems to work on more requests at once than it can.
+    throughput += f.load.concurrency / std::max(1.0, f.service_time.ratio);
     size += f.size;
   }
-  if (size > 0) lanes_per_size_ = lanes / size, pace_per_size_ = pace / size;
-  times_.fade(rate() * share * kRecordSpan, speeds, v_.peers_report_load);
+  if (size > 0) concurrency_per_size_ = concurrency / size, throughput_per_size_ = throughput / size;
+  times_.fade(rate() * share * kRecordSeconds, service_times, context_.peers_report_load);
   arrivals_.close_period();
-  closed_at_ = v_.now;
+  period_began_at_ = context_.now;
 }
 
 }  // namespace shorelead::estimate
--- a/src/estimate/own_attempts.h
+++ b/src/estimate/own_attempts.h
@@ -1,5 +1,4 @@
-// This node's attempts out at one backend: what the node knows of its load without being told. It keeps
-// count; it chooses nothing.
+// This node's attempts in flight at one backend: the part of its load that needs no report.
 #pragma once
 
 #include <algorithm>
@@ -12,53 +11,55 @@
 
 class OwnAttempts {
  public:
-  // One was sent, of so many mean requests' work. With `lost_are_out` false, one sent before another that was
-  // answered, or said to be overdue, is lost, as it seems, and counts no longer.
-  void add(Millis sent, double work, bool lost_are_out) {
-    out_.push_back({sent, work, false});
-    count(lost_are_out);
+  // An attempt of `work` mean requests was sent. Unless `count_lost`, attempts that are taken to be lost
+  // don't count: those that are overdue, and those sent before another one that was answered.
+  void add(Millis sent, double work, bool count_lost) {
+    attempts_.push_back({sent, work, false});
+    count(count_lost);
   }
-  void overdue(Millis sent, bool lost_are_out) {
-    for (Out& out : out_) out.overdue = out.overdue || out.sent == sent;
-    count(lost_are_out);
+  void overdue(Millis sent, bool count_lost) {
+    for (Attempt& attempt : attempts_) attempt.overdue = attempt.overdue || attempt.sent == sent;
+    count(count_lost);
   }
-  // One is over: the one on record that was sent nearest to then.
-  void end(Millis sent, bool served, bool lost_are_out) {
+  // The attempt whose time of sending is nearest to `sent` ended.
+  void end(Millis sent, bool served, bool count_lost) {
     if (served) answered_ = std::max(answered_, sent);
-    if (out_.empty()) return;
-    out_.erase(std::min_element(out_.begin(), out_.end(), [sent](const Out& x, const Out& y) {
-      return std::abs(x.sent - sent) < std::abs(y.sent - sent);
-    }));
-    count(lost_are_out);
+    if (attempts_.empty()) return;
+    attempts_.erase(
+        std::min_element(attempts_.begin(), attempts_.end(), [sent](const Attempt& x, const Attempt& y) {
+          return std::abs(x.sent - sent) < std::abs(y.sent - sent);
+        }));
+    count(count_lost);
   }
-  bool none() const { return out_.empty(); }
+  bool none() const { return attempts_.empty(); }
   double held() const { return held_; }  // requests
   double work() const { return work_; }  // mean requests
-  // Whether one sent then was overtaken by a later one's answer.
+  // Whether an attempt sent later than `sent` has been answered.
   bool overtaken(Millis sent) const { return sent < answered_; }
-  // How many were sent by then and are not overtaken.
+  // Number of attempts sent by `then` and not overtaken.
   double settled(Millis then) const {
-    return static_cast<double>(std::count_if(
-        out_.begin(), out_.end(), [&](const Out& out) { return out.sent <= then && out.sent > answered_; }));
+    return static_cast<double>(std::count_if(attempts_.begin(), attempts_.end(), [&](const Attempt& attempt) {
+      return attempt.sent <= then && attempt.sent > answered_;
+    }));
   }
 
  private:
-  struct Out {
+  struct Attempt {
     Millis sent = 0;
     double work = 1;
     bool overdue = false;
   };
-  void count(bool lost_are_out) {
+  void count(bool count_lost) {
     held_ = work_ = 0;
-    for (const Out& out : out_) {
-      if (!lost_are_out && (out.overdue || overtaken(out.sent))) continue;
+    for (const Attempt& attempt : attempts_) {
+      if (!count_lost && (attempt.overdue || overtaken(attempt.sent))) continue;
       held_ += 1;
-      work_ += out.work;
+      work_ += attempt.work;
     }
   }
 
-  std::vector<Out> out_;
-  Millis answered_ = 0;  // when the last that was served was sent
+  std::vector<Attempt> attempts_;
+  Millis answered_ = 0;  // latest time of sending among served attempts
   double held_ = 0;
   double work_ = 0;
 };
--- a/src/estimate/request_rate.h
+++ b/src/estimate/request_rate.h
@@ -1,4 +1,4 @@
-// How many requests come to this node a second, over a fading past. It keeps count only.
+// Moving average of the requests that arrive at this node in a period.
 #pragma once
 
 #include <algorithm>
@@ -9,24 +9,23 @@
 class RequestRate {
  public:
   void add() { arrived_ += 1; }
-  // A period of so many seconds is over.
   void close_period() {
-    seen_ = seen_ * kMemory + std::exchange(arrived_, 0);
-    periods_ = periods_ * kMemory + 1;
+    earlier_ = earlier_ * kDecay + std::exchange(arrived_, 0);
+    periods_ = periods_ * kDecay + 1;
   }
-  // Requests a period; one more than came, in one more period, so that it is never 0.
-  double per_period() const { return (seen_ + arrived_ + 1) / (periods_ + 1); }
-  // The same where that part of this period is over; one more than came.
+  // Requests per period. Adds one request and one period, so that the rate is never 0.
+  double per_period() const { return (earlier_ + arrived_ + 1) / (periods_ + 1); }
+  // The same, with the current period, of which the share `part` has passed.
   double per_period(double part) const {
-    return (seen_ + arrived_ + 1) / (periods_ + std::max(kLeastPart, part));
+    return (earlier_ + arrived_ + 1) / (periods_ + std::max(kMinPart, part));
   }
 
  private:
-  static constexpr double kMemory = 0.97;     // kept of the past in each period
-  static constexpr double kLeastPart = 0.01;  // of a period: what came in less tells no rate
-  double arrived_ = 0;                        // in this period
-  double seen_ = 0;                           // before, fading
-  double periods_ = 0;                        // and in how many, fading likewise
+  static constexpr double kDecay = 0.97;    // factor on earlier periods, per period
+  static constexpr double kMinPart = 0.01;  // of a period: a shorter time gives no rate
+  double arrived_ = 0;                      // requests in the current period
+  double earlier_ = 0;                      // requests in earlier periods, decayed
+  double periods_ = 0;                      // number of earlier periods, decayed
 };
 
 }  // namespace shorelead::estimate
--- a/src/estimate/response_times.h
+++ b/src/estimate/response_times.h
@@ -1,5 +1,5 @@
-// The paper's two figures of a backend, from the balancer's own probes: response time and network delay. It
-// keeps the windows; weights are the module's.
+// Sliding windows of a backend's probe times. They give the two inputs of the ALBL paper's weights: its
+// response time and its network delay.
 #pragma once
 
 #include <algorithm>
@@ -13,23 +13,26 @@
 
 class ResponseTimes {
  public:
-  // A probe was answered after `elapsed`.
+  // Adds the response time of a probe.
   void add(Millis elapsed) {
-    push(probes_, std::max(elapsed, kTiniest), kResponsePeriods);
+    push(probes_, std::max(elapsed, kMinProbeTime), kResponsePeriods);
     double sum = 0;
     for (const Millis t : probes_) sum += t;
     push(responses_, sum / static_cast<double>(probes_.size()), kDelayPeriods);
   }
   bool known() const { return !responses_.empty(); }
-  std::size_t probes() const { return responses_.size(); }  // counted to the length of the delay's window
-  Millis response() const { return responses_.back(); }     // mean of the last probes; if known()
-  Millis delay() const { return *std::min_element(responses_.begin(), responses_.end()); }  // if known()
+  std::size_t probes() const { return responses_.size(); }  // at most kDelayPeriods
+  Millis response() const { return responses_.back(); }     // requires known()
+  Millis delay() const {
+    return *std::min_element(responses_.begin(), responses_.end());
+  }  // requires known()
 
  private:
-  static constexpr std::size_t kResponsePeriods =
-      5;                                            // response time = mean probe time over this many periods
-  static constexpr std::size_t kDelayPeriods = 10;  // network delay = lowest response time in this many
-  static constexpr Millis kTiniest = 0.01;          // so that no share is infinite
+  // The response time is the mean over so many probes, one a period.
+  static constexpr std::size_t kResponsePeriods = 5;
+  // The network delay is the lowest response time in so many periods.
+  static constexpr std::size_t kDelayPeriods = 10;
+  static constexpr Millis kMinProbeTime = 0.01;  // so that no share is infinite
   std::vector<Millis> probes_;
   std::vector<Millis> responses_;
 };
--- a/src/estimate/service_times.h
+++ b/src/estimate/service_times.h
@@ -1,5 +1,5 @@
-// How long backends work on requests: the fleet's mean, each class's and each backend's ratio to it. It owns
-// learning them from answers and hints. It must never choose a backend: that is the module's.
+// Service times of backends: the fleet's mean, and each request class's and each backend's ratio to it,
+// learned from responses and from hints of requests' work. Selects no backend.
 #pragma once
 
 #include <cstddef>
@@ -10,51 +10,53 @@
 namespace shorelead::estimate {
 
 // Of one backend.
-struct Speed {
-  double ratio = 1;    // its service time over the fleet's
-  bool heard = false;  // an answer, or a time-out, told of it this period
+struct RelativeServiceTime {
+  double ratio = 1;      // its service time over the fleet's mean
+  bool updated = false;  // by a response or time-out in this period
 };
 
 class ServiceTimes {
  public:
   explicit ServiceTimes(Millis guess) : mean_(guess) {}
-  // How many classes there are; what was learnt of them stays.
+  // Sets the number of request classes; keeps what was learned of those that remain.
   void set_classes(std::size_t count) { class_ratio_.resize(count, 1.0); }
 
-  // A request's hinted work (over 0), in mean requests. Hints set the fleet's mean from then on.
+  // Takes in a request's hint of its work (over 0) and returns the work in mean requests. From the first hint
+  // on, hints alone set the fleet's mean.
   double hinted(double expected_work);
 
   Millis mean() const { return mean_; }
-  Millis usual(int request_class) const {
+  Millis class_mean(int request_class) const {
     return mean_ * class_ratio_[static_cast<std::size_t>(request_class)];
   }
-  Millis expected(int request_class, const Speed& speed) const {
-    return usual(request_class) * speed.ratio * stretch_;
+  Millis expected(int request_class, const RelativeServiceTime& service_time) const {
+    return class_mean(request_class) * service_time.ratio * slowdown_;
   }
 
   struct Answer {
     int request_class = 0;
-    Millis alone = 0;    // its time there, with the crowd that it met and the backend's warmth taken out
-    bool served = true;  // else none came by then
-    bool warm = true;    // the backend's start is past
-    bool crowded = false;
-    bool only_fleet = false;  // the backend's own ratio is told by others
+    Millis unloaded = 0;      // response time without the effects of load and warm-up
+    bool served = true;       // else it failed, or had no response after that time
+    bool warm = true;         // the backend's warm-up is over
+    bool crowded = false;     // other requests slowed it down
+    bool fleet_only = false;  // peers report the backend's own ratio
   };
-  void learn(Speed& speed, const Answer& answer);
+  void learn(RelativeServiceTime& service_time, const Answer& answer);
 
-  // Once a period, of all usable backends. The fewer answers a backend's own record holds, the more what all
-  // tell stretches times. One passed over for being slow gets no answers that could clear it, so its record
-  // fades. Where answers meet a crowd from the first moment on, none teaches the mean; but if over half of
-  // all told of theirs, and each is well below it, it cannot be theirs.
-  void fade(double held, const std::vector<Speed*>& speeds, bool told);
+  // Called once a period with all usable backends. The fewer responses (`samples`) a backend's own ratio
+  // rests on, the more the slowness of the whole fleet stretches expected times. The ratio of a backend
+  // without responses fades to 1, as a backend avoided for being slow gets no responses that could clear it.
+  // Where all responses met contention, none updates the mean; if then over half of the backends were updated
+  // and all ratios are far below 1, the mean is too high and is corrected.
+  void fade(double samples, const std::vector<RelativeServiceTime*>& service_times, bool from_peers);
 
  private:
   Millis mean_;
   std::vector<double> class_ratio_;
-  double slowness_ = 1;  // times of late over what was expected of those backends, all together
-  double stretch_ = 1;   // and what that makes of expected times
+  double slowness_ = 1;  // recent service times over the expected ones, over all backends
+  double slowdown_ = 1;  // factor on expected times that follows from it
   double hints_ = 0;
-  double mean_work_ = 0;  // of hints, by the power of their trust
+  double mean_work_ = 0;  // mean of hints to the power of kHintExponent
 };
 
 }  // namespace shorelead::estimate
--- a/src/policy/choosing.h
+++ b/src/policy/choosing.h
@@ -90,12 +90,12 @@
   bool may_look(BackendId i) const {
     const estimate::ResponseTimes& times = probes_.times(i);
     const estimate::Load& load = known_.load(i);
-    return rotation_.usable(i) && known_.loads_told() && c_.now >= load.doubted_until &&
+    return rotation_.usable(i) && known_.loads_reported() && c_.now >= load.distrusted_until &&
            (!times.known() || times.response() <= kLookTime) &&
-           (load.others < 0 || c_.now - load.reported_at >= kLookAge * known_.mean_time());
+           (load.other_requests < 0 || c_.now - load.reported_at >= kLookAge * known_.mean_time());
   }
 
-  Millis expected(const Request& r, BackendId i) const { return known_.expected(i, r.request_class, r.work); }
+  Millis expected(const Request& r, BackendId i) const { return known_.expected_response(i, r.request_class, r.work); }
 
   Context& c_;
   const Lists& lists_;
@@ -154,10 +154,10 @@
   // Exception "full": a backend with far more waiting than cores was seen to turn slow for long, so it gets
   // no more; what is worth little is turned away sooner, the more so the fuller the fleet.
   bool full(const Request& r, BackendId i) const {
-    const double lanes = known_.load(i).lanes;
+    const double lanes = known_.load(i).concurrency;
     const double most = kMostQueue * std::sqrt(lanes);
-    const double crowded = std::min(1.0, known_.mean_others() / most);
-    return known_.held(i) > lanes + most * (1 - (1 - value(r)) * crowded);
+    const double crowded = std::min(1.0, known_.mean_other_requests() / most);
+    return known_.in_flight(i) > lanes + most * (1 - (1 - value(r)) * crowded);
   }
 
   // Its worth beside the dearest class within its tenant's share, in time.
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -25,7 +25,7 @@
 // A timer for one request has its number above the kind.
 enum TimerKind : std::uint64_t { kTickTimer, kListTimer, kLookTimer, kCopyTimer };
 
-struct Context : estimate::View {
+struct Context : estimate::EstimateContext {
   Context(const Settings& s, std::uint64_t seed) : random(seed) { change(s); }
   void change(const Settings& changed) {
     settings = changed;
@@ -38,13 +38,13 @@
     period = kPeriod;
     warm_up = settings.warm_up;
     cold_share = settings.cold_share;
-    seldom_told = too_dear(kLooks);
+    reports_rare = too_dear(kLooks);
     peers_report_load =
-        settings.instances > 1 && settings.peer_messages && !settings.reports_with_answers && seldom_told;
+        settings.instances > 1 && settings.peer_messages && !settings.reports_with_answers && reports_rare;
     share(sharing);
   }
   // So many nodes have each of these backends before them; 0: all.
-  void share(double nodes) { sharing = nodes, sharers = nodes > 0 ? nodes : stated_nodes(); }
+  void share(double nodes) { sharing = nodes, nodes_per_backend = nodes > 0 ? nodes : stated_nodes(); }
 
   // Exception "look first": where only probes bring reports, all is old news; some are looked at before each
   // attempt, by probes where those are cheap, else by asking the fellow that keeps what all tell.
--- a/src/policy/fellows.h
+++ b/src/policy/fellows.h
@@ -34,7 +34,7 @@
     if (rates ? m.about >= purses_.size() : !i) return false;
     if (m.kind == PeerMessage::Kind::kTenantTotal) return purses_[m.about].all = m.rate, false;
     if (m.kind == PeerMessage::Kind::kLoadReply)
-      return until_[*i] = 0, known_.told(*i, m.work, m.held, m.ratio), true;
+      return until_[*i] = 0, known_.peer_reported(*i, m.work, m.held, m.ratio), true;
     const auto answer =
         owned_ledgers_.receive(e.peer, m, rates ? m.about : *i, kLookShare * c_.shortest_aim, c_.now);
     return answer && say(e.peer, *answer);
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -103,9 +103,9 @@
   // Of a cold one.
   bool room(BackendId i) {
     const Settings& s = c_.settings;
-    const double capacity = known_.finishes(i, s.fall_span);
-    const double budget = kColdSafety * s.fall_multiple * known_.warmth(i) * capacity / c_.sharers;
-    const double open = budget * std::min(1.0, kColdTurn / known_.arrivals(s.fall_span));
+    const double capacity = known_.completions(i, s.fall_span);
+    const double budget = kColdSafety * s.fall_multiple * known_.warmth(i) * capacity / c_.nodes_per_backend;
+    const double open = budget * std::min(1.0, kColdTurn / known_.expected_arrivals(s.fall_span));
     return of_[i].room(budget, s.fall_span, open, c_.now);
   }
   void sent(BackendId i) {
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -57,7 +57,7 @@
     confirmations_.welcome(i);
     rotation_.welcome(i);
     cold_.welcome(i);
-    known_.welcome(i);
+    known_.reset(i);
     health_.welcome(i);
     fellows_.welcome(i);
   }
--- a/src/policy/requests.h
+++ b/src/policy/requests.h
@@ -52,7 +52,7 @@
     known_.ended(e.backend, e.elapsed, served);
     Request* const r = find(e.request);
     Attempt* const a = r == nullptr ? nullptr : &r->attempts.at(static_cast<std::size_t>(e.attempt));
-    const double ratio = a != nullptr && served ? known_.ratio(a->sent, e.elapsed) : 0;
+    const double ratio = a != nullptr && served ? known_.service_time_ratio(a->sent, e.elapsed) : 0;
     fellows_.tell(e.backend,
                   a != nullptr && served ? PeerMessage::Ending::kAnswered : PeerMessage::Ending::kSent,
                   ratio);
@@ -149,7 +149,7 @@
     const Millis stop = retries_.stop_at(r);
     const Millis early = kEarlyEnd * (stop - c_.now);
     const bool ends =
-        known_.losing() > kLosing && expected < early && retries_.may_send(r) && choosing_.anybody(r);
+        known_.loss_rate() > kLosing && expected < early && retries_.may_send(r) && choosing_.anybody(r);
     c_.act(SendAttempt{r.id, i, ends ? c_.now + early : stop, begin_by});
     const bool repeatable = c_.request_class(r.request_class).effect != Effect::kUnsafe;
     if (c_.looks_first() && r.parallel && repeatable) {
@@ -188,7 +188,7 @@
     // Exception "drains untold": turned away though that very answer shows a free core and nobody waiting. It
     // drains, and the list is late to say so; it would draw attempt after attempt while others are idle.
     const bool idle = e.has_report && e.report.busy >= 0 && e.report.busy < 1 && e.report.waiting == 0;
-    if (turned_away && idle && c_.settings.probing && c_.now >= known_.load(e.backend).doubted_until) {
+    if (turned_away && idle && c_.settings.probing && c_.now >= known_.load(e.backend).distrusted_until) {
       probes_.miss(e.backend);
       rotation_.drop(e.backend);
     }
--- a/src/policy/retries.h
+++ b/src/policy/retries.h
@@ -15,7 +15,7 @@
 
 struct Attempt {
   BackendId backend = 0;
-  estimate::Sent sent;
+  estimate::AttemptRecord sent;
   bool overdue = false;
   bool out = true;
   bool may_have_run = true;  // until an outcome proves that it never ran
