--- a/src/estimate/spare_capacity.h
+++ b/src/estimate/spare_capacity.h
@@ -1,30 +1,30 @@
-// The share of a pool's capacity that is unused, as one node sees it: by backends' reports of busy cores, or
-// where none come by how many attempts are turned away. Owns the two means; it must never choose a backend.
+// Estimate of the unused share of a pool's capacity: from backends' reports of busy cores, or without reports
+// from the share of attempts that backends reject.
 #pragma once
 
 #include <algorithm>
 
 namespace shorelead::estimate {
 
-class Room {
+class SpareCapacity {
  public:
-  // A backend's report: the share of its cores in use; negative = it does not say.
+  // Takes in a backend's share of busy cores; negative = not reported.
   void reported(double busy) {
     if (busy < 0) return;
-    told_ = true;
-    room_ += kGain * (1 - std::min(1.0, busy) - room_);
+    has_reports_ = true;
+    unused_ += kGain * (1 - std::min(1.0, busy) - unused_);
   }
-  void ended(bool turned_away) { away_ += kGain * ((turned_away ? 1 : 0) - away_); }
+  void attempt_ended(bool rejected) { rejected_ += kGain * ((rejected ? 1 : 0) - rejected_); }
 
-  double value() const { return told_ ? room_ : away_ > kCrowded ? 0 : 1; }
+  double value() const { return has_reports_ ? unused_ : rejected_ > kFullShare ? 0 : 1; }
 
  private:
-  static constexpr double kGain = 0.02;     // of one report: some fifty count
-  static constexpr double kCrowded = 0.05;  // of attempts turned away: there is no room left
+  static constexpr double kGain = 0.02;       // weight of one report: a mean over some fifty
+  static constexpr double kFullShare = 0.05;  // over this share of rejected attempts no capacity is unused
 
-  double room_ = 1;
-  double away_ = 0;
-  bool told_ = false;
+  double unused_ = 1;
+  double rejected_ = 0;
+  bool has_reports_ = false;
 };
 
 }  // namespace shorelead::estimate
--- a/src/node/facade.cpp
+++ b/src/node/facade.cpp
@@ -62,8 +62,8 @@
   open.over = open.over || pass;
   event.request_over = open.over;
   roster_.heard(event.backend, event.outcome);
-  room_.ended(event.outcome == Outcome::kTurnedAway);
-  if (load != nullptr) room_.reported(load->busy);
+  spare_capacity_.attempt_ended(event.outcome == Outcome::kTurnedAway);
+  if (load != nullptr) spare_capacity_.reported(load->busy);
   requests_.ended(request, open);
   feed(event, now);
   return pass ? Choice{Choice::Kind::kPass, request} : errands_.take(request, Choice::Kind::kHold);
--- a/src/node/facade.h
+++ b/src/node/facade.h
@@ -78,7 +78,7 @@
   using Further = node::Further;
   // From now on; with empty functions only the module's own bound counts.
   void bound_attempts(Further further, Millis now);
-  double room() const { return room_.value(); }  // share of the backends' capacity that is unused
+  double room() const { return spare_capacity_.value(); }  // share of the backends' capacity that is unused
 
   // Set by the host: called when something for tick() came up outside of it.
   void on_errand(std::function<void()> wake) { wake_ = std::move(wake); }
@@ -110,7 +110,7 @@
   OpenRequests requests_;
   std::multimap<Millis, std::uint64_t> timers_;
   FurtherBound further_;
-  estimate::Room room_;
+  estimate::SpareCapacity spare_capacity_;
   std::vector<Event> unsent_;  // attempts that could not be begun, to be told to the module
   Errands errands_;
   std::function<void()> wake_;
--- a/src/policy/choosing.h
+++ b/src/policy/choosing.h
@@ -95,7 +95,9 @@
            (load.other_requests < 0 || c_.now - load.reported_at >= kLookAge * known_.mean_time());
   }
 
-  Millis expected(const Request& r, BackendId i) const { return known_.expected_response(i, r.request_class, r.work); }
+  Millis expected(const Request& r, BackendId i) const {
+    return known_.expected_response(i, r.request_class, r.work);
+  }
 
   Context& c_;
   const Lists& lists_;
--- a/src/policy/looking.h
+++ b/src/policy/looking.h
@@ -97,7 +97,8 @@
     std::vector<std::pair<double, BackendId>> stale;
     const std::deque<BackendId>& turns = rotation_.turns();
     for (std::size_t n = 0; n < std::min(turns.size(), kMostWeighed); ++n) {
-      const std::pair<double, BackendId> one{std::round(known_.load_factor(turns[n], 1) * kLookSteps), turns[n]};
+      const std::pair<double, BackendId> one{std::round(known_.load_factor(turns[n], 1) * kLookSteps),
+                                             turns[n]};
       const bool twice = std::find(stale.begin(), stale.end(), one) != stale.end();
       if (!twice && choosing_.may_look(one.second) && choosing_.allowed(r, one.second)) stale.push_back(one);
     }
--- a/src/policy/probes.h
+++ b/src/policy/probes.h
@@ -28,7 +28,8 @@
     const double points = s.probe_price / mean_share * 1000 / kPeriod / requests_a_second;
     round_ = std::clamp(points / kProbePoints * kPeriod, kPeriod, kLongestRound);
     if (s.most_probes > 0) round_ = std::max(round_, 1000 / mean_share / s.most_probes);
-    if (s.most_probes_backend > 0) round_ = std::max(round_, 1000 * c_.nodes_per_backend / s.most_probes_backend);
+    if (s.most_probes_backend > 0)
+      round_ = std::max(round_, 1000 * c_.nodes_per_backend / s.most_probes_backend);
   }
 
   // Probes go out when a round has passed since the backend's last one, so each keeps a phase of its own.
