--- a/src/base/list_validity.h
+++ b/src/base/list_validity.h
@@ -1,5 +1,5 @@
-// For how long a list of backends may be acted on. Passed by value from the list's source to the decisions,
-// the guard and the checker. Times are milliseconds of the host's steady clock.
+// How long a list of backends is valid, and which backends may still be used after that. Passed by value from
+// discovery to the policy, the guard and the checker. Times are milliseconds of the host's steady clock.
 #pragma once
 
 #include <limits>
@@ -9,17 +9,17 @@
 namespace shorelead {
 
 struct ListValidity {
-  // Before this the list alone says who may get something new.
+  // Until then every backend that the list allows may get new requests.
   Millis until = std::numeric_limits<Millis>::infinity();
-  // From then on only a backend may whose health check passed, for so long after that check was sent,
+  // After that, a backend may only for so long after its last passed health check was sent,
   Millis confirmed_for = std::numeric_limits<Millis>::infinity();
-  // and only if it was sent no sooner than this.
+  // and only if that check was sent no earlier than this.
   Millis confirmed_after = -std::numeric_limits<Millis>::infinity();
 
   bool operator==(const ListValidity&) const = default;
 };
 
-// When the last health check that a backend has passed was sent.
+// Time of sending of a backend's last health check, if it passed.
 class LastConfirmation {
  public:
   void passed(Millis sent) { sent_ = sent; }
--- a/src/base/millis.h
+++ b/src/base/millis.h
@@ -1,9 +1,8 @@
-// Time as every part of the project counts it. Owns the one alias and nothing else; it must never read a
-// clock.
+// The unit of time throughout the project.
 #pragma once
 
 namespace shorelead {
 
-using Millis = double;  // a moment on the host's clock, or a span
+using Millis = double;  // a time on the host's clock, or a duration
 
 }  // namespace shorelead
--- a/src/base/numbers.h
+++ b/src/base/numbers.h
@@ -1,4 +1,4 @@
-// Small figures over lists of numbers.
+// Functions on vectors of numbers.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace shorelead {
 
-// The upper median; 0 of an empty list.
+// The upper median; 0 for an empty vector.
 inline double median(std::vector<double> values) {
   if (values.empty()) return 0;
   const auto middle = values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2);
@@ -15,14 +15,14 @@
   return *middle;
 }
 
-// Adds a value to a window of so many, oldest first.
+// Adds a value to a sliding window of at most `length` values, oldest first.
 inline void push(std::vector<double>& window, double value, std::size_t length) {
   if (window.size() == length) window.erase(window.begin());
   window.push_back(value);
 }
 
-// Scales positive numbers to sum 1 with none above its bound; what a bound cuts goes to the others in
-// proportion. Where all bounds together are under 1, all stand at theirs.
+// Scales positive numbers to sum 1 with each at most its bound; what a bound cuts off is given to the others
+// in proportion. If the bounds' sum is under 1, each value becomes its bound.
 inline void scale_to_one(std::vector<double>& values, const std::vector<double>& bounds) {
   std::vector<char> bound(values.size(), 0);
   for (double free = 1;;) {
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,4 +1,5 @@
-// Random numbers that are the same on every platform, unlike the standard distributions. Not for secrets.
+// Pseudo-random numbers that are the same on every platform, unlike those of the standard distributions. Not
+// for cryptography.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +7,7 @@
 
 namespace shorelead {
 
-// SplitMix64 (Steele, Lea and Flood, 2014). One seed gives one sequence.
+// SplitMix64 (Steele, Lea and Flood, 2014). The seed determines the sequence.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -16,8 +17,8 @@
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
     return z ^ (z >> 31);
   }
-  double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }            // from 0, under 1
-  std::size_t below(std::size_t n) { return static_cast<std::size_t>(next() % n); }  // n > 0
+  double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }            // in [0, 1)
+  std::size_t below(std::size_t n) { return static_cast<std::size_t>(next() % n); }  // in [0, n); n > 0
 
  private:
   std::uint64_t state_;
--- a/src/base/ring.h
+++ b/src/base/ring.h
@@ -1,5 +1,5 @@
-// A queue in one block of memory that only grows: moving through it allocates nothing, unlike a deque's
-// blocks.
+// A double-ended queue in one block of memory that only grows. Unlike std::deque it allocates nothing while
+// elements pass through it at a constant size.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
  public:
   bool empty() const { return size_ == 0; }
   std::size_t size() const { return size_; }
-  const T& front() const { return block_[first_]; }  // of one that is not empty, as are the next three
+  const T& front() const { return block_[first_]; }  // requires !empty(), as do the next three
   const T& back() const { return block_[(first_ + size_ - 1) & (block_.size() - 1)]; }
   void pop_front() {
     first_ = (first_ + 1) & (block_.size() - 1);
--- a/src/base/span_budget.h
+++ b/src/base/span_budget.h
@@ -1,5 +1,5 @@
-// How many of something may happen within any span, also where that is less than one: then turns come at the
-// rate that the part makes, and each is open for a while and then lost. Keeps no clock.
+// Limits how many events may happen within any span of time. The budget may be under one event a span: then
+// turns come at that rate, and each one can be used for a while and is lost after that. Reads no clock.
 #pragma once
 
 #include <cmath>
@@ -12,15 +12,15 @@
 
 class SpanBudget {
  public:
-  // From `now` on, `phase` (0 to 1) of a turn in, for what began at `since`. Told of the same again it goes
-  // on: what was spent on it still counts.
+  // Starts the budget at `now` for what began at `since`, with the share `phase` (0 to 1) of a turn passed.
+  // Called again with the same `since` it changes nothing, so events that were spent still count.
   void begin(double phase, Millis now, Millis since) {
     if (at_ > 0 && since == since_) return;
     *this = SpanBudget();
     turns_ = phase, at_ = now, since_ = since;
   }
-  // Whether one more may happen at `now` (never earlier than the last call's), so many being free in a span;
-  // a turn is open for `open` of the time from one to the next.
+  // Whether one more event may happen at `now` (not before the last call's), with `budget` events a span. A
+  // turn can be used for the share `open` of the time to the next one.
   bool room(double budget, Millis span, double open, Millis now) {
     std::erase_if(spent_, [&](Millis t) { return now - t >= span; });
     turns_ += budget * (now - std::exchange(at_, now)) / span;
@@ -31,11 +31,11 @@
   void spend(Millis now) { spent_.push_back(now), used_ = std::floor(turns_); }
 
  private:
-  std::vector<Millis> spent_;  // that still count
-  double turns_ = 0;           // came by now,
-  double used_ = -1;           // the last that was used
-  Millis at_ = 0;              // and when this was worked out
-  Millis since_ = 0;           // when what it is spent on began
+  std::vector<Millis> spent_;  // times of the events that still count
+  double turns_ = 0;           // that have come by at_
+  double used_ = -1;           // number of the last turn that was used
+  Millis at_ = 0;              // time of the last update
+  Millis since_ = 0;           // start of what the budget is for
 };
 
 }  // namespace shorelead
--- a/src/base/token_bucket.h
+++ b/src/base/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket: how many of something may happen at a rate, with some saved up. Keeps no clock.
+// A token bucket: limits events to a rate, with a burst of saved tokens. Reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 
 class TokenBucket {
  public:
-  // Whether one more may happen at `now` (never earlier than the last call's), at `rate` a second with at
-  // most `most` saved up; takes its token.
-  bool take(double rate, double most, Millis now) {
-    tokens_ = std::min(most, tokens_ + rate * (now - at_) / 1000);
+  // Takes a token at `now` (not before the last call's) if there is one, at `rate` tokens a second and at
+  // most `burst` saved. Returns whether it did.
+  bool take(double rate, double burst, Millis now) {
+    tokens_ = std::min(burst, tokens_ + rate * (now - at_) / 1000);
     at_ = now;
     if (tokens_ < 1) return false;
     tokens_ -= 1;
