--- a/src/base/span_budget.h
+++ b/src/base/span_budget.h
@@ -21,7 +21,7 @@
   }
   // Whether one more event may happen at `now` (not before the last call's), with `budget` events a span. A
   // turn can be used for the share `open` of the time to the next one.
-  bool room(double budget, Millis span, double open, Millis now) {
+  bool available(double budget, Millis span, double open, Millis now) {
     std::erase_if(spent_, [&](Millis t) { return now - t >= span; });
     turns_ += budget * (now - std::exchange(at_, now)) / span;
     if (budget >= 1) return budget - static_cast<double>(spent_.size()) >= 1;
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -106,7 +106,7 @@
     const double capacity = known_.completions(i, s.fall_span);
     const double budget = kColdSafety * s.fall_multiple * known_.warmth(i) * capacity / c_.nodes_per_backend;
     const double open = budget * std::min(1.0, kColdTurn / known_.expected_arrivals(s.fall_span));
-    return of_[i].room(budget, s.fall_span, open, c_.now);
+    return of_[i].available(budget, s.fall_span, open, c_.now);
   }
   void sent(BackendId i) {
     if (known_.cold(i)) of_[i].spend(c_.now);
