--- a/src/drill/drill.cpp
+++ b/src/drill/drill.cpp
@@ -14,17 +14,17 @@
 
 struct Instance {
   Policy policy;
-  BackendNames names;
+  AddressTable addresses;
 };
 
-class Host {
+class Adapter {
  public:
-  explicit Host(std::ostream& out) : out_(out) {}
+  explicit Adapter(std::ostream& out) : out_(out) {}
 
   bool in_batch() const { return now_.has_value(); }
 
-  void line(std::string& text) {
-    // The parsed tree lives in a pool that is emptied, not freed, for each line.
+  void handle_line(std::string& text) {
+    // The parsed document is allocated in a pool that is reused for each line.
     pool_.Clear();
     stack_.Clear();
     Document document(&pool_, 1024, &stack_);
@@ -34,18 +34,18 @@
     }
     if (!document.IsObject()) throw FieldError("not a JSON object");
     const std::string_view message = fields::text(document, "msg");
-    if (message == "Clock") return clock(document);
+    if (message == "Clock") return begin_batch(document);
     if (!now_) throw FieldError("\"" + std::string(message) + "\" before \"Clock\"");
-    if (message == "End") return end();
+    if (message == "End") return end_batch();
     const std::string id(fields::text(document, "NodeId"));
-    if (message == "Init") return init(id, document);
+    if (message == "Init") return start_instance(id, document);
     const auto it = instances_.find(id);
     if (it == instances_.end()) throw FieldError("unknown instance \"" + id + "\"");
     if (message == "Stop") {
       instances_.erase(it);
       return;
     }
-    const std::optional<Event> event = parse_event(message, document, it->second.names);
+    const std::optional<Event> event = parse_event(message, document, it->second.addresses);
     if (event) deliver(id, it->second, *event);
   }
 
@@ -53,26 +53,26 @@
   using Pool = rapidjson::MemoryPoolAllocator<>;
   using Document = rapidjson::GenericDocument<rapidjson::UTF8<>, Pool, Pool>;
 
-  void clock(const Json& line) {
+  void begin_batch(const Json& line) {
     if (now_) throw FieldError("\"Clock\" inside a batch");
     now_ = fields::number(line, "Now");
   }
 
-  void end() {
-    reply_.next();
+  void end_batch() {
+    reply_.end_reply();
     out_ << reply_.text() << std::flush;
     reply_.clear();
     now_.reset();
   }
 
-  void init(const std::string& id, const Json& line) {
+  void start_instance(const std::string& id, const Json& line) {
     const Settings settings = parse_settings(fields::object(line, "Settings"));
     instances_.erase(id);
     const auto it = instances_.emplace(id, Instance{Policy(settings, parse_seed(line)), {}}).first;
     deliver(id, it->second, Started{});
   }
 
-  // A failure inside the module is reported for its instance and ends nothing else.
+  // An exception of the policy is reported for its instance; the other instances go on.
   void deliver(const std::string& id, Instance& instance, const Event& event) {
     actions_.clear();
     try {
@@ -81,7 +81,7 @@
       reply_.internal_error(id, error.what());
       return;
     }
-    for (const Action& action : actions_) reply_.action(id, action, instance.names);
+    for (const Action& action : actions_) reply_.action(id, action, instance.addresses);
   }
 
   std::ostream& out_;
@@ -96,19 +96,19 @@
 }  // namespace
 
 int run(std::istream& in, std::ostream& out, std::ostream& errors) {
-  Host host(out);
+  Adapter adapter(out);
   std::string text;
   std::size_t number = 0;
   while (std::getline(in, text)) {
     ++number;
     try {
-      host.line(text);
+      adapter.handle_line(text);
     } catch (const FieldError& error) {
       errors << "line " << number << ": " << error.what() << std::endl;
       return 1;
     }
   }
-  if (host.in_batch()) {
+  if (adapter.in_batch()) {
     errors << "line " << number + 1 << ": input ended inside a batch" << std::endl;
     return 1;
   }
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -69,7 +69,7 @@
   throw FieldError("unknown State \"" + std::string(state) + "\"");
 }
 
-ListUpdate parse_list(const Json& line, BackendNames& names) {
+ListUpdate parse_list(const Json& line, AddressTable& addresses) {
   ListUpdate update;
   update.kind = parse_list_kind(text(line, "Mode"));
   if (update.kind == ListKind::kFailed && find(line, "Entries") == nullptr) return update;
@@ -78,7 +78,7 @@
   for (const Json& item : entries.GetArray()) {
     if (!item.IsObject()) bad("Entries", "holds something that is not an object");
     BackendEntry entry;
-    entry.backend = names.learn(text(item, "Backend"));
+    entry.backend = addresses.assign(text(item, "Backend"));
     entry.state = parse_state(text(item, "State"));
     entry.zone = index_or(item, "Locality", 0);
     entry.cell = index_or(item, "Bay", 0);
@@ -109,20 +109,20 @@
 
 }  // namespace
 
-BackendId BackendNames::learn(std::string_view address) {
+BackendId AddressTable::assign(std::string_view address) {
   const auto [it, fresh] =
       numbers_.try_emplace(std::string(address), static_cast<BackendId>(addresses_.size()));
   if (fresh) addresses_.emplace_back(address);
   return it->second;
 }
 
-BackendId BackendNames::find(std::string_view address) const {
+BackendId AddressTable::find(std::string_view address) const {
   const auto it = numbers_.find(std::string(address));
   if (it == numbers_.end()) throw FieldError("no list has named backend \"" + std::string(address) + "\"");
   return it->second;
 }
 
-const std::string& BackendNames::address(BackendId backend) const { return addresses_.at(backend); }
+const std::string& AddressTable::address(BackendId backend) const { return addresses_.at(backend); }
 
 std::uint64_t parse_seed(const Json& line) {
   const Json& value = need(line, "Nonce64");
@@ -130,7 +130,7 @@
   return value.GetUint64();
 }
 
-std::optional<Event> parse_event(std::string_view message, const Json& line, BackendNames& names) {
+std::optional<Event> parse_event(std::string_view message, const Json& line, AddressTable& addresses) {
   if (message == "Knock") {
     RequestArrived event;
     event.request = request_field(line);
@@ -148,7 +148,7 @@
   if (message == "ReportBack") {
     AttemptEnded event;
     event.request = request_field(line);
-    event.backend = names.find(text(line, "Backend"));
+    event.backend = addresses.find(text(line, "Backend"));
     event.attempt = as_index(need(line, "Trial"), "Trial");
     event.outcome = parse_outcome(text(line, "StateCode"));
     event.elapsed = number(line, "Duration");
@@ -158,7 +158,7 @@
   }
   if (message == "Checked") {
     ProbeEnded event;
-    event.backend = names.find(text(line, "Backend"));
+    event.backend = addresses.find(text(line, "Backend"));
     event.outcome = parse_outcome(text(line, "StateCode"));
     event.elapsed = number(line, "Duration");
     event.has_report = parse_report(line, event.report);
@@ -169,32 +169,32 @@
     if (!cookie.IsUint64()) bad("Cookie", "is not a whole number from 0 up");
     return TimerFired{cookie.GetUint64()};
   }
-  if (message == "Sync") return parse_list(line, names);
+  if (message == "Sync") return parse_list(line, addresses);
   if (message == "Lapsed") return RequestGone{request_field(line)};
   if (message == "Accepted") {
     return StreamStarted{request_field(line), as_index(need(line, "Trial"), "Trial")};
   }
   if (message == "Inbox") {
-    const auto told = peers::decode(parse_hex(text(line, "Raw")));
-    if (!told) return std::nullopt;
-    return PeerTold{as_index(need(line, "Neighbour"), "Neighbour"), *told};
+    const auto decoded = peers::decode(parse_hex(text(line, "Raw")));
+    if (!decoded) return std::nullopt;
+    return PeerTold{as_index(need(line, "Neighbour"), "Neighbour"), *decoded};
   }
   throw FieldError("unknown message \"" + std::string(message) + "\"");
 }
 
-void ReplyWriter::open(const char* message) {
+void ReplyWriter::begin_message(const char* message) {
   writer_.Reset(buffer_);
   writer_.StartObject();
   writer_.Key("msg");
   writer_.String(message);
 }
 
-void ReplyWriter::close() {
+void ReplyWriter::end_message() {
   writer_.EndObject();
   buffer_.Put('\n');
 }
 
-void ReplyWriter::action(const std::string& instance, const Action& action, const BackendNames& names) {
+void ReplyWriter::action(const std::string& instance, const Action& action, const AddressTable& addresses) {
   const auto text = [this](const char* key, const std::string& value) {
     writer_.Key(key);
     writer_.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
@@ -209,45 +209,45 @@
     writer_.Double(value);
   };
   if (const auto* send = std::get_if<SendAttempt>(&action)) {
-    open("Dispatch");
+    begin_message("Dispatch");
     text("NodeId", instance);
     request(send->request);
-    text("Backend", names.address(send->backend));
+    text("Backend", addresses.address(send->backend));
     if (send->stop_at > 0) number("StopAt", send->stop_at);
   } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
-    open("Cancel");
+    begin_message("Cancel");
     text("NodeId", instance);
     request(cancel->request);
     writer_.Key("Trial");
     writer_.Int(cancel->attempt);
   } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-    open("Decline");
+    begin_message("Decline");
     text("NodeId", instance);
     request(refuse->request);
     if (refuse->wait > 0) number("Wait", refuse->wait);
   } else if (const auto* fail = std::get_if<Fail>(&action)) {
-    open("ReportFailure");
+    begin_message("ReportFailure");
     text("NodeId", instance);
     request(fail->request);
   } else if (const auto* probe = std::get_if<SendProbe>(&action)) {
-    open("Poll");
+    begin_message("Poll");
     text("NodeId", instance);
-    text("Backend", names.address(probe->backend));
+    text("Backend", addresses.address(probe->backend));
   } else if (std::holds_alternative<SubscribeList>(action)) {
-    open("Listen");
+    begin_message("Listen");
     text("NodeId", instance);
     writer_.Key("Active");
     writer_.Bool(true);
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-    open("WakeMe");
+    begin_message("WakeMe");
     text("NodeId", instance);
     number("Moment", timer->at);
     writer_.Key("Cookie");
     writer_.Uint64(timer->cookie);
   } else if (const auto* idle = std::get_if<CloseIdle>(&action)) {
-    open("CloseIdle");
+    begin_message("CloseIdle");
     text("NodeId", instance);
-    text("Backend", names.address(idle->backend));
+    text("Backend", addresses.address(idle->backend));
   } else if (const auto* tell = std::get_if<TellPeer>(&action)) {
     static constexpr char kDigits[] = "0123456789abcdef";
     std::string raw;
@@ -255,31 +255,31 @@
       raw.push_back(kDigits[static_cast<unsigned char>(c) >> 4]);
       raw.push_back(kDigits[static_cast<unsigned char>(c) & 15]);
     }
-    open("Publish");
+    begin_message("Publish");
     text("NodeId", instance);
     writer_.Key("Recipient");
     writer_.Int(tell->peer);
     text("Raw", raw);
   } else if (const auto* note = std::get_if<Note>(&action)) {
-    open("Debug");
+    begin_message("Debug");
     text("NodeId", instance);
     text("Words", note->text);
   }
-  close();
+  end_message();
 }
 
 void ReplyWriter::internal_error(const std::string& instance, const std::string& words) {
-  open("InternalError");
+  begin_message("InternalError");
   writer_.Key("NodeId");
   writer_.String(instance.c_str());
   writer_.Key("Words");
   writer_.String(words.c_str());
-  close();
+  end_message();
 }
 
-void ReplyWriter::next() {
-  open("Next");
-  close();
+void ReplyWriter::end_reply() {
+  begin_message("Next");
+  end_message();
 }
 
 }  // namespace shorelead::drill
--- a/src/drill/wire.h
+++ b/src/drill/wire.h
@@ -1,6 +1,6 @@
-// Codec for the bench's wire: one JSON object per line. It turns lines into the module's events and the
-// module's actions into lines, and decides nothing. Backends have addresses on the wire and dense numbers
-// in the module; BackendNames keeps the two apart for one instance.
+// Codec for the bench adapter's wire protocol, one JSON object per line: parses lines into the policy's
+// events and writes the policy's actions as lines. Backends have addresses on the wire and dense numbers in
+// the policy; AddressTable maps between the two for one instance.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
@@ -18,10 +18,10 @@
 
 namespace shorelead::drill {
 
-class BackendNames {
+class AddressTable {
  public:
-  BackendId learn(std::string_view address);            // the number of an address, given on first sight
-  BackendId find(std::string_view address) const;       // throws FieldError when no list has named it
+  BackendId assign(std::string_view address);      // returns its number, a new one for an unknown address
+  BackendId find(std::string_view address) const;  // throws FieldError if no list has held it
   const std::string& address(BackendId backend) const;  // throws std::out_of_range
 
  private:
@@ -30,22 +30,22 @@
 };
 
 std::uint64_t parse_seed(const Json& line);
-// The event that a line holds; none where it is a node's message in a form that this one does not know. Init,
-// Stop, Clock and End are the host's and not accepted here.
-std::optional<Event> parse_event(std::string_view message, const Json& line, BackendNames& names);
+// Parses the event in a line. Returns nothing for a peer message that cannot be decoded, such as one of
+// another version. Init, Stop, Clock and End are not events and are not accepted here.
+std::optional<Event> parse_event(std::string_view message, const Json& line, AddressTable& addresses);
 
 class ReplyWriter {
  public:
-  void action(const std::string& instance, const Action& action, const BackendNames& names);
+  void action(const std::string& instance, const Action& action, const AddressTable& addresses);
   void internal_error(const std::string& instance, const std::string& words);
-  void next();  // closes the reply
+  void end_reply();
   std::string_view text() const { return {buffer_.GetString(), buffer_.GetSize()}; }
   void clear() { buffer_.Clear(); }
 
  private:
   using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
-  void open(const char* message);
-  void close();
+  void begin_message(const char* message);
+  void end_message();
   rapidjson::StringBuffer buffer_;
   Writer writer_{buffer_};
 };
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -1,6 +1,6 @@
 // The interface of shorelead's decision module: what a node is told (settings, events) and what it may
 // do (actions). Times are milliseconds on the host's clock. The module does no I/O, keeps no clock, starts
-// no threads and has no globals; a host (the node, or the drill on the bench) feeds it events and carries out
+// no threads and has no globals; a host (the node or the bench adapter) feeds it events and carries out
 // its actions in the order written.
 #pragma once
 
--- a/src/settings/fields.h
+++ b/src/settings/fields.h
@@ -1,5 +1,4 @@
-// Access to the fields of parsed JSON with plain-worded errors. Owns no data and knows no settings; it must
-// never fall back to a guess where a field is present but of the wrong kind.
+// Access to the fields of parsed JSON. A field of the wrong type is an error, never replaced by a default.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -10,7 +9,7 @@
 
 namespace shorelead {
 
-// Which field is wrong, and how; the caller adds where it stood.
+// Says which field is wrong, and how. The caller adds the file or line.
 class FieldError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -22,7 +21,7 @@
 
 [[noreturn]] void bad(const char* name, const char* what);
 
-// The value of a field, or null where it is absent (a written null counts as absent).
+// Returns the value of a field, or nullptr if it is absent or null.
 const Json* find(const Json& object, const char* name);
 const Json& need(const Json& object, const char* name);
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -27,7 +27,7 @@
   throw FieldError("unknown Group \"" + std::string(group) + "\"");
 }
 
-// Whether reports come with answers; where there are none at all, nobody waits for them.
+// Returns whether load reports come with responses. True also for "none", as then no probe would bring any.
 bool parse_source(std::string_view source) {
   if (source == "answers" || source == "none") return true;
   if (source == "probe") return false;
@@ -40,7 +40,7 @@
   throw FieldError("unknown RegistryMode \"" + std::string(mode) + "\"");
 }
 
-// Whether sizes in the list can be compared.
+// Returns whether backends' sizes in the list can be compared.
 bool parse_weights(std::string_view weights) {
   if (weights == "none") return false;
   if (weights == "nominal" || weights == "rough" || weights == "live") return true;
@@ -51,7 +51,7 @@
   if (!item.IsObject()) bad("Services", "holds something that is not an object");
   RequestClass request_class;
   request_class.effect = parse_effect(text(item, "Effect"));
-  // Guards against a keyed request that is repeated wherever it likes, for want of a word.
+  // The group is mandatory for a keyed class: with a default, its requests could be retried on any backend.
   if (find(item, "Group") != nullptr || request_class.effect == Effect::kKeyed)
     request_class.group = parse_group(text(item, "Group"));
   request_class.dedup_window = number_or(item, "DedupWindow", 0);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,5 +1,5 @@
-// The settings object that the operators give every instance, in the drill's first message and in a node's
-// configuration alike. Owns the reading of that object; it must never read a deployment's names for meaning.
+// Parses the settings object that stands in the bench adapter's first message and in a node's configuration.
+// Names of classes, tenants and zones are opaque: nothing is inferred from them.
 #pragma once
 
 #include <string>
@@ -12,14 +12,14 @@
 
 Settings parse_settings(const Json& object);
 
-// What a host on sockets needs beside what the module is told: the names that stand in requests and lists,
-// in the order of their numbers, and the times that bind connections.
+// Settings that a node needs beside the policy's: names of classes, tenants and zones as they stand in
+// requests and lists, in the order of their numbers, and times that apply to connections.
 struct HostSettings {
   std::vector<std::string> classes;
   std::vector<std::string> tenants;
   std::vector<std::string> zones;
-  Millis idle_timeout = 0;  // backends close connections that stood idle for so long
-  Millis settle = 20;       // after an answer, in which a faulty backend may send a second one
+  Millis idle_timeout = 0;  // backends close connections that were idle for so long
+  Millis settle = 20;       // after a response, during which a faulty backend may send a second one
 };
 
 HostSettings parse_host_settings(const Json& object);
