--- a/bench/subset/compare.cpp
+++ b/bench/subset/compare.cpp
@@ -1,7 +1,7 @@
-// Ways of choosing subsets side by side: how evenly the boxes are held, and how many members change when
-// boxes or nodes come and go. Baselines: random choice, rendezvous hashing (Thaler and Ravishankar 1998),
+// Ways of choosing subsets side by side: how evenly the backends are held, and how many members change when
+// backends or nodes come and go. Baselines: random choice, rendezvous hashing (Thaler and Ravishankar 1998),
 // deterministic subsetting by shuffled slices (Beyer et al. 2016, ch. 20), an aperture on a ring of evenly
-// spaced boxes, and the lots of src/subset. Prints a table; draws nothing from the clock.
+// spaced backends, and the lots of src/subset. Prints a table; draws nothing from the clock.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -19,9 +19,9 @@
 namespace {
 
 using namespace shorelead::lab;
-using shorelead::subset::Box;
+using shorelead::subset::Backend;
 using shorelead::subset::hash_of;
-using Fleet = Boxes;
+using Fleet = Backends;
 
 struct Evenness {
   double most = 0;  // load over the mean load
@@ -34,7 +34,7 @@
 
 Evenness evenness(const Fleet& fleet, const std::vector<Members>& all) {
   std::map<std::uint64_t, std::pair<double, int>> load;
-  for (const Box& box : fleet) load[box.key] = {0, 0};
+  for (const Backend& backend : fleet) load[backend.key] = {0, 0};
   Evenness e;
   for (const Members& members : all) {
     for (const std::uint64_t key : members) {
@@ -71,10 +71,10 @@
   return fresh / static_cast<double>(nodes);
 }
 
-Fleet make_fleet(int boxes, double most_in_one_zone) {
+Fleet make_fleet(int backends, double most_in_one_zone) {
   Fleet fleet;
-  for (int n = 0; n < boxes; ++n) {
-    const int zone = n < boxes * most_in_one_zone ? 0 : 1 + n % 2;
+  for (int n = 0; n < backends; ++n) {
+    const int zone = n < backends * most_in_one_zone ? 0 : 1 + n % 2;
     fleet.push_back({hash_of("box-" + std::to_string(n)), zone, 1});
   }
   return fleet;
@@ -85,17 +85,17 @@
 int main() {
   struct Case {
     int nodes;
-    int boxes;
+    int backends;
     int size;
   };
   for (const Case& c : {Case{1000, 20000, 50}, Case{1000, 20000, 100}, Case{1003, 20000, 100},
                         Case{200, 2000, 20}, Case{200, 2000, 50}, Case{11, 300, 50}}) {
-    std::printf("\n%d nodes, %d boxes, subsets of %d\n", c.nodes, c.boxes, c.size);
+    std::printf("\n%d nodes, %d boxes, subsets of %d\n", c.nodes, c.backends, c.size);
     std::printf("%-20s %6s %8s %8s %8s %11s | %9s %9s %9s %9s\n", "way", "size", "max/mean", "min/mean",
                 "p99/mean", "held by", "-1 box", "-1% boxes", "+1 node", "2x nodes");
-    const Fleet fleet = make_fleet(c.boxes, 0.8);
+    const Fleet fleet = make_fleet(c.backends, 0.8);
     Fleet one_less(fleet.begin() + 1, fleet.end());
-    Fleet percent_less(fleet.begin() + c.boxes / 100, fleet.end());
+    Fleet percent_less(fleet.begin() + c.backends / 100, fleet.end());
     for (const auto& [name, way] : subset_ways()) {
       const auto base = way(fleet, c.nodes, c.size);
       const Evenness e = evenness(fleet, base);
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -296,9 +296,9 @@
     if (drawn_version_ == fleet_->version() && drawn_.size() == static_cast<std::size_t>(stated_nodes_))
       return;
     drawn_version_ = fleet_->version();
-    Boxes ready;
-    for (const subset::Fleet::Known& known : fleet_->boxes()) {
-      if (known.ready) ready.push_back(known.box);
+    Backends ready;
+    for (const subset::Fleet::Known& known : fleet_->backends()) {
+      if (known.ready) ready.push_back(known.backend);
     }
     drawn_ = (*way_)(ready, stated_nodes_, std::min(o_.size, static_cast<int>(ready.size())));
   }
--- a/src/lab/subset_ways.cpp
+++ b/src/lab/subset_ways.cpp
@@ -5,9 +5,9 @@
 namespace shorelead::lab {
 namespace {
 
-using subset::Box;
+using subset::Backend;
 using subset::hash_of;
-using Fleet = Boxes;
+using Fleet = Backends;
 
 std::uint64_t mix(std::uint64_t a, std::uint64_t b) {
   std::uint64_t z = a * 0x9e3779b97f4a7c15ULL ^ (b + 0x632be59bd9b4e019ULL) * 0xbf58476d1ce4e5b9ULL;
@@ -21,11 +21,11 @@
   return members;
 }
 
-// The `size` boxes with the least rank.
-Members least(const Fleet& fleet, int size, const std::function<std::uint64_t(const Box&)>& rank) {
+// The `size` backends with the least rank.
+Members least(const Fleet& fleet, int size, const std::function<std::uint64_t(const Backend&)>& rank) {
   std::vector<std::pair<std::uint64_t, std::uint64_t>> ranked;
   ranked.reserve(fleet.size());
-  for (const Box& box : fleet) ranked.emplace_back(rank(box), box.key);
+  for (const Backend& backend : fleet) ranked.emplace_back(rank(backend), backend.key);
   const auto end =
       ranked.begin() + std::min<std::ptrdiff_t>(size, static_cast<std::ptrdiff_t>(ranked.size()));
   std::nth_element(ranked.begin(), end - 1, ranked.end());
@@ -39,7 +39,7 @@
   std::vector<Members> all;
   for (int node = 0; node < nodes; ++node) {
     const std::uint64_t seed = mix(static_cast<std::uint64_t>(node), fleet.size());
-    all.push_back(least(fleet, size, [seed](const Box& box) { return mix(seed, box.key); }));
+    all.push_back(least(fleet, size, [seed](const Backend& backend) { return mix(seed, backend.key); }));
   }
   return all;
 }
@@ -47,8 +47,9 @@
 std::vector<Members> rendezvous(const Fleet& fleet, int nodes, int size) {
   std::vector<Members> all;
   for (int node = 0; node < nodes; ++node) {
-    all.push_back(least(fleet, size,
-                        [node](const Box& box) { return mix(static_cast<std::uint64_t>(node), box.key); }));
+    all.push_back(least(fleet, size, [node](const Backend& backend) {
+      return mix(static_cast<std::uint64_t>(node), backend.key);
+    }));
   }
   return all;
 }
@@ -61,7 +62,7 @@
     if (node % lots == 0) {
       const auto round = static_cast<std::uint64_t>(node / lots);
       keys.clear();
-      for (const Box& box : fleet) keys.push_back(box.key);
+      for (const Backend& backend : fleet) keys.push_back(backend.key);
       std::sort(keys.begin(), keys.end(),
                 [round](std::uint64_t a, std::uint64_t b) { return mix(round, a) < mix(round, b); });
     }
@@ -71,10 +72,10 @@
   return all;
 }
 
-// Node i of N begins at i/N of a ring on which the boxes stand evenly, and takes the next `size`.
+// Node i of N begins at i/N of a ring on which the backends stand evenly, and takes the next `size`.
 std::vector<Members> aperture(const Fleet& fleet, int nodes, int size) {
   Members ring;
-  for (const Box& box : fleet) ring.push_back(box.key);
+  for (const Backend& backend : fleet) ring.push_back(backend.key);
   std::sort(ring.begin(), ring.end(), [](std::uint64_t a, std::uint64_t b) { return mix(7, a) < mix(7, b); });
   std::vector<Members> all;
   for (int node = 0; node < nodes; ++node) {
--- a/src/lab/subset_ways.h
+++ b/src/lab/subset_ways.h
@@ -1,6 +1,6 @@
 // Ways of choosing subsets beside the lots of src/subset, as baselines: random choice, rendezvous hashing
 // (Thaler and Ravishankar 1998), deterministic subsetting by shuffled slices (Beyer et al. 2016, ch. 20), an
-// aperture on a ring of evenly spaced boxes. Pure; never linked into the daemon.
+// aperture on a ring of evenly spaced backends. Pure; never linked into the daemon.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,9 @@
 namespace shorelead::lab {
 
 using Members = std::vector<std::uint64_t>;  // keys, sorted
-using Boxes = std::vector<subset::Box>;
+using Backends = std::vector<subset::Backend>;
 // All nodes' subsets at once.
-using Way = std::function<std::vector<Members>(const Boxes&, int nodes, int size)>;
+using Way = std::function<std::vector<Members>(const Backends&, int nodes, int size)>;
 
 // Every way by name, the lots among them.
 const std::vector<std::pair<std::string, Way>>& subset_ways();
--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -6,8 +6,8 @@
 namespace shorelead::subset {
 namespace {
 
-// A subset whose capacity is under this share of the mean lot's borrows up to it. Under half, one box in two
-// would have to be lost before it acts; near one, chance in the drawing would make most nodes borrow.
+// A subset whose capacity is under this share of the mean lot's borrows up to it. Under half, one backend in
+// two would have to be lost before it acts; near one, chance in the drawing would make most nodes borrow.
 constexpr double kEnough = 0.7;
 
 }  // namespace
@@ -30,7 +30,7 @@
   const Ticket ticket = ticket_of(place_, lots_);
   const Fleet::Drawing& drawing = fleet_->drawing(ticket.round, lots_);
   std::vector<std::uint32_t> members = drawing.lots[static_cast<std::size_t>(ticket.lot)];
-  const auto size = [this](std::uint32_t place) { return fleet_->at(place).box.size; };
+  const auto size = [this](std::uint32_t place) { return fleet_->at(place).backend.size; };
   double capacity = 0;
   for (const std::uint32_t place : members) capacity += answers(place) ? size(place) : 0;
   const double wanted = kEnough * fleet_->capacity() / lots_;
@@ -38,7 +38,7 @@
   for (int far = 1; far < lots_ && (capacity < wanted || members.empty()); ++far) {
     std::vector<std::uint32_t> lenders = drawing.lots[static_cast<std::size_t>(ticket.lot ^ far)];
     std::sort(lenders.begin(), lenders.end(), [this](std::uint32_t x, std::uint32_t y) {
-      return fleet_->at(x).box.key < fleet_->at(y).box.key;
+      return fleet_->at(x).backend.key < fleet_->at(y).backend.key;
     });
     for (const std::uint32_t place : lenders) {
       if (capacity >= wanted && !members.empty()) break;
--- a/src/subset/subset.h
+++ b/src/subset/subset.h
@@ -1,7 +1,7 @@
-// One node's subset over time: its own lot, and boxes lent by its neighbours' lots while its own has lost
+// One node's subset over time: its own lot, and backends lent by its neighbours' lots while its own has lost
 // much of its capacity. Pure: events with the time in, changes of the subset out. Owns who is in the subset;
-// it must never drop a box for being slow (that is the module's to judge), nor leave the subset empty while
-// anybody is ready.
+// it must never drop a backend for being slow (that is the module's to judge), nor leave the subset empty
+// while anybody is ready.
 #pragma once
 
 #include <cstdint>
--- a/tests/limits/descriptors_test.cpp
+++ b/tests/limits/descriptors_test.cpp
@@ -35,12 +35,12 @@
   RC_ASSERT(descriptors.keep(Purpose::kRequest, counts));
 }
 
-// Guards against what was measured with 5,000 boxes and 4,096 descriptors: connections opened and closed
+// Guards against what was measured with 5,000 backends and 4,096 descriptors: connections opened and closed
 // without end (24,211 for 392 answers). A list longer than the descriptors, probed all the time: requests
-// find theirs kept, but for those to boxes seldom asked.
+// find theirs kept, but for those to backends seldom asked.
 TEST(Descriptors, AListLongerThanTheDescriptorsLeavesRequestsTheirConnections) {
-  constexpr int kBoxes = 5000;
-  constexpr int kUsed = 500;  // boxes that requests go to
+  constexpr int kBackends = 5000;
+  constexpr int kUsed = 500;  // backends that requests go to
   const Descriptors descriptors(1024);
   const int clients = 100;
   std::list<int> unused;  // the longest unused first
@@ -51,9 +51,9 @@
   const auto counts = [&] {
     return DescriptorCounts{clients + static_cast<int>(kept.size()), static_cast<int>(kept.size()), 0};
   };
-  const auto ask = [&](int box, Purpose purpose) {
-    if (kept.count(box) > 0)
-      return unused.splice(unused.end(), unused, std::find(unused.begin(), unused.end(), box));
+  const auto ask = [&](int backend, Purpose purpose) {
+    if (kept.count(backend) > 0)
+      return unused.splice(unused.end(), unused, std::find(unused.begin(), unused.end(), backend));
     Step step = descriptors.step(purpose, counts());
     for (; step != Step::kOpen && step != Step::kRefuse; step = descriptors.step(purpose, counts())) {
       ASSERT_NE(purpose, Purpose::kProbe);
@@ -64,14 +64,14 @@
     }
     if (step == Step::kRefuse) return static_cast<void>(++probes_refused);
     opened_for_requests += purpose == Purpose::kRequest;
-    kept.insert(box);
-    if (descriptors.keep(purpose, counts())) return unused.push_back(box);
-    kept.erase(box);
+    kept.insert(backend);
+    if (descriptors.keep(purpose, counts())) return unused.push_back(backend);
+    kept.erase(backend);
   };
   for (int round = 0; round < 20; ++round) {
-    for (int box = 0; box < kBoxes; ++box) {
-      ask(box, Purpose::kProbe);
-      ask((box * 7) % kUsed, Purpose::kRequest);
+    for (int backend = 0; backend < kBackends; ++backend) {
+      ask(backend, Purpose::kProbe);
+      ask((backend * 7) % kUsed, Purpose::kRequest);
     }
   }
   EXPECT_EQ(evictions, 0);
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -13,21 +13,21 @@
 namespace shorelead::subset {
 namespace {
 
-std::string name_of(int box) {
+std::string name_of(int backend) {
   std::string name("b");
-  name += std::to_string(box);
+  name += std::to_string(backend);
   return name;
 }
 
-std::vector<Box> make_boxes(int count, int zones) {
-  std::vector<Box> boxes;
-  for (int n = 0; n < count; ++n) boxes.push_back({hash_of(name_of(n)), n % zones, 1});
-  return boxes;
+std::vector<Backend> make_backends(int count, int zones) {
+  std::vector<Backend> backends;
+  for (int n = 0; n < count; ++n) backends.push_back({hash_of(name_of(n)), n % zones, 1});
+  return backends;
 }
 
-// Whatever the numbers of nodes and boxes: no box is held by none, nor by twice as many nodes as another,
-// once there is a whole round; a lot is over the mean by no more than the slack and one box.
-TEST(Lots, HoldEveryBoxAlike) {
+// Whatever the numbers of nodes and backends: no backend is held by none, nor by twice as many nodes as
+// another, once there is a whole round; a lot is over the mean by no more than the slack and one backend.
+TEST(Lots, EveryBackendIsHeldByAlmostEquallyManyNodes) {
   ASSERT_TRUE(rc::check([] {
     const int count = *rc::gen::inRange(1, 1500);
     const int nodes = *rc::gen::inRange(1, 80);
@@ -35,21 +35,21 @@
     options.target = *rc::gen::inRange(1, 120);
     options.slack = *rc::gen::element(0.1, 0.25, 0.5);
     options.least_holders = *rc::gen::inRange(1, 4);
-    const auto boxes = make_boxes(count, *rc::gen::inRange(1, 5));
+    const auto backends = make_backends(count, *rc::gen::inRange(1, 5));
     Place place;
     place.nodes = nodes;
-    const int lots = lots_of(boxes.size(), options, place, 0);
+    const int lots = lots_of(backends.size(), options, place, 0);
     RC_ASSERT(lots >= 1 && (lots & (lots - 1)) == 0);
     std::map<std::uint64_t, int> held;
-    for (const Box& box : boxes) held[box.key] = 0;
+    for (const Backend& backend : backends) held[backend.key] = 0;
     for (int node = 0; node < nodes; ++node) {
       place.index = node;
       const Ticket ticket = ticket_of(place, lots);
-      const auto lot_of = draw(boxes, lots, ticket.round, options.slack);
+      const auto lot_of = draw(backends, lots, ticket.round, options.slack);
       int size = 0;
-      for (std::size_t n = 0; n < boxes.size(); ++n) {
+      for (std::size_t n = 0; n < backends.size(); ++n) {
         RC_ASSERT(lot_of[n] >= 0 && lot_of[n] < lots);
-        if (lot_of[n] == ticket.lot) ++held[boxes[n].key], ++size;
+        if (lot_of[n] == ticket.lot) ++held[backends[n].key], ++size;
       }
       RC_ASSERT(size <= std::floor((1 + options.slack) * count / lots) + 1);
     }
@@ -61,12 +61,14 @@
 }
 
 TEST(Lots, GiveEachItsPartOfEveryZone) {
-  // One zone has 80%, and a small one fewer boxes than there are lots.
-  std::vector<Box> boxes;
-  for (int n = 0; n < 2000; ++n) boxes.push_back({hash_of(name_of(n)), n < 1600 ? 0 : n < 1990 ? 1 : 2, 1});
-  const auto lot_of = draw(boxes, 32, 5, 0.25);
+  // One zone has 80%, and a small one fewer backends than there are lots.
+  std::vector<Backend> backends;
+  for (int n = 0; n < 2000; ++n)
+    backends.push_back({hash_of(name_of(n)), n < 1600 ? 0 : n < 1990 ? 1 : 2, 1});
+  const auto lot_of = draw(backends, 32, 5, 0.25);
   std::vector<std::map<int, int>> held(32);
-  for (std::size_t n = 0; n < boxes.size(); ++n) ++held[static_cast<std::size_t>(lot_of[n])][boxes[n].zone];
+  for (std::size_t n = 0; n < backends.size(); ++n)
+    ++held[static_cast<std::size_t>(lot_of[n])][backends[n].zone];
   for (auto& lot : held) {
     EXPECT_LE(lot[0], 1.25 * 50 + 1);
     EXPECT_GE(lot[0], 25);
@@ -75,29 +77,30 @@
   }
 }
 
-TEST(Lots, CountBoxesBySize) {
+TEST(Lots, ShardsAreBalancedBySize) {
   ASSERT_TRUE(rc::check([] {
-    std::vector<Box> boxes = make_boxes(*rc::gen::inRange(100, 800), 2);
+    std::vector<Backend> backends = make_backends(*rc::gen::inRange(100, 800), 2);
     double total = 0;
-    for (Box& box : boxes) total += box.size = *rc::gen::element(1.0, 2.0, 4.0);
+    for (Backend& backend : backends) total += backend.size = *rc::gen::element(1.0, 2.0, 4.0);
     const int lots = *rc::gen::element(2, 4, 8);
-    const auto lot_of = draw(boxes, lots, *rc::gen::arbitrary<std::uint64_t>(), 0.25);
+    const auto lot_of = draw(backends, lots, *rc::gen::arbitrary<std::uint64_t>(), 0.25);
     std::vector<double> held(static_cast<std::size_t>(lots), 0);
-    for (std::size_t n = 0; n < boxes.size(); ++n) held[static_cast<std::size_t>(lot_of[n])] += boxes[n].size;
+    for (std::size_t n = 0; n < backends.size(); ++n)
+      held[static_cast<std::size_t>(lot_of[n])] += backends[n].size;
     for (const double size : held) RC_ASSERT(size <= 1.25 * total / lots + 4);
   }));
 }
 
-// One box more or less moves few others: over all lots, on average under six for the slack of 0.25 (the
+// One backend more or less moves few others: over all lots, on average under six for the slack of 0.25 (the
 // published bound is of the order of 1/slack^2 = 16), and never everything.
-TEST(Lots, MoveFewWhenABoxGoes) {
+TEST(Lots, RemovingABackendMovesFewOthers) {
   double moved = 0;
   int worst = 0;
   constexpr int kTries = 200;
-  const auto boxes = make_boxes(2000, 3);
-  const auto before = draw(boxes, 64, 9, 0.25);
+  const auto backends = make_backends(2000, 3);
+  const auto before = draw(backends, 64, 9, 0.25);
   for (int n = 0; n < kTries; ++n) {
-    auto fewer = boxes;
+    auto fewer = backends;
     fewer.erase(fewer.begin() + n * 10);
     const auto after = draw(fewer, 64, 9, 0.25);
     int changed = 0;
@@ -124,8 +127,8 @@
   }
 }
 
-// Events at random: the subset says just what changed, holds ready boxes only, and is empty only when nobody
-// is ready.
+// Events at random: the subset says just what changed, holds ready backends only, and is empty only when
+// nobody is ready.
 TEST(Subset, FollowsTheFleetAndIsNeverEmptyWhileAnybodyIsReady) {
   ASSERT_TRUE(rc::check([] {
     Options options;
@@ -191,8 +194,8 @@
   }));
 }
 
-// All of its boxes drain in one deploy, or stop answering: it borrows, and gives back when its own are there
-// again.
+// All of its backends drain in one deploy, or stop answering: it borrows, and gives back when its own are
+// there again.
 TEST(Subset, BorrowsWhileItsOwnAreAway) {
   Options options;
   options.target = 10;
