--- a/bench/subset/compare.cpp
+++ b/bench/subset/compare.cpp
@@ -1,7 +1,7 @@
 // Ways of choosing subsets side by side: how evenly the backends are held, and how many members change when
 // backends or nodes come and go. Baselines: random choice, rendezvous hashing (Thaler and Ravishankar 1998),
 // deterministic subsetting by shuffled slices (Beyer et al. 2016, ch. 20), an aperture on a ring of evenly
-// spaced backends, and the lots of src/subset. Prints a table; draws nothing from the clock.
+// spaced backends, and the shards of src/subset. Prints a table; draws nothing from the clock.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -102,7 +102,7 @@
 
 struct ModelNode {
   std::unique_ptr<Policy> policy;
-  std::unique_ptr<subset::Subset> subset;  // for lots
+  std::unique_ptr<subset::Subset> subset;  // for shards
   std::uint32_t life = 0;
   std::vector<std::uint32_t> box_of;                       // by backend
   std::unordered_map<std::uint32_t, BackendId> number_of;  // by box
@@ -161,8 +161,8 @@
   subset::Options subset_options() const {
     subset::Options options;
     options.target = o_.size;
-    options.least_holders = o_.least_holders;
-    if (o_.way == "whole") options.whole_up_to = 1 << 30;
+    options.min_holders = o_.least_holders;
+    if (o_.way == "whole") options.divide_above = 1 << 30;
     return options;
   }
 
@@ -281,7 +281,7 @@
   std::vector<std::uint32_t> members_of(std::uint32_t n) {
     std::vector<std::uint32_t> members;
     if (!way_) {
-      nodes_[n].subset->settle();
+      nodes_[n].subset->update();
       for (const std::string& id : nodes_[n].subset->members()) members.push_back(by_id_.at(id));
     } else {
       draw_ways();
@@ -297,14 +297,14 @@
       return;
     drawn_version_ = fleet_->version();
     Backends ready;
-    for (const subset::Fleet::Known& known : fleet_->backends()) {
-      if (known.ready) ready.push_back(known.backend);
+    for (const subset::Fleet::Entry& entry : fleet_->backends()) {
+      if (entry.ready) ready.push_back(entry.backend);
     }
     drawn_ = (*way_)(ready, stated_nodes_, std::min(o_.size, static_cast<int>(ready.size())));
   }
 
   double holders(std::uint32_t n) const {
-    if (!way_) return subset::holders(place(n), nodes_[n].subset->lots());
+    if (!way_) return subset::holders(place(n), nodes_[n].subset->shards());
     const double mean = static_cast<double>(stated_nodes_) * o_.size / static_cast<double>(fleet_->size());
     return std::ceil(mean);
   }
--- a/src/lab/subset_ways.cpp
+++ b/src/lab/subset_ways.cpp
@@ -55,18 +55,18 @@
 }
 
 std::vector<Members> slices(const Fleet& fleet, int nodes, int size) {
-  const int lots = std::max(1, static_cast<int>(fleet.size()) / size);
+  const int shards = std::max(1, static_cast<int>(fleet.size()) / size);
   std::vector<Members> all;
   std::vector<std::uint64_t> keys;
   for (int node = 0; node < nodes; ++node) {
-    if (node % lots == 0) {
-      const auto round = static_cast<std::uint64_t>(node / lots);
+    if (node % shards == 0) {
+      const auto round = static_cast<std::uint64_t>(node / shards);
       keys.clear();
       for (const Backend& backend : fleet) keys.push_back(backend.key);
       std::sort(keys.begin(), keys.end(),
                 [round](std::uint64_t a, std::uint64_t b) { return mix(round, a) < mix(round, b); });
     }
-    const auto from = keys.begin() + (node % lots) * size;
+    const auto from = keys.begin() + (node % shards) * size;
     all.push_back(sorted({from, from + size}));
   }
   return all;
@@ -90,7 +90,7 @@
   return all;
 }
 
-std::vector<Members> lots(const Fleet& fleet, int nodes, int size, double slack, bool indexed) {
+std::vector<Members> shards(const Fleet& fleet, int nodes, int size, double slack, bool indexed) {
   using namespace subset;
   Options options;
   options.target = size;
@@ -103,14 +103,15 @@
     if (indexed) p.index = node;
     return p;
   };
-  const int count = lots_of(fleet.size(), options, place(0), 0);
+  const int count = shard_count(fleet.size(), options, place(0), 0);
   std::uint64_t drawn_round = ~0ULL;
-  std::vector<int> lot_of;
+  std::vector<int> shard_of;
   for (int node = 0; node < nodes; ++node) {
-    const Ticket ticket = ticket_of(place(node), count);
-    if (ticket.round != drawn_round) lot_of = draw(fleet, count, drawn_round = ticket.round, slack);
+    const ShardAssignment assignment = assignment_of(place(node), count);
+    if (assignment.round != drawn_round)
+      shard_of = assign_to_shards(fleet, count, drawn_round = assignment.round, slack);
     for (std::size_t n = 0; n < fleet.size(); ++n) {
-      if (lot_of[n] == ticket.lot) all[static_cast<std::size_t>(node)].push_back(fleet[n].key);
+      if (shard_of[n] == assignment.shard) all[static_cast<std::size_t>(node)].push_back(fleet[n].key);
     }
     std::sort(all[static_cast<std::size_t>(node)].begin(), all[static_cast<std::size_t>(node)].end());
   }
@@ -125,10 +126,10 @@
       {"rendezvous", rendezvous},
       {"shuffled slices", slices},
       {"ring aperture", aperture},
-      {"lots, slack 0.1", [](const Fleet& f, int n, int k) { return lots(f, n, k, 0.1, true); }},
-      {"lots, slack 0.25", [](const Fleet& f, int n, int k) { return lots(f, n, k, 0.25, true); }},
-      {"lots, slack 0.5", [](const Fleet& f, int n, int k) { return lots(f, n, k, 0.5, true); }},
-      {"lots 0.25, no index", [](const Fleet& f, int n, int k) { return lots(f, n, k, 0.25, false); }},
+      {"lots, slack 0.1", [](const Fleet& f, int n, int k) { return shards(f, n, k, 0.1, true); }},
+      {"lots, slack 0.25", [](const Fleet& f, int n, int k) { return shards(f, n, k, 0.25, true); }},
+      {"lots, slack 0.5", [](const Fleet& f, int n, int k) { return shards(f, n, k, 0.5, true); }},
+      {"lots 0.25, no index", [](const Fleet& f, int n, int k) { return shards(f, n, k, 0.25, false); }},
   };
   return ways;
 }
--- a/src/lab/subset_ways.h
+++ b/src/lab/subset_ways.h
@@ -1,4 +1,4 @@
-// Ways of choosing subsets beside the lots of src/subset, as baselines: random choice, rendezvous hashing
+// Ways of choosing subsets beside the shards of src/subset, as baselines: random choice, rendezvous hashing
 // (Thaler and Ravishankar 1998), deterministic subsetting by shuffled slices (Beyer et al. 2016, ch. 20), an
 // aperture on a ring of evenly spaced backends. Pure; never linked into the daemon.
 #pragma once
@@ -18,7 +18,7 @@
 // All nodes' subsets at once.
 using Way = std::function<std::vector<Members>(const Backends&, int nodes, int size)>;
 
-// Every way by name, the lots among them.
+// Every way by name, the shards among them.
 const std::vector<std::pair<std::string, Way>>& subset_ways();
 
 }  // namespace shorelead::lab
--- a/src/node/difference.cpp
+++ b/src/node/difference.cpp
@@ -103,7 +103,7 @@
   put("probes per_box", s.most_probes_backend > 0 ? text(s.most_probes_backend, " rps") : "no ceiling");
   if (pool.fleet.subset) {
     put("subset size", text(pool.fleet.subset->target));
-    put("subset above", text(pool.fleet.subset->whole_up_to));
+    put("subset above", text(pool.fleet.subset->divide_above));
     put("subset slack", share(pool.fleet.subset->slack));
   }
   if (pool.discovery || pool.registry) return;
--- a/src/node/drawn_part.cpp
+++ b/src/node/drawn_part.cpp
@@ -39,7 +39,7 @@
   for (const Listed& listed : list) take_in(listed);
   unsettled_ = true;
   std::erase_if(entries, [this](const Listed& listed) {
-    return !subset_.holds(listed.host) && state_of(listed.health) == BackendState::kReady;
+    return !subset_.contains(listed.host) && state_of(listed.health) == BackendState::kReady;
   });
   return entries;
 }
@@ -73,7 +73,7 @@
   unsettled_ = false;
   drawn_at_ = now;
   ++counters_.drawings;
-  const subset::Change change = subset_.settle();
+  const subset::Change change = subset_.update();
   counters_.changes += change.added.size() + change.removed.size();
   if (change.empty()) return std::nullopt;
   std::vector<Listed> entries;
@@ -94,7 +94,7 @@
   counters.fleet = subset_.fleet();
   counters.members = subset_.size();
   counters.borrowed = subset_.borrowed();
-  counters.lots = subset_.lots();
+  counters.lots = subset_.shards();
   return counters;
 }
 
--- a/src/node/drawn_part.h
+++ b/src/node/drawn_part.h
@@ -47,7 +47,7 @@
   std::optional<std::vector<Listed>> draw(Millis now);
 
   const std::unordered_map<std::string, Listed>& fleet() const { return fleet_; }
-  double holders() const { return subset::holders(place_, subset_.lots()); }
+  double holders() const { return subset::holders(place_, subset_.shards()); }
   SubsetCounters counters() const;
 
  private:
--- a/src/node/own.cpp
+++ b/src/node/own.cpp
@@ -66,7 +66,7 @@
   subset::Options options;
   options.target = table.whole("size", 2, 100000).value_or(options.target);
   options.slack = table.number("slack", 0.05, 1).value_or(options.slack);
-  options.whole_up_to = table.whole("above", 0, 10000000).value_or(options.target * 2);
+  options.divide_above = table.whole("above", 0, 10000000).value_or(options.target * 2);
   subset::Place& place = config.fleet.place;
   place.name = subset::hash_of(config.name);
   place.nodes = config.settings.instances > 1 ? config.settings.instances : 0;
--- a/src/node/shore_pool.cpp
+++ b/src/node/shore_pool.cpp
@@ -88,7 +88,7 @@
   subset::Options options;
   options.target = whole_number(part, "size", options.target);
   options.slack = part.number("slack").value_or(options.slack);
-  options.whole_up_to = whole_number(part, "above", options.target * 2);
+  options.divide_above = whole_number(part, "above", options.target * 2);
   pool.fleet.subset = options;
   pool.fleet.place.name = subset::hash_of(config.name);
   if (node.number("nodes")) pool.fleet.place.nodes = config.settings.instances;
--- a/src/subset/fleet.h
+++ b/src/subset/fleet.h
@@ -1,6 +1,6 @@
-// The fleet as listed and its divisions into lots. Pure: entries in, drawings out. Owns the list of backends
-// and the drawings of the rounds that were asked for, each made once for a state of the list; a node has one,
-// and many simulated nodes may share one. It must never know of a node's traffic.
+// The fleet as listed, and its partitions into shards. Does no I/O and knows nothing of a node's traffic.
+// Keeps the list of backends and one partition for each round that was asked for, computed once per state of
+// the list. A node has one Fleet; many simulated nodes may share one.
 #pragma once
 
 #include <cstdint>
@@ -13,53 +13,54 @@
 
 namespace shorelead::subset {
 
-struct Listed {
+struct ListEntry {
   std::string id;
   int zone = 0;
   double size = 1;
-  bool ready = true;  // else it drains; one that has gone is not listed
+  bool ready = true;  // false while it drains; a backend that is gone is not listed
 };
 
 class Fleet {
  public:
-  struct Known {
+  struct Entry {
     Backend backend;
     std::string id;
     bool ready = true;
   };
-  // One division of all that are ready.
-  struct Drawing {
-    std::vector<std::vector<std::uint32_t>> lots;  // places of the backends of each lot
-    std::uint64_t version = 0;
+  // One division of all ready backends into shards.
+  struct Partition {
+    std::vector<std::vector<std::uint32_t>> shards;  // positions of each shard's backends, for at()
+    std::uint64_t version = 0;                       // of the list that it was computed from
   };
 
   explicit Fleet(const Options& options) : options_(options) {}
 
-  void put(const Listed& listed);
+  void put(const ListEntry& listed);
   void remove(const std::string& id);
   void clear();
 
-  std::uint64_t version() const { return version_; }  // changes with the list
+  std::uint64_t version() const { return version_; }  // changes whenever the list does
   std::size_t size() const { return backends_.size(); }
   std::size_t ready() const { return ready_; }
-  double capacity() const;  // of all that are ready
+  double capacity() const;  // of all ready backends
   const Options& options() const { return options_; }
-  const Known& at(std::uint32_t place) const { return backends_[place]; }
-  const std::vector<Known>& backends() const { return backends_; }
+  const Entry& at(std::uint32_t position) const { return backends_[position]; }
+  const std::vector<Entry>& backends() const { return backends_; }
 
-  // The number of lots among so many nodes as `place` tells; it stays while it fits.
-  int lots(const Place& place);
-  // O(backends log backends) where the list has changed since this round was drawn, else nothing.
-  const Drawing& drawing(std::uint64_t round, int lots);
+  // Returns the number of shards for a node at `place`. It stays as it is while it fits; see shard_count().
+  int update_shard_count(const Place& place);
+  // O(n log n) in the number of backends if the list has changed since this round's partition was computed,
+  // else O(1).
+  const Partition& partition(std::uint64_t round, int shards);
 
  private:
   const Options options_;
-  std::vector<Known> backends_;
-  std::unordered_map<std::string, std::uint32_t> places_;
-  std::unordered_map<std::uint64_t, Drawing> drawings_;  // by round
+  std::vector<Entry> backends_;
+  std::unordered_map<std::string, std::uint32_t> positions_;
+  std::unordered_map<std::uint64_t, Partition> partitions_;  // by round
   std::size_t ready_ = 0;
   std::uint64_t version_ = 1;
-  int lots_ = 0;
+  int shards_ = 0;
 };
 
 }  // namespace shorelead::subset
--- a/src/subset/partition.cpp
+++ b/src/subset/partition.cpp
@@ -10,10 +10,11 @@
 namespace shorelead::subset {
 namespace {
 
-constexpr double kStays =
-    1.7;  // lots this much off the target stay as they are; above sqrt(2), or they would not
-constexpr int kDraws =
-    64;  // then the lot with the most room is taken: with slack 0.1 one backend in 10^6 gets there
+// Shards larger or smaller than the target by up to this factor stay. Above sqrt(2), as a power of two can be
+// that far off the target from the start.
+constexpr double kHysteresis = 1.7;
+// Then the shard with the least capacity is taken; with slack 0.1 that happens to one backend in 10^6.
+constexpr int kMaxDraws = 64;
 
 std::uint64_t mix(std::uint64_t key, std::uint64_t round, std::uint64_t draw) {
   const std::uint64_t words[3] = {key, round, draw};
@@ -24,37 +25,39 @@
 
 std::uint64_t hash_of(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
-int lots_of(std::size_t backends, const Options& options, const Place& place, int before) {
-  if (backends <= static_cast<std::size_t>(std::max(0, options.whole_up_to))) return 1;
+int shard_count(std::size_t backends, const Options& options, const Place& place, int previous) {
+  if (backends <= static_cast<std::size_t>(std::max(0, options.divide_above))) return 1;
   const double wanted = static_cast<double>(backends) / std::max(1, options.target);
-  int most = 1 << 30;
-  if (place.nodes > 0) most = std::max(1, place.nodes / std::max(1, options.least_holders));
-  const bool fits = before > 0 && before <= most && wanted <= before * kStays && wanted * kStays >= before;
-  if (fits) return before;
-  int lots = 1;
-  while (lots * 2 <= most && lots * std::sqrt(2.0) <= wanted) lots *= 2;
-  return lots;
+  int max_shards = 1 << 30;
+  if (place.nodes > 0) max_shards = std::max(1, place.nodes / std::max(1, options.min_holders));
+  const bool fits = previous > 0 && previous <= max_shards && wanted <= previous * kHysteresis &&
+                    wanted * kHysteresis >= previous;
+  if (fits) return previous;
+  int shards = 1;
+  while (shards * 2 <= max_shards && shards * std::sqrt(2.0) <= wanted) shards *= 2;
+  return shards;
 }
 
-Ticket ticket_of(const Place& place, int lots) {
+ShardAssignment assignment_of(const Place& place, int shards) {
   if (place.index) {
-    return {*place.index % lots, static_cast<std::uint64_t>(*place.index / lots)};
+    return {*place.index % shards, static_cast<std::uint64_t>(*place.index / shards)};
   }
-  // Any lot of any round: nodes that do not know their index meet in a lot only by chance.
+  // A random shard of a random round, so that nodes without an index share a shard only by chance.
   const std::uint64_t drawn = mix(place.name, 0x6c6f74, 0);
-  return {static_cast<int>(drawn % static_cast<std::uint64_t>(lots)), drawn | (1ULL << 63)};
+  return {static_cast<int>(drawn % static_cast<std::uint64_t>(shards)), drawn | (1ULL << 63)};
 }
 
-double holders(const Place& place, int lots) {
-  if (lots <= 1 || place.nodes <= 0) return 0;
-  const double mean = static_cast<double>(place.nodes) / lots;
+double holders(const Place& place, int shards) {
+  if (shards <= 1 || place.nodes <= 0) return 0;
+  const double mean = static_cast<double>(place.nodes) / shards;
   return place.index ? std::ceil(mean) : mean + 2 * std::sqrt(mean);
 }
 
-std::vector<int> draw(std::span<const Backend> backends, int lots, std::uint64_t round, double slack) {
-  std::vector<int> lot_of(backends.size(), 0);
-  if (lots <= 1) return lot_of;
-  // Who draws first is told by hash, not by place in the list, or order would matter.
+std::vector<int> assign_to_shards(std::span<const Backend> backends, int shards, std::uint64_t round,
+                                  double slack) {
+  std::vector<int> shard_of(backends.size(), 0);
+  if (shards <= 1) return shard_of;
+  // Backends are assigned in the order of their hashes, so that the order of the list does not matter.
   std::vector<std::pair<std::uint64_t, std::uint32_t>> order;
   order.reserve(backends.size());
   int zones = 0;
@@ -67,37 +70,37 @@
     largest = std::max(largest, backends[n].size);
   }
   std::sort(order.begin(), order.end());
-  const auto columns = static_cast<std::size_t>(lots);
+  const auto columns = static_cast<std::size_t>(shards);
   std::vector<double> of_zone(static_cast<std::size_t>(zones), 0);
   for (const Backend& backend : backends) of_zone[static_cast<std::size_t>(backend.zone)] += backend.size;
-  // A lot may always take one backend of its zone, or a zone of few backends would find no room at all.
-  const double cap = (1 + slack) * total / lots + largest * (1 - 1e-9);
-  std::vector<double> zone_cap;
-  for (const double size : of_zone) zone_cap.push_back((1 + slack) * size / lots + largest * (1 - 1e-9));
+  // A shard may always take one backend of a zone; otherwise a zone of few backends would fit in none.
+  const double max_size = (1 + slack) * total / shards + largest * (1 - 1e-9);
+  std::vector<double> max_of_zone;
+  for (const double size : of_zone) max_of_zone.push_back((1 + slack) * size / shards + largest * (1 - 1e-9));
   std::vector<double> held(columns, 0);
   std::vector<double> held_of_zone(columns * static_cast<std::size_t>(zones), 0);
-  for (const auto& [first, n] : order) {
+  for (const auto& [hash, n] : order) {
     const Backend& backend = backends[n];
     const auto zone = static_cast<std::size_t>(backend.zone);
-    const auto room = [&](std::size_t lot) {
-      return held[lot] + backend.size <= cap &&
-             held_of_zone[zone * columns + lot] + backend.size <= zone_cap[zone];
+    const auto fits = [&](std::size_t shard) {
+      return held[shard] + backend.size <= max_size &&
+             held_of_zone[zone * columns + shard] + backend.size <= max_of_zone[zone];
     };
-    std::size_t lot = 0;
+    std::size_t shard = 0;
     int tries = 0;
     do {
-      // The upper bits: where the number of lots doubles, each lot's first draws split in two.
-      lot = static_cast<std::size_t>(
+      // Uses the upper bits, so that each shard's first draws split in two when the number of shards doubles.
+      shard = static_cast<std::size_t>(
           (mix(backend.key, round, static_cast<std::uint64_t>(tries) + 1) >> 32) * columns >> 32);
-    } while (!room(lot) && ++tries < kDraws);
-    if (tries == kDraws) {
-      lot = static_cast<std::size_t>(std::min_element(held.begin(), held.end()) - held.begin());
+    } while (!fits(shard) && ++tries < kMaxDraws);
+    if (tries == kMaxDraws) {
+      shard = static_cast<std::size_t>(std::min_element(held.begin(), held.end()) - held.begin());
     }
-    held[lot] += backend.size;
-    held_of_zone[zone * columns + lot] += backend.size;
-    lot_of[n] = static_cast<int>(lot);
+    held[shard] += backend.size;
+    held_of_zone[zone * columns + shard] += backend.size;
+    shard_of[n] = static_cast<int>(shard);
   }
-  return lot_of;
+  return shard_of;
 }
 
 }  // namespace shorelead::subset
--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -6,14 +6,15 @@
 namespace shorelead::subset {
 namespace {
 
-// A subset whose capacity is under this share of the mean lot's borrows up to it. Under half, one backend in
-// two would have to be lost before it acts; near one, chance in the drawing would make most nodes borrow.
-constexpr double kEnough = 0.7;
+// A subset with less than this share of the mean shard's capacity borrows up to it. With a share under 0.5
+// half of the subset would have to fail first; near 1 the random sizes of shards would make most nodes
+// borrow.
+constexpr double kBorrowBelow = 0.7;
 
 }  // namespace
 
 void Subset::set_answering(const std::string& id, bool answering) {
-  const bool changed = answering ? silent_.erase(id) > 0 : silent_.insert(id).second;
+  const bool changed = answering ? unresponsive_.erase(id) > 0 : unresponsive_.insert(id).second;
   changed_ = changed_ || changed;
 }
 
@@ -22,54 +23,56 @@
   place_.nodes = nodes;
 }
 
-// Those of its own lot, and as many of the lots next to it as are wanting.
-std::vector<std::uint32_t> Subset::chosen() {
+// Returns the backends of the node's own shard, and as many of neighbouring shards as its capacity lacks.
+std::vector<std::uint32_t> Subset::select_members() {
   borrowed_ = 0;
   if (fleet_->ready() == 0) return {};
-  lots_ = fleet_->lots(place_);
-  const Ticket ticket = ticket_of(place_, lots_);
-  const Fleet::Drawing& drawing = fleet_->drawing(ticket.round, lots_);
-  std::vector<std::uint32_t> members = drawing.lots[static_cast<std::size_t>(ticket.lot)];
-  const auto size = [this](std::uint32_t place) { return fleet_->at(place).backend.size; };
+  shards_ = fleet_->update_shard_count(place_);
+  const ShardAssignment assignment = assignment_of(place_, shards_);
+  const Fleet::Partition& partition = fleet_->partition(assignment.round, shards_);
+  std::vector<std::uint32_t> members = partition.shards[static_cast<std::size_t>(assignment.shard)];
+  const auto size = [this](std::uint32_t position) { return fleet_->at(position).backend.size; };
   double capacity = 0;
-  for (const std::uint32_t place : members) capacity += answers(place) ? size(place) : 0;
-  const double wanted = kEnough * fleet_->capacity() / lots_;
-  // Lots that differ in the lowest bits first: each lends to another one, so no lot has to lend to all.
-  for (int far = 1; far < lots_ && (capacity < wanted || members.empty()); ++far) {
-    std::vector<std::uint32_t> lenders = drawing.lots[static_cast<std::size_t>(ticket.lot ^ far)];
+  for (const std::uint32_t position : members) capacity += answers(position) ? size(position) : 0;
+  const double wanted = kBorrowBelow * fleet_->capacity() / shards_;
+  // Shards whose numbers differ in the lowest bits come first. So each shard lends to another one, and none
+  // has to lend to all.
+  for (int distance = 1; distance < shards_ && (capacity < wanted || members.empty()); ++distance) {
+    std::vector<std::uint32_t> lenders =
+        partition.shards[static_cast<std::size_t>(assignment.shard ^ distance)];
     std::sort(lenders.begin(), lenders.end(), [this](std::uint32_t x, std::uint32_t y) {
       return fleet_->at(x).backend.key < fleet_->at(y).backend.key;
     });
-    for (const std::uint32_t place : lenders) {
+    for (const std::uint32_t position : lenders) {
       if (capacity >= wanted && !members.empty()) break;
-      // One that was lent and has fallen silent stays, or nobody would hear when it is back.
-      if (!answers(place) && !holds(fleet_->at(place).id)) continue;
-      members.push_back(place);
-      capacity += answers(place) ? size(place) : 0;
+      // An unresponsive backend that is already borrowed stays, so that its recovery is noticed.
+      if (!answers(position) && !contains(fleet_->at(position).id)) continue;
+      members.push_back(position);
+      capacity += answers(position) ? size(position) : 0;
       ++borrowed_;
     }
   }
   if (capacity > 0) return members;
-  members.clear();  // nobody is known to answer: all who are ready
-  for (std::uint32_t place = 0; place < fleet_->size(); ++place) {
-    if (fleet_->at(place).ready) members.push_back(place);
+  members.clear();  // none is known to answer: try all ready backends
+  for (std::uint32_t position = 0; position < fleet_->size(); ++position) {
+    if (fleet_->at(position).ready) members.push_back(position);
   }
   return members;
 }
 
-Change Subset::settle() {
+Change Subset::update() {
   Change change;
-  if (!changed_ && settled_ == fleet_->version()) return change;
+  if (!changed_ && updated_to_ == fleet_->version()) return change;
   changed_ = false;
-  settled_ = fleet_->version();
-  // One that has gone, or has left the subset, is heard of no more: should it return, it starts over.
+  updated_to_ = fleet_->version();
   std::set<std::string> now;
-  for (const std::uint32_t place : chosen()) now.insert(fleet_->at(place).id);
+  for (const std::uint32_t position : select_members()) now.insert(fleet_->at(position).id);
   std::set_difference(now.begin(), now.end(), members_.begin(), members_.end(),
                       std::back_inserter(change.added));
   std::set_difference(members_.begin(), members_.end(), now.begin(), now.end(),
                       std::back_inserter(change.removed));
-  for (const std::string& id : change.removed) silent_.erase(id);
+  // The node observes removed backends no longer, so one that returns counts as answering.
+  for (const std::string& id : change.removed) unresponsive_.erase(id);
   members_ = std::move(now);
   return change;
 }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -222,7 +222,7 @@
       ASSERT_TRUE(read.fleet.subset);
       subset::Subset subset(*read.fleet.subset, subset::Place{0, me, 100});
       for (int n = 0; n < boxes; ++n) subset.put({"s-" + std::to_string(n), n % 3, 1, true});
-      subset.settle();
+      subset.update();
       EXPECT_LE(subset.size(), boxes == 60 ? 38 : 14);  // with the slack of a quarter
       for (const std::string& id : subset.members()) ++nodes[id];
     }
@@ -238,7 +238,7 @@
   apply_own("[subset]\nsize = 20", "own.toml", read);
   ASSERT_TRUE(read.fleet.subset);
   EXPECT_EQ(read.fleet.subset->target, 20);
-  EXPECT_EQ(read.fleet.subset->whole_up_to, 40);
+  EXPECT_EQ(read.fleet.subset->divide_above, 40);
   EXPECT_EQ(read.fleet.place.nodes, 2);
   EXPECT_EQ(read.fleet.place.index, 1);
   apply_own("[subset]\nnodes = 1000\n[probes]\nper_box = 2.5", "own.toml", read);
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -27,82 +27,82 @@
 
 // Whatever the numbers of nodes and backends: no backend is held by none, nor by twice as many nodes as
 // another, once there is a whole round; a lot is over the mean by no more than the slack and one backend.
-TEST(Lots, EveryBackendIsHeldByAlmostEquallyManyNodes) {
+TEST(Shards, EveryBackendIsHeldByAlmostEquallyManyNodes) {
   ASSERT_TRUE(rc::check([] {
     const int count = *rc::gen::inRange(1, 1500);
     const int nodes = *rc::gen::inRange(1, 80);
     Options options;
     options.target = *rc::gen::inRange(1, 120);
     options.slack = *rc::gen::element(0.1, 0.25, 0.5);
-    options.least_holders = *rc::gen::inRange(1, 4);
+    options.min_holders = *rc::gen::inRange(1, 4);
     const auto backends = make_backends(count, *rc::gen::inRange(1, 5));
     Place place;
     place.nodes = nodes;
-    const int lots = lots_of(backends.size(), options, place, 0);
-    RC_ASSERT(lots >= 1 && (lots & (lots - 1)) == 0);
+    const int shards = shard_count(backends.size(), options, place, 0);
+    RC_ASSERT(shards >= 1 && (shards & (shards - 1)) == 0);
     std::map<std::uint64_t, int> held;
     for (const Backend& backend : backends) held[backend.key] = 0;
     for (int node = 0; node < nodes; ++node) {
       place.index = node;
-      const Ticket ticket = ticket_of(place, lots);
-      const auto lot_of = draw(backends, lots, ticket.round, options.slack);
+      const ShardAssignment assignment = assignment_of(place, shards);
+      const auto shard_of = assign_to_shards(backends, shards, assignment.round, options.slack);
       int size = 0;
       for (std::size_t n = 0; n < backends.size(); ++n) {
-        RC_ASSERT(lot_of[n] >= 0 && lot_of[n] < lots);
-        if (lot_of[n] == ticket.lot) ++held[backends[n].key], ++size;
+        RC_ASSERT(shard_of[n] >= 0 && shard_of[n] < shards);
+        if (shard_of[n] == assignment.shard) ++held[backends[n].key], ++size;
       }
-      RC_ASSERT(size <= std::floor((1 + options.slack) * count / lots) + 1);
+      RC_ASSERT(size <= std::floor((1 + options.slack) * count / shards) + 1);
     }
-    const int whole = nodes / lots;
-    RC_ASSERT(whole >= 1 || nodes < options.least_holders);
+    const int whole = nodes / shards;
+    RC_ASSERT(whole >= 1 || nodes < options.min_holders);
     for (const auto& [key, holders] : held)
-      RC_ASSERT(holders == whole || holders == whole + (nodes % lots > 0));
+      RC_ASSERT(holders == whole || holders == whole + (nodes % shards > 0));
   }));
 }
 
-TEST(Lots, GiveEachItsPartOfEveryZone) {
+TEST(Shards, GiveEachItsPartOfEveryZone) {
   // One zone has 80%, and a small one fewer backends than there are lots.
   std::vector<Backend> backends;
   for (int n = 0; n < 2000; ++n)
     backends.push_back({hash_of(name_of(n)), n < 1600 ? 0 : n < 1990 ? 1 : 2, 1});
-  const auto lot_of = draw(backends, 32, 5, 0.25);
+  const auto shard_of = assign_to_shards(backends, 32, 5, 0.25);
   std::vector<std::map<int, int>> held(32);
   for (std::size_t n = 0; n < backends.size(); ++n)
-    ++held[static_cast<std::size_t>(lot_of[n])][backends[n].zone];
-  for (auto& lot : held) {
-    EXPECT_LE(lot[0], 1.25 * 50 + 1);
-    EXPECT_GE(lot[0], 25);
-    EXPECT_LE(lot[1], 1.25 * 390 / 32 + 1);
-    EXPECT_LE(lot[2], 1);
+    ++held[static_cast<std::size_t>(shard_of[n])][backends[n].zone];
+  for (auto& shard : held) {
+    EXPECT_LE(shard[0], 1.25 * 50 + 1);
+    EXPECT_GE(shard[0], 25);
+    EXPECT_LE(shard[1], 1.25 * 390 / 32 + 1);
+    EXPECT_LE(shard[2], 1);
   }
 }
 
-TEST(Lots, ShardsAreBalancedBySize) {
+TEST(Shards, ShardsAreBalancedBySize) {
   ASSERT_TRUE(rc::check([] {
     std::vector<Backend> backends = make_backends(*rc::gen::inRange(100, 800), 2);
     double total = 0;
     for (Backend& backend : backends) total += backend.size = *rc::gen::element(1.0, 2.0, 4.0);
-    const int lots = *rc::gen::element(2, 4, 8);
-    const auto lot_of = draw(backends, lots, *rc::gen::arbitrary<std::uint64_t>(), 0.25);
-    std::vector<double> held(static_cast<std::size_t>(lots), 0);
+    const int shards = *rc::gen::element(2, 4, 8);
+    const auto shard_of = assign_to_shards(backends, shards, *rc::gen::arbitrary<std::uint64_t>(), 0.25);
+    std::vector<double> held(static_cast<std::size_t>(shards), 0);
     for (std::size_t n = 0; n < backends.size(); ++n)
-      held[static_cast<std::size_t>(lot_of[n])] += backends[n].size;
-    for (const double size : held) RC_ASSERT(size <= 1.25 * total / lots + 4);
+      held[static_cast<std::size_t>(shard_of[n])] += backends[n].size;
+    for (const double size : held) RC_ASSERT(size <= 1.25 * total / shards + 4);
   }));
 }
 
 // One backend more or less moves few others: over all lots, on average under six for the slack of 0.25 (the
 // published bound is of the order of 1/slack^2 = 16), and never everything.
-TEST(Lots, RemovingABackendMovesFewOthers) {
+TEST(Shards, RemovingABackendMovesFewOthers) {
   double moved = 0;
   int worst = 0;
   constexpr int kTries = 200;
   const auto backends = make_backends(2000, 3);
-  const auto before = draw(backends, 64, 9, 0.25);
+  const auto before = assign_to_shards(backends, 64, 9, 0.25);
   for (int n = 0; n < kTries; ++n) {
     auto fewer = backends;
     fewer.erase(fewer.begin() + n * 10);
-    const auto after = draw(fewer, 64, 9, 0.25);
+    const auto after = assign_to_shards(fewer, 64, 9, 0.25);
     int changed = 0;
     for (std::size_t m = 0; m < fewer.size(); ++m) {
       changed += after[m] != before[m < static_cast<std::size_t>(n * 10) ? m : m + 1];
@@ -114,15 +114,16 @@
   EXPECT_LE(worst, 200);
 }
 
-TEST(Lots, StayWhenNodesComeAndGo) {
+TEST(Shards, StayWhenNodesComeAndGo) {
   Options options;
   for (const int index : {0, 3, 9}) {
     Place ten{1, index, 10};
     Place eleven{1, index, 11};
-    EXPECT_EQ(lots_of(500, options, ten, 0), lots_of(500, options, eleven, lots_of(500, options, ten, 0)));
-    const Ticket a = ticket_of(ten, 4);
-    const Ticket b = ticket_of(eleven, 4);
-    EXPECT_EQ(a.lot, b.lot);
+    EXPECT_EQ(shard_count(500, options, ten, 0),
+              shard_count(500, options, eleven, shard_count(500, options, ten, 0)));
+    const ShardAssignment a = assignment_of(ten, 4);
+    const ShardAssignment b = assignment_of(eleven, 4);
+    EXPECT_EQ(a.shard, b.shard);
     EXPECT_EQ(a.round, b.round);
   }
 }
@@ -136,7 +137,7 @@
     Place place{hash_of("n"), std::nullopt, 0};
     if (*rc::gen::arbitrary<bool>()) place.index = *rc::gen::inRange(0, 9), place.nodes = 10;
     Subset subset(options, place);
-    std::map<std::string, Listed> fleet;
+    std::map<std::string, ListEntry> fleet;
     std::set<std::string> told;
     const int steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step < steps; ++step) {
@@ -152,13 +153,13 @@
             subset.set_answering(id, *rc::gen::arbitrary<bool>());
             break;
           default: {
-            const Listed listed{id, *rc::gen::inRange(0, 3), 1, *rc::gen::inRange(0, 4) > 0};
+            const ListEntry listed{id, *rc::gen::inRange(0, 3), 1, *rc::gen::inRange(0, 4) > 0};
             subset.put(listed);
             fleet[id] = listed;
           }
         }
       }
-      const Change change = subset.settle();
+      const Change change = subset.update();
       for (const std::string& id : change.removed) RC_ASSERT(told.erase(id) == 1);
       for (const std::string& id : change.added) RC_ASSERT(told.insert(id).second);
       const auto members = subset.members();
@@ -166,7 +167,7 @@
       const bool any = std::any_of(fleet.begin(), fleet.end(), [](const auto& f) { return f.second.ready; });
       RC_ASSERT(members.empty() == !any);
       for (const std::string& id : members) RC_ASSERT(fleet.at(id).ready);
-      RC_ASSERT(subset.settle().empty());
+      RC_ASSERT(subset.update().empty());
     }
   }));
 }
@@ -180,7 +181,7 @@
       options.target = 10;
       Subset subset(options, {hash_of("n"), 2, 8});
       for (const int n : numbers) subset.put({name_of(n), n % 3, 1, true});
-      subset.settle();
+      subset.update();
       auto members = subset.members();
       std::sort(members.begin(), members.end());
       return members;
@@ -201,26 +202,26 @@
   options.target = 10;
   Subset subset(options, {hash_of("n"), 1, 16});
   for (int n = 0; n < 80; ++n) subset.put({name_of(n), 0, 1, true});
-  subset.settle();
+  subset.update();
   const auto own = subset.members();
   ASSERT_GE(own.size(), 4U);
   for (const std::string& id : own) subset.put({id, 0, 1, false});
-  Change change = subset.settle();
+  Change change = subset.update();
   EXPECT_EQ(change.removed.size(), own.size());
   EXPECT_GE(subset.members().size(), 5U);
   for (const std::string& id : own) subset.put({id, 0, 1, true});
-  subset.settle();
+  subset.update();
   auto back = subset.members();
   std::sort(back.begin(), back.end());
   auto wanted = own;
   std::sort(wanted.begin(), wanted.end());
   EXPECT_EQ(back, wanted);
   for (const std::string& id : own) subset.set_answering(id, false);
-  change = subset.settle();
+  change = subset.update();
   EXPECT_TRUE(change.removed.empty());  // whether they are well is for the module to find out
   EXPECT_GE(subset.borrowed(), 5U);
   for (int n = 0; n < 80; ++n) subset.set_answering(name_of(n), false);
-  subset.settle();
+  subset.update();
   EXPECT_EQ(subset.members().size(), 80U);  // nobody answers: everybody is tried
 }
 
