--- a/src/limits/attempt_share.h
+++ b/src/limits/attempt_share.h
@@ -1,11 +1,11 @@
-// Further attempts within a part of a budget, over any window. Pure, no allocation once its rings have grown.
-// The decision module's own bound and a fleet's share of a whole (fleet/share.h) are both this. It must never
-// count by buckets: the window slides.
+// Limits the retries of one process within a sliding window to its share of a budget. Does no I/O, reads no
+// clock and allocates nothing once its rings have grown. Used for the policy's own bound on retries and for a
+// process's share of a fleet's budget (fleet/share.h).
 //
-// What holds at each attempt of one process: those of the window that ends with it are at most the part and a
-// ratio of the requests taken in that window. What holds of a fleet in every window: all attempts in it are
-// at most the whole and the ratio of the requests taken in it and in the window before, since an attempt may
-// rest on a request that is almost a window older.
+// At each retry of one process: the retries in the window that ends with it are at most the share plus a
+// ratio of the requests received in that window. In every window of a whole fleet: all retries are at most
+// the whole budget plus the ratio of the requests received in that window and in the one before it, since a
+// retry may be based on a request that is almost one window older.
 #pragma once
 
 #include "base/millis.h"
@@ -13,42 +13,43 @@
 
 namespace shorelead::limits {
 
-// kShare: none left of it; kReserve: the share ran out, and the reserve is spent too.
+// Whether a retry may be sent. kYes: it may, and is counted. kShare: the share is used up. kReserve: the
+// share is no longer valid, and the reserve is used up.
 enum class Spent { kYes, kShare, kReserve };
 
-// Further attempts: `amount` in any window, and a ratio of the requests taken in it. The ratio is each
-// process's own and needs no sharing.
+// Allows `amount` retries in any window, plus a ratio of the requests received in it. The ratio is each
+// process's own and is not shared.
 //
-// Of an amount that changes the least of the window counts: what was raised is usable once the window has
-// passed, as the one who had it before may have spent it in this window. For any window from u on, all
-// processes then spent at most what each had at u, and that was at most the whole.
+// When the amount changes, the lowest one within the window counts: an increase is usable only after a full
+// window, as the process that had it before may have spent it in this one. So in any window that begins at u,
+// each process spends at most its amount at u, and all these together are at most the whole budget.
 class AttemptShare {
  public:
-  // The reserve likewise is usable once a window has passed since the first call: a process that was there
-  // before may have spent it.
+  // The reserve, too, is usable only one window after the first call, as an earlier process may have spent
+  // it.
   AttemptShare(double reserve, double ratio, Millis window)
       : reserve_(reserve), ratio_(ratio), window_(window) {}
-  void reserve_from(Millis from) { began_ = from; }  // in place of the first call; infinity: there is none
-  // Of another incarnation than the part before: set it to 0 first.
+  void reserve_from(Millis from) { began_at_ = from; }  // counts from `from` instead; infinity: no reserve
+  // Call with 0 first if the amount belongs to another incarnation than the one before.
   void set(double amount, Millis now);
-  void taken(Millis now);  // a request was
+  void taken(Millis now);  // a request was received
   Spent spend(Millis now, Millis valid_until);
   double left(Millis now, Millis valid_until);
 
  private:
-  void forget(Millis now);
+  void expire(Millis now);
   const double reserve_;
   const double ratio_;
   const Millis window_;
-  Ring<Millis> taken_;
-  Ring<Millis> spent_;
-  struct Had {
-    Millis until;  // when the next one replaced it
+  Ring<Millis> requests_;
+  Ring<Millis> attempts_;
+  struct EarlierAmount {
+    Millis until;  // when the next amount replaced it
     double amount;
   };
-  Ring<Had> had_;      // in the window, rising: the first is the least
-  double amount_ = 0;  // now
-  Millis began_ = -1;
+  Ring<EarlierAmount> earlier_amounts_;  // within the window, rising: the first is the minimum
+  double amount_ = 0;                    // current
+  Millis began_at_ = -1;
 };
 
 }  // namespace shorelead::limits
--- a/src/limits/descriptors.cpp
+++ b/src/limits/descriptors.cpp
@@ -5,50 +5,52 @@
 namespace shorelead::limits {
 namespace {
 
-constexpr int kBackendsPart = 2;  // backends' connections: one in so many descriptors
-constexpr int kReservePart = 8;   // one in so many is left to requests and clients
-constexpr int kProbingPart = 8;   // connections opened for probes under way: one in so many
-constexpr int kRequestsPart = 4;  // of the backends' budget, left to connections that requests opened
+// Each is a divisor: one descriptor in so many.
+constexpr int kBackendsDivisor = 2;  // for connections to backends
+constexpr int kReserveDivisor = 8;   // kept free for requests and clients
+constexpr int kProbingDivisor = 8;   // for connections opened for probes in progress
+constexpr int kRequestsDivisor = 4;  // of the backends' budget: only for connections that requests opened
 
 }  // namespace
 
-int Descriptors::backends_budget() const { return std::max(1, most_ / kBackendsPart); }
+int Descriptors::backends_budget() const { return std::max(1, limit_ / kBackendsDivisor); }
 
-int Descriptors::requests_reserve() const { return std::max(1, most_ / kReservePart); }
+int Descriptors::requests_reserve() const { return std::max(1, limit_ / kReserveDivisor); }
 
-int Descriptors::probing_budget() const { return std::max(1, most_ / kProbingPart); }
+int Descriptors::probing_budget() const { return std::max(1, limit_ / kProbingDivisor); }
 
-bool Descriptors::hoarding(const DescriptorCounts& counts) const {
-  return counts.backends >= backends_budget() - backends_budget() / kRequestsPart;
+bool Descriptors::backends_near_budget(const DescriptorCounts& counts) const {
+  return counts.backends >= backends_budget() - backends_budget() / kRequestsDivisor;
 }
 
 DescriptorState Descriptors::state(const DescriptorCounts& counts) const {
-  if (counts.open >= most_) return DescriptorState::kOut;
-  if (counts.open >= most_ - most_ / kReservePart) return DescriptorState::kShort;
-  return hoarding(counts) ? DescriptorState::kHoarding : DescriptorState::kPlenty;
+  if (counts.open >= limit_) return DescriptorState::kOut;
+  if (counts.open >= limit_ - limit_ / kReserveDivisor) return DescriptorState::kShort;
+  return backends_near_budget(counts) ? DescriptorState::kHoarding : DescriptorState::kPlenty;
 }
 
 Step Descriptors::step(Purpose purpose, const DescriptorCounts& counts) const {
   const DescriptorState now = state(counts);
   if (purpose == Purpose::kProbe) {
-    // A probe that cannot go out costs a little knowledge; the connection it would push out, a request. Only
-    // clients that stand unused give way to it, and not to the probes of a list that is too long anyway.
+    // Skipping a probe costs little; closing a connection for it can cost a request. So only idle clients'
+    // connections are closed for a probe, and none if the list is too long for the descriptors anyway.
     if (counts.probing >= probing_budget()) return Step::kRefuse;
     if (now == DescriptorState::kPlenty || now == DescriptorState::kHoarding) return Step::kOpen;
-    if (hoarding(counts)) return Step::kRefuse;
+    if (backends_near_budget(counts)) return Step::kRefuse;
     return now == DescriptorState::kOut ? Step::kEvictClientOnly : Step::kOpen;
   }
-  // Guards against clients that say nothing and come on and on: none is old enough to give way, and a request
-  // that needed a new connection was refused.
-  const bool clients_at_most = counts.open - counts.backends >= most_ - requests_reserve();
-  if (purpose == Purpose::kClient && clients_at_most) return Step::kEvictClientOnly;
+  // Guards against clients that keep connecting and send nothing. None is idle long enough to be closed, and
+  // without the reserve a request that needs a new connection would be refused.
+  const bool clients_at_limit = counts.open - counts.backends >= limit_ - requests_reserve();
+  if (purpose == Purpose::kClient && clients_at_limit) return Step::kEvictClientOnly;
   if (now != DescriptorState::kOut) return Step::kOpen;
-  // A client opens another connection at no loss, so clients' unused ones give way first; but not to a hoard.
+  // Clients reconnect without loss, so their idle connections are closed first, unless backends' connections
+  // are over budget.
   return counts.backends > backends_budget() ? Step::kEvictBackend : Step::kEvictClient;
 }
 
 bool Descriptors::keep(Purpose purpose, const DescriptorCounts& counts) const {
-  return purpose != Purpose::kProbe || !hoarding(counts);
+  return purpose != Purpose::kProbe || !backends_near_budget(counts);
 }
 
 const char* name_of(DescriptorState state) {
--- a/src/limits/descriptors.h
+++ b/src/limits/descriptors.h
@@ -1,12 +1,12 @@
-// Want of descriptors as a state, and what is done in it: who may open a connection, who gives way, which
-// connections are kept. Pure: counts in, decisions out. It must never do I/O, count anything itself, or let a
-// probe or the hoard of kept connections take what requests need.
+// Decides by the number of open descriptors who may open a connection, whose connection is closed for it, and
+// which ones are kept for reuse. Does no I/O and counts nothing itself. Probes and idle connections never
+// take descriptors that requests need.
 //
-// The descriptors that are left after the node's own are shared by clients and backends. Backends'
-// connections have a budget, half of them. Within it they are kept for reuse; beyond it one that was opened
-// for a request pushes out the backends' connection that stood unused for longest, and one that was opened
-// for a probe is closed after it. Clients never take the last eighth, which is the requests'. So a node whose
-// list is longer than its descriptors keeps the connections that requests use.
+// Clients and backends share the descriptors that the node itself does not need. Connections to backends have
+// a budget of half of them. Within the budget they are kept for reuse. Beyond it, a connection opened for a
+// request replaces the backend connection that has been idle longest, and one opened for a probe is closed
+// after it. Clients never take the last eighth, which is reserved for requests. So a node with more backends
+// than descriptors keeps the connections that requests use.
 #pragma once
 
 namespace shorelead::limits {
@@ -14,47 +14,46 @@
 struct DescriptorCounts {
   int open = 0;      // of all kinds
   int backends = 0;  // connections to backends
-  int probing = 0;   // of these, opened for a probe that is still under way
+  int probing = 0;   // of these, opened for a probe that is still in progress
 };
 
 enum class DescriptorState {
   kPlenty,    // any connection may be opened and kept
-  kHoarding,  // backends' connections are at their budget: probes keep none
-  kShort,     // what is left is for requests and clients: a probe opens one only in an unused client's place
-  kOut,       // somebody has to give way first
+  kHoarding,  // backends' connections are near their budget: those of probes are not kept
+  kShort,     // only the reserve is free: also, no probes if backends' connections are near their budget
+  kOut,       // a connection has to be closed first
 };
 
 enum class Purpose { kClient, kRequest, kProbe };
 
 enum class Step {
-  kOpen,             // there is a descriptor
-  kEvictClient,      // first close the client's connection that was unused for longest; if there is none, a
-                     // backend's
-  kEvictBackend,     // first close the backend's connection that was unused for longest; if there is none, a
-                     // client's
-  kEvictClientOnly,  // first close such a client's connection; if there is none, it is not to be opened
-  kRefuse,           // not to be opened
+  kOpen,             // a descriptor is free
+  kEvictClient,      // first close the client connection that has been idle longest, or else a backend's
+  kEvictBackend,     // first close the backend connection that has been idle longest, or else a client's
+  kEvictClientOnly,  // first close the client connection that has been idle longest, or else open none
+  kRefuse,           // open none
 };
 
 class Descriptors {
  public:
-  explicit Descriptors(int most) : most_(most) {}
+  explicit Descriptors(int limit) : limit_(limit) {}
 
   DescriptorState state(const DescriptorCounts& counts) const;
-  // What to do so that one may be opened; after an eviction it is asked again, until a descriptor is free.
+  // What to do before a connection is opened. After an eviction the caller asks again, until a descriptor is
+  // free.
   Step step(Purpose purpose, const DescriptorCounts& counts) const;
-  // Whether a connection to a backend is kept that carried a request or a probe.
+  // Whether a connection to a backend is kept for reuse after a request or a probe.
   bool keep(Purpose purpose, const DescriptorCounts& counts) const;
 
-  int most() const { return most_; }
+  int limit() const { return limit_; }
   int backends_budget() const;
   int probing_budget() const;
   int requests_reserve() const;
 
  private:
-  bool hoarding(const DescriptorCounts& counts) const;
+  bool backends_near_budget(const DescriptorCounts& counts) const;
 
-  int most_;
+  int limit_;
 };
 
 const char* name_of(DescriptorState state);
