--- a/src/base/list_validity.h
+++ b/src/base/list_validity.h
@@ -11,7 +11,7 @@
 struct ListValidity {
   // Until then every backend that the list allows may get new requests.
   Millis until = std::numeric_limits<Millis>::infinity();
-  // After that, a backend may only for so long after its last passed health check was sent,
+  // After that, a backend may only for this long after its last passed health check was sent,
   Millis confirmed_for = std::numeric_limits<Millis>::infinity();
   // and only if that check was sent no earlier than this.
   Millis confirmed_after = -std::numeric_limits<Millis>::infinity();
--- a/src/estimate/backends.h
+++ b/src/estimate/backends.h
@@ -46,7 +46,9 @@
   void set_classes(std::size_t count) { times_.set_classes(count); }
 
   // ---- events ----
-  void listed(std::size_t i, Millis started, double size) { of_[i].started = started, of_[i].size = size; }
+  void listed(std::size_t i, Millis started, double size) {
+    estimates_[i].started = started, estimates_[i].size = size;
+  }
   // The backend is new or has returned: discards all estimates of it but the count of own attempts.
   void reset(std::size_t i);
   // A request arrived. Returns its work in mean requests, by its hint if that is over 0.
@@ -55,10 +57,10 @@
     return expected_work > 0 ? times_.hinted(expected_work) : 1;
   }
   AttemptRecord sent(std::size_t i, int request_class, double work);
-  void overdue(std::size_t i, Millis sent) { of_[i].own.overdue(sent, !context_.peers_report_load); }
+  void overdue(std::size_t i, Millis sent) { estimates_[i].own.overdue(sent, !context_.peers_report_load); }
   // An attempt ended `elapsed` after it was sent. Called also for attempts of which no record is left.
   void ended(std::size_t i, Millis elapsed, bool served) {
-    of_[i].own.end(context_.now - elapsed, served, !context_.peers_report_load);
+    estimates_[i].own.end(context_.now - elapsed, served, !context_.peers_report_load);
   }
   // Updates the service times from an attempt that was answered, or had no response after `elapsed`.
   void learn(std::size_t i, const AttemptRecord& sent, Millis elapsed, bool served);
@@ -71,8 +73,8 @@
   void close_period(const std::function<bool(std::size_t)>& in_use, std::size_t count, double share);
 
   // ---- queries ----
-  const OwnAttempts& own(std::size_t i) const { return of_[i].own; }
-  const Load& load(std::size_t i) const { return of_[i].load; }
+  const OwnAttempts& own(std::size_t i) const { return estimates_[i].own; }
+  const Load& load(std::size_t i) const { return estimates_[i].load; }
   bool loads_reported() const { return load_.reported(); }
   double mean_other_requests() const { return load_.mean_other_requests(); }
   Millis mean_time() const { return times_.mean(); }
@@ -83,30 +85,31 @@
   double expected_arrivals(Millis span) const {
     return arrivals_.per_period((context_.now - period_began_at_) / context_.period) * span / context_.period;
   }
-  double loss_rate() const { return loss_rate_; }                 // share of recent attempts that were lost
-  Millis started(std::size_t i) const { return of_[i].started; }  // 0 = long ago
-  bool cold(std::size_t i) const { return cold(of_[i]); }
+  double loss_rate() const { return loss_rate_; }  // share of recent attempts that were lost
+  Millis started(std::size_t i) const { return estimates_[i].started; }  // 0 = long ago
+  bool cold(std::size_t i) const { return cold(estimates_[i]); }
   // Lower bound of the share of full speed that a backend has now, assuming linear warm-up.
-  double warmth(std::size_t i) const { return warmth(of_[i]); }
+  double warmth(std::size_t i) const { return warmth(estimates_[i]); }
   // Requests that the backend completes in `span` when it is warm.
   double completions(std::size_t i, Millis span) const {
-    return std::max(1.0, of_[i].size * throughput_per_size_) * span / times_.mean();
+    return std::max(1.0, estimates_[i].size * throughput_per_size_) * span / times_.mean();
   }
   // Requests in flight at the backend: a count where owners report load, else mean requests.
   double in_flight(std::size_t i) const {
-    return context_.peers_report_load ? of_[i].held_by_others + of_[i].own.held() : in_flight(of_[i]);
+    return context_.peers_report_load ? estimates_[i].held_by_others + estimates_[i].own.held()
+                                      : in_flight(estimates_[i]);
   }
   // By how much its load, with one more request of `work`, stretches the backend's service time.
-  double load_factor(std::size_t i, double work) const { return load_factor(of_[i], work); }
+  double load_factor(std::size_t i, double work) const { return load_factor(estimates_[i], work); }
   Millis expected_response(std::size_t i, int request_class, double work) const {
-    const Figures& f = of_[i];
-    return times_.expected(request_class, f.service_time) * load_factor(f, work) / warmth(f);
+    const BackendEstimate& e = estimates_[i];
+    return times_.expected(request_class, e.service_time) * load_factor(e, work) / warmth(e);
   }
   // The backend's service time over the fleet's mean by one response; 0: load too low to tell.
   double service_time_ratio(const AttemptRecord& sent, Millis elapsed) const;
 
  private:
-  struct Figures {
+  struct BackendEstimate {
     Millis started = 0;  // 0 = long ago
     double size = 1;
     OwnAttempts own;
@@ -114,32 +117,34 @@
     RelativeServiceTime service_time;  // from responses
     double held_by_others = 0;         // from its owner: requests of other nodes in flight
   };
-  bool cold(const Figures& f) const { return f.started > 0 && context_.now - f.started < context_.warm_up; }
-  double warmth(const Figures& f) const {
-    if (!cold(f) || context_.warm_up <= 0) return 1;
+  bool cold(const BackendEstimate& e) const {
+    return e.started > 0 && context_.now - e.started < context_.warm_up;
+  }
+  double warmth(const BackendEstimate& e) const {
+    if (!cold(e) || context_.warm_up <= 0) return 1;
     return context_.cold_share +
-           (1 - context_.cold_share) * std::clamp((context_.now - f.started) / context_.warm_up, 0.0, 1.0);
+           (1 - context_.cold_share) * std::clamp((context_.now - e.started) / context_.warm_up, 0.0, 1.0);
   }
   // This node's requests and other nodes', in mean requests. An old report of these fades to the fleet's
   // mean. For a cold backend it fades to 0: its slow-start budget limits the load, and with the mean it would
   // get no request until it is warm.
-  double in_flight(const Figures& f) const {
-    if (!load_.reported()) return f.own.work() * std::max(1.0, context_.nodes_per_backend);
+  double in_flight(const BackendEstimate& e) const {
+    if (!load_.reported()) return e.own.work() * std::max(1.0, context_.nodes_per_backend);
     const bool use_backend_mean = context_.reports_rare && !context_.peers_report_load;
-    return f.own.work() +
-           load_.others(f.load, kReportLifetime * times_.mean(), cold(f), use_backend_mean, context_.now);
+    return e.own.work() +
+           load_.others(e.load, kReportLifetime * times_.mean(), cold(e), use_backend_mean, context_.now);
   }
-  double load_factor(const Figures& f, double work) const {
-    return std::max(work, (in_flight(f) + work) / f.load.concurrency);
+  double load_factor(const BackendEstimate& e, double work) const {
+    return std::max(work, (in_flight(e) + work) / e.load.concurrency);
   }
-  double concurrency_like_warm(const Figures& f) const {
-    return std::max(1.0, f.size * concurrency_per_size_);
+  double concurrency_like_warm(const BackendEstimate& e) const {
+    return std::max(1.0, e.size * concurrency_per_size_);
   }
 
   static constexpr double kReportLifetime =
       2;  // time constant with which a report fades, in mean service times
   const EstimateContext& context_;
-  GrowingVector<Figures> of_;
+  GrowingVector<BackendEstimate> estimates_;
   ServiceTimes times_;
   FleetLoad load_;
   RequestRate arrivals_;
--- a/src/estimate/service_times.cpp
+++ b/src/estimate/service_times.cpp
@@ -31,17 +31,17 @@
 // A served response gives the backend's service time. An attempt that failed or timed out gives a lower bound
 // and counts only if it is above the estimate; without it a backend that never responds in time would keep
 // its ratio. The fleet's mean is updated only from responses that met no contention.
-void ServiceTimes::learn(RelativeServiceTime& service_time, const Answer& answer) {
-  double& class_ratio = class_ratio_[static_cast<std::size_t>(answer.request_class)];
-  const double slow = std::clamp(answer.unloaded / (mean_ * class_ratio * service_time.ratio), 0.1, 10.0);
-  if (answer.warm && (answer.served || slow > slowness_)) slowness_ += kSlowGain * (slow - slowness_);
-  const double ratio = std::clamp(answer.unloaded / (mean_ * class_ratio * slowdown_), 0.1, 10.0);
-  if (!answer.served && ratio <= service_time.ratio) return;
+void ServiceTimes::learn(RelativeServiceTime& service_time, const Sample& sample) {
+  double& class_ratio = class_ratio_[static_cast<std::size_t>(sample.request_class)];
+  const double slow = std::clamp(sample.unloaded / (mean_ * class_ratio * service_time.ratio), 0.1, 10.0);
+  if (sample.warm && (sample.served || slow > slowness_)) slowness_ += kSlowGain * (slow - slowness_);
+  const double ratio = std::clamp(sample.unloaded / (mean_ * class_ratio * slowdown_), 0.1, 10.0);
+  if (!sample.served && ratio <= service_time.ratio) return;
   service_time.updated = true;
-  if (!answer.fleet_only) service_time.ratio += kServiceGain * (ratio - service_time.ratio);
-  if (!answer.served || hints_ > 0 || answer.crowded) return;
-  class_ratio += kFleetGain * (answer.unloaded / (mean_ * service_time.ratio) - class_ratio);
-  mean_ += kFleetGain * (answer.unloaded / (class_ratio * service_time.ratio) - mean_);
+  if (!sample.fleet_only) service_time.ratio += kServiceGain * (ratio - service_time.ratio);
+  if (!sample.served || hints_ > 0 || sample.crowded) return;
+  class_ratio += kFleetGain * (sample.unloaded / (mean_ * service_time.ratio) - class_ratio);
+  mean_ += kFleetGain * (sample.unloaded / (class_ratio * service_time.ratio) - mean_);
 }
 
 void ServiceTimes::fade(double samples, const std::vector<RelativeServiceTime*>& service_times,
--- a/src/estimate/service_times.h
+++ b/src/estimate/service_times.h
@@ -33,7 +33,7 @@
     return class_mean(request_class) * service_time.ratio * slowdown_;
   }
 
-  struct Answer {
+  struct Sample {
     int request_class = 0;
     Millis unloaded = 0;      // response time without the effects of load and warm-up
     bool served = true;       // else it failed, or had no response after that time
@@ -41,13 +41,13 @@
     bool crowded = false;     // other requests slowed it down
     bool fleet_only = false;  // peers report the backend's own ratio
   };
-  void learn(RelativeServiceTime& service_time, const Answer& answer);
+  void learn(RelativeServiceTime& service_time, const Sample& sample);
 
   // Called once a period with all usable backends. The fewer responses (`samples`) a backend's own ratio
   // rests on, the more the slowness of the whole fleet stretches expected times. The ratio of a backend
   // without responses fades to 1, as a backend avoided for being slow gets no responses that could clear it.
-  // Where all responses met contention, none updates the mean; if then over half of the backends were updated
-  // and all ratios are far below 1, the mean is too high and is corrected.
+  // If over half of the backends were updated and all their ratios are far below 1, the mean is too high and
+  // is corrected; that happens where responses meet contention from the start, so that none updates the mean.
   void fade(double samples, const std::vector<RelativeServiceTime*>& service_times, bool from_peers);
 
  private:
