--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -248,17 +248,17 @@
     begin_message("CloseIdle");
     text("NodeId", instance);
     text("Backend", addresses.address(idle->backend));
-  } else if (const auto* peer = std::get_if<TellPeer>(&action)) {
+  } else if (const auto* to_peer = std::get_if<TellPeer>(&action)) {
     static constexpr char kDigits[] = "0123456789abcdef";
     std::string raw;
-    for (const char c : peers::encode(peer->message)) {
+    for (const char c : peers::encode(to_peer->message)) {
       raw.push_back(kDigits[static_cast<unsigned char>(c) >> 4]);
       raw.push_back(kDigits[static_cast<unsigned char>(c) & 15]);
     }
     begin_message("Publish");
     text("NodeId", instance);
     writer_.Key("Recipient");
-    writer_.Int(peer->peer);
+    writer_.Int(to_peer->peer);
     text("Raw", raw);
   } else if (const auto* note = std::get_if<Note>(&action)) {
     begin_message("Debug");
--- a/tests/limits/descriptors_test.cpp
+++ b/tests/limits/descriptors_test.cpp
@@ -1,4 +1,4 @@
-// Want of descriptors: who opens, who gives way, what is kept. In counts alone.
+// The limits of descriptors: who may open a connection, whose is closed for it, and which are kept.
 #include "limits/descriptors.h"
 
 #include <gtest/gtest.h>
@@ -11,9 +11,9 @@
 namespace shorelead::limits {
 namespace {
 
-// Guards against probes that push out what requests need: whatever the counts, a probe never has a backend's
-// connection closed, nor a request refused a descriptor that is there.
-RC_GTEST_PROP(Descriptors, ProbesNeverTakeWhatRequestsNeed, ()) {
+// Guards against probes that take what requests need: whatever the counts, a probe never causes a backend's
+// connection to be closed, and a request is never refused a free descriptor.
+RC_GTEST_PROP(Descriptors, ProbesNeverTakeDescriptorsThatRequestsNeed, ()) {
   const int most = *rc::gen::inRange(32, 60000);
   const Descriptors descriptors(most);
   DescriptorCounts counts;
@@ -26,7 +26,8 @@
   const Step request = descriptors.step(Purpose::kRequest, counts);
   RC_ASSERT((request == Step::kOpen) == (counts.open < most));
   RC_ASSERT(request != Step::kRefuse && request != Step::kEvictClientOnly);
-  // Clients leave an eighth to requests, whatever else is open, and never close a backend's for that.
+  // Clients leave an eighth to requests, whatever else is open, and no backend's connection is closed for
+  // them.
   const bool reserved = counts.open - counts.backends >= most - std::max(1, most / 8);
   const Step client = descriptors.step(Purpose::kClient, counts);
   RC_ASSERT((client == Step::kOpen) == (counts.open < most && !reserved));
@@ -35,15 +36,15 @@
   RC_ASSERT(descriptors.keep(Purpose::kRequest, counts));
 }
 
-// Guards against what was measured with 5,000 backends and 4,096 descriptors: connections opened and closed
-// without end (24,211 for 392 answers). A list longer than the descriptors, probed all the time: requests
-// find theirs kept, but for those to backends seldom asked.
-TEST(Descriptors, AListLongerThanTheDescriptorsLeavesRequestsTheirConnections) {
+// Guards against endless opening and closing of connections, as measured with 5,000 backends and 4,096
+// descriptors: 24,211 connections for 392 responses. The list is longer than the descriptors and is probed
+// all the time; the connections to backends that requests use are kept.
+TEST(Descriptors, AListLongerThanTheDescriptorsKeepsRequestsConnections) {
   constexpr int kBackends = 5000;
-  constexpr int kUsed = 500;  // backends that requests go to
+  constexpr int kUsedBackends = 500;  // number of backends that requests go to
   const Descriptors descriptors(1024);
   const int clients = 100;
-  std::list<int> unused;  // the longest unused first
+  std::list<int> idle;  // idle longest first
   std::set<int> kept;
   int evictions = 0;
   int opened_for_requests = 0;
@@ -51,35 +52,35 @@
   const auto counts = [&] {
     return DescriptorCounts{clients + static_cast<int>(kept.size()), static_cast<int>(kept.size()), 0};
   };
-  const auto ask = [&](int backend, Purpose purpose) {
+  const auto use_connection = [&](int backend, Purpose purpose) {
     if (kept.count(backend) > 0)
-      return unused.splice(unused.end(), unused, std::find(unused.begin(), unused.end(), backend));
+      return idle.splice(idle.end(), idle, std::find(idle.begin(), idle.end(), backend));
     Step step = descriptors.step(purpose, counts());
     for (; step != Step::kOpen && step != Step::kRefuse; step = descriptors.step(purpose, counts())) {
       ASSERT_NE(purpose, Purpose::kProbe);
       ASSERT_EQ(step, Step::kEvictBackend);
-      kept.erase(unused.front());
-      unused.pop_front();
+      kept.erase(idle.front());
+      idle.pop_front();
       ++evictions;
     }
     if (step == Step::kRefuse) return static_cast<void>(++probes_refused);
     opened_for_requests += purpose == Purpose::kRequest;
     kept.insert(backend);
-    if (descriptors.keep(purpose, counts())) return unused.push_back(backend);
+    if (descriptors.keep(purpose, counts())) return idle.push_back(backend);
     kept.erase(backend);
   };
   for (int round = 0; round < 20; ++round) {
     for (int backend = 0; backend < kBackends; ++backend) {
-      ask(backend, Purpose::kProbe);
-      ask((backend * 7) % kUsed, Purpose::kRequest);
+      use_connection(backend, Purpose::kProbe);
+      use_connection((backend * 7) % kUsedBackends, Purpose::kRequest);
     }
   }
   EXPECT_EQ(evictions, 0);
-  EXPECT_LE(opened_for_requests, kUsed);
-  EXPECT_EQ(probes_refused, 0);  // they go out, on connections that are closed after them
+  EXPECT_LE(opened_for_requests, kUsedBackends);
+  EXPECT_EQ(probes_refused, 0);  // probes are sent on connections that are closed after them
 }
 
-TEST(Descriptors, StatesInOrder) {
+TEST(Descriptors, StatesAndStepsFollowFromTheCounts) {
   const Descriptors descriptors(1000);
   const std::pair<DescriptorCounts, DescriptorState> cases[] = {
       {{10, 5, 0}, DescriptorState::kPlenty},      {{500, 374, 0}, DescriptorState::kPlenty},
@@ -90,7 +91,7 @@
     EXPECT_EQ(descriptors.state(counts), state)
         << counts.open << " open, " << counts.backends << " to backends";
   }
-  // Where a hoard of backends' connections is over its budget, it gives way before clients do.
+  // If backends' connections are over budget, they are closed before clients'.
   EXPECT_EQ(descriptors.step(Purpose::kRequest, {1000, 501, 0}), Step::kEvictBackend);
   EXPECT_EQ(descriptors.step(Purpose::kRequest, {1000, 500, 0}), Step::kEvictClient);
   EXPECT_EQ(descriptors.step(Purpose::kClient, {874, 0, 0}), Step::kOpen);
--- a/tests/peers/peers_test.cpp
+++ b/tests/peers/peers_test.cpp
@@ -1,4 +1,4 @@
-// What nodes tell one another: its form in bytes, and what a keeper makes of it.
+// Peer messages: their encoding, and the ledgers that their owners keep.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -22,7 +22,7 @@
   return m;
 }
 
-RC_GTEST_PROP(Form, WhatIsWrittenIsReadAndIsShort, ()) {
+RC_GTEST_PROP(MessageCodec, DecodesWhatItEncodesWithinTheSizeLimit, ()) {
   PeerMessage m;
   m.kind = static_cast<Kind>(*rc::gen::inRange(0, 5));
   m.about = *rc::gen::arbitrary<std::uint32_t>();
@@ -44,8 +44,8 @@
   RC_ASSERT(near);
 }
 
-// Cut anywhere, longer, of another version or an unknown kind: no message.
-TEST(Form, WhatIsMalformedIsNoMessage) {
+// Truncated anywhere, too long, of another version or of an unknown kind.
+TEST(MessageCodec, RejectsMalformedMessages) {
   for (int kind = 0; kind < 5; ++kind) {
     PeerMessage m;
     m.kind = static_cast<Kind>(kind);
@@ -61,21 +61,22 @@
   }
 }
 
-RC_GTEST_PROP(Form, AnyBytesAreReadOrRefused, (const std::string& bytes)) { (void)decode(bytes); }
+RC_GTEST_PROP(MessageCodec, DecodesOrRejectsAnyBytes, (const std::string& bytes)) { (void)decode(bytes); }
 
-TEST(Ledger, AddsUpWhatOthersHaveOut) {
+TEST(BackendLedger, AddsUpTheLoadOfOtherPeers) {
   BackendLedger ledger;
   ledger.update(1, load_update(2), 0);
   ledger.update(2, load_update(3), 0);
-  ledger.update(1, load_update(1), 10);  // the newer word counts
+  ledger.update(1, load_update(1), 10);  // replaces the first update
   EXPECT_EQ(ledger.load_for(1, 0, 20).held, 3);
   EXPECT_EQ(ledger.load_for(2, 0, 20).held, 1);
   EXPECT_EQ(ledger.load_for(3, 0, 20).held, 4);
-  EXPECT_EQ(ledger.load_for(3, 0, 5000).held, 0) << "old word is no word";
+  EXPECT_EQ(ledger.load_for(3, 0, 5000).held, 0) << "an old update does not count";
 }
 
-// From answer_lost days: lost attempts filled a backend's bound for seconds while it stood idle.
-TEST(Ledger, WhatMoreAnswersOvertookThanWereBeforeItIsLost) {
+// Guards against attempts whose responses were lost: they filled a backend's bound for seconds while it was
+// idle.
+TEST(BackendLedger, DropsAttemptsOvertakenByMoreAnswersThanWereInFlight) {
   BackendLedger ledger;
   ledger.update(1, load_update(1), 0);
   for (int n = 0; n < 2; ++n) {
@@ -85,36 +86,37 @@
   EXPECT_EQ(ledger.load_for(9, 0, 3).held, 0);
 }
 
-// Promises of a fixed weight made every backend look full where many ask and few send.
-TEST(Ledger, WhoAsksCountsAsOftenAsThoseWhoAskDoSend) {
-  BackendLedger idle_talk;
-  BackendLedger earnest;
+// Guards against reservations of a fixed weight: where many peers query and few send, every backend looked
+// full.
+TEST(BackendLedger, CountsAQueryWithTheShareOfQueriesFollowedByAnAttempt) {
+  BackendLedger mere_queries;
+  BackendLedger queries_with_attempts;
   for (int n = 0; n < 400; ++n) {
-    idle_talk.load_for(1, 100, n);
-    earnest.load_for(1, 100, n);
-    earnest.update(1, load_update(0), n);
+    mere_queries.load_for(1, 100, n);
+    queries_with_attempts.load_for(1, 100, n);
+    queries_with_attempts.update(1, load_update(0), n);
   }
-  idle_talk.load_for(1, 100, 400);
-  earnest.load_for(1, 100, 400);
-  EXPECT_LT(idle_talk.load_for(2, 100, 401).held, 0.05);
-  EXPECT_GT(earnest.load_for(2, 100, 401).held, 0.8);
+  mere_queries.load_for(1, 100, 400);
+  queries_with_attempts.load_for(1, 100, 400);
+  EXPECT_LT(mere_queries.load_for(2, 100, 401).held, 0.05);
+  EXPECT_GT(queries_with_attempts.load_for(2, 100, 401).held, 0.8);
 }
 
-TEST(Ledger, SpeedIsTheMeanOfWhatAllTell) {
+TEST(BackendLedger, RatioIsTheMeanOverAllUpdates) {
   BackendLedger ledger;
   for (int n = 0; n < 200; ++n)
     ledger.update(n % 7, load_update(0, Ending::kAnswered, n % 2 == 0 ? 1 : 3), n);
   EXPECT_NEAR(ledger.load_for(9, 0, 200).ratio, 2, 0.4);
 }
 
-TEST(Rates, AreAddedUpAndForgotten) {
+TEST(RateLedger, AddsUpRatesAndDropsOldOnes) {
   RateLedger ledger;
   ledger.update(1, 10, 0);
   ledger.update(2, 5, 0);
   ledger.update(1, 20, 1000);
   EXPECT_EQ(ledger.total(), 25);
   ledger.update(1, 20, 3000);
-  EXPECT_EQ(ledger.total(), 20) << "node 2 has told nothing for long";
+  EXPECT_EQ(ledger.total(), 20) << "the rate of peer 2 is outdated";
 }
 
 }  // namespace
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -1,5 +1,5 @@
-// Subsets by property (RapidCheck): evenness, bounded movement, never empty while anybody is ready, and the
-// same for every order of the list.
+// Properties of subsets: backends are held evenly, few move when the list changes, no subset is empty while
+// any backend is ready, and the result does not depend on the order of the list.
 #include "subset/subset.h"
 
 #include <gtest/gtest.h>
@@ -25,8 +25,9 @@
   return backends;
 }
 
-// Whatever the numbers of nodes and backends: no backend is held by none, nor by twice as many nodes as
-// another, once there is a whole round; a lot is over the mean by no more than the slack and one backend.
+// For any number of nodes and backends: once there is a whole round, every backend is held by a node and by
+// less than twice as many as any other, and no shard is larger than the mean by more than the slack and one
+// backend.
 TEST(Shards, EveryBackendIsHeldByAlmostEquallyManyNodes) {
   ASSERT_TRUE(rc::check([] {
     const int count = *rc::gen::inRange(1, 1500);
@@ -60,8 +61,8 @@
   }));
 }
 
-TEST(Shards, GiveEachItsPartOfEveryZone) {
-  // One zone has 80%, and a small one fewer backends than there are lots.
+TEST(Shards, EachShardHoldsItsPartOfEveryZone) {
+  // One zone has 80%, and a small one has fewer backends than there are shards.
   std::vector<Backend> backends;
   for (int n = 0; n < 2000; ++n)
     backends.push_back({hash_of(name_of(n)), n < 1600 ? 0 : n < 1990 ? 1 : 2, 1});
@@ -91,15 +92,15 @@
   }));
 }
 
-// One backend more or less moves few others: over all lots, on average under six for the slack of 0.25 (the
-// published bound is of the order of 1/slack^2 = 16), and never everything.
+// Removing a backend moves few others between shards: over all shards under six on average for a slack of
+// 0.25 (the published bound is of the order of 1/slack^2 = 16), and never all.
 TEST(Shards, RemovingABackendMovesFewOthers) {
   double moved = 0;
   int worst = 0;
-  constexpr int kTries = 200;
+  constexpr int kRemovals = 200;
   const auto backends = make_backends(2000, 3);
   const auto before = assign_to_shards(backends, 64, 9, 0.25);
-  for (int n = 0; n < kTries; ++n) {
+  for (int n = 0; n < kRemovals; ++n) {
     auto fewer = backends;
     fewer.erase(fewer.begin() + n * 10);
     const auto after = assign_to_shards(fewer, 64, 9, 0.25);
@@ -110,11 +111,11 @@
     moved += changed;
     worst = std::max(worst, changed);
   }
-  EXPECT_LE(moved / kTries, 6);
+  EXPECT_LE(moved / kRemovals, 6);
   EXPECT_LE(worst, 200);
 }
 
-TEST(Shards, StayWhenNodesComeAndGo) {
+TEST(Shards, AssignmentsStayWhenNodesComeAndGo) {
   Options options;
   for (const int index : {0, 3, 9}) {
     Place ten{1, index, 10};
@@ -128,9 +129,9 @@
   }
 }
 
-// Events at random: the subset says just what changed, holds ready backends only, and is empty only when
-// nobody is ready.
-TEST(Subset, FollowsTheFleetAndIsNeverEmptyWhileAnybodyIsReady) {
+// Random events: update() returns exactly what changed, and the subset holds only ready backends and is empty
+// only when none is ready.
+TEST(Subset, FollowsTheFleetAndIsNeverEmptyWhileABackendIsReady) {
   ASSERT_TRUE(rc::check([] {
     Options options;
     options.target = *rc::gen::inRange(1, 12);
@@ -138,7 +139,7 @@
     if (*rc::gen::arbitrary<bool>()) place.index = *rc::gen::inRange(0, 9), place.nodes = 10;
     Subset subset(options, place);
     std::map<std::string, ListEntry> fleet;
-    std::set<std::string> told;
+    std::set<std::string> expected;
     const int steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step < steps; ++step) {
       const int events = *rc::gen::inRange(1, 8);
@@ -160,10 +161,10 @@
         }
       }
       const Change change = subset.update();
-      for (const std::string& id : change.removed) RC_ASSERT(told.erase(id) == 1);
-      for (const std::string& id : change.added) RC_ASSERT(told.insert(id).second);
+      for (const std::string& id : change.removed) RC_ASSERT(expected.erase(id) == 1);
+      for (const std::string& id : change.added) RC_ASSERT(expected.insert(id).second);
       const auto members = subset.members();
-      RC_ASSERT(told == std::set<std::string>(members.begin(), members.end()));
+      RC_ASSERT(expected == std::set<std::string>(members.begin(), members.end()));
       const bool any = std::any_of(fleet.begin(), fleet.end(), [](const auto& f) { return f.second.ready; });
       RC_ASSERT(members.empty() == !any);
       for (const std::string& id : members) RC_ASSERT(fleet.at(id).ready);
@@ -195,9 +196,9 @@
   }));
 }
 
-// All of its backends drain in one deploy, or stop answering: it borrows, and gives back when its own are
-// there again.
-TEST(Subset, BorrowsWhileItsOwnAreAway) {
+// Guards against a subset without capacity when all its backends drain in one deploy or stop answering: it
+// borrows from other shards, and returns to its own backends when they are back.
+TEST(Subset, BorrowsWhileItsOwnBackendsAreAway) {
   Options options;
   options.target = 10;
   Subset subset(options, {hash_of("n"), 1, 16});
@@ -218,11 +219,11 @@
   EXPECT_EQ(back, wanted);
   for (const std::string& id : own) subset.set_answering(id, false);
   change = subset.update();
-  EXPECT_TRUE(change.removed.empty());  // whether they are well is for the module to find out
+  EXPECT_TRUE(change.removed.empty());  // the policy judges their health
   EXPECT_GE(subset.borrowed(), 5U);
   for (int n = 0; n < 80; ++n) subset.set_answering(name_of(n), false);
   subset.update();
-  EXPECT_EQ(subset.members().size(), 80U);  // nobody answers: everybody is tried
+  EXPECT_EQ(subset.members().size(), 80U);  // none answers: all are tried
 }
 
 }  // namespace
