--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -25,9 +25,8 @@
   return backends;
 }
 
-// For any number of nodes and backends: once there is a whole round, every backend is held by a node and by
-// less than twice as many as any other, and no shard is larger than the mean by more than the slack and one
-// backend.
+// For any number of nodes and backends: each backend is held by as many nodes as there are whole rounds, or
+// by one more, and no shard is larger than the mean by more than the slack and one backend.
 TEST(Shards, EveryBackendIsHeldByAlmostEquallyManyNodes) {
   ASSERT_TRUE(rc::check([] {
     const int count = *rc::gen::inRange(1, 1500);
