--- a/src/estimate/backends.h
+++ b/src/estimate/backends.h
@@ -22,8 +22,8 @@
   Millis warm_up = 0;            // a backend is warm at the latest this long after its start
   double cold_share = 1;         // least share of its full speed that a backend has at its start
   double nodes_per_backend = 1;  // nodes that send requests to each backend
-  bool peers_report_load =
-      false;                  // backends' owners report load and speed; else load reports and responses do
+  // Backends' owners report load and speed; else load reports and responses do.
+  bool peers_report_load = false;
   bool reports_rare = false;  // probes are too expensive, so a backend's load is reported once in seconds
 };
 
