--- a/src/node/policy_host.cpp
+++ b/src/node/policy_host.cpp
@@ -61,8 +61,8 @@
   open.over = open.over || pass;
   event.request_over = open.over;
   endpoints_.heard(event.backend, event.outcome);
-  room_.ended(event.outcome == Outcome::kTurnedAway);
-  if (load != nullptr) room_.reported(load->busy);
+  spare_capacity_.attempt_ended(event.outcome == Outcome::kTurnedAway);
+  if (load != nullptr) spare_capacity_.reported(load->busy);
   requests_.ended(request, open);
   feed(event, now);
   return pass ? Choice{Choice::Kind::kPass, request} : deferred_actions_.take(request, Choice::Kind::kHold);
--- a/src/node/policy_host.h
+++ b/src/node/policy_host.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "estimate/room.h"
+#include "estimate/spare_capacity.h"
 #include "node/class_numbers.h"
 #include "node/deferred_actions.h"
 #include "node/endpoint_list.h"
@@ -79,7 +79,7 @@
   using RetryAllowance = node::RetryAllowance;
   // From now on; with empty functions only the module's own bound counts.
   void bound_attempts(RetryAllowance retry_allowance, Millis now);
-  double room() const { return room_.value(); }  // share of the backends' capacity that is unused
+  double room() const { return spare_capacity_.value(); }  // share of the backends' capacity that is unused
 
   // Set by the host: called when something for tick() came up outside of it.
   void on_deferred_action(std::function<void()> wake) { wake_ = std::move(wake); }
@@ -111,7 +111,7 @@
   OpenRequests requests_;
   std::multimap<Millis, std::uint64_t> timers_;
   RetryAllowanceBound retry_allowance_;
-  estimate::Room room_;
+  estimate::SpareCapacity spare_capacity_;
   std::vector<Event> unsent_;  // attempts that could not be begun, to be told to the module
   DeferredActions deferred_actions_;
   std::function<void()> wake_;
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -3,7 +3,7 @@
 // sake.
 #pragma once
 
-#include "base/kept_median.h"
+#include "base/cached_median.h"
 #include "base/span_budget.h"
 #include "policy/lists.h"
 
@@ -89,8 +89,8 @@
 
   const Context& c_;
   const Lists& lists_;
-  Grown<std::vector<Record>> of_;
-  Grown<KeptMedian> medians_;
+  GrowingVector<std::vector<Record>> of_;
+  GrowingVector<CachedMedian> medians_;
   std::uint64_t outcomes_ = 0;  // judged so far
 };
 
@@ -103,10 +103,10 @@
   // Of a cold one.
   bool room(BackendId i) {
     const Settings& s = c_.settings;
-    const double capacity = known_.finishes(i, s.fall_span);
-    const double budget = kColdSafety * s.fall_multiple * known_.warmth(i) * capacity / c_.sharers;
-    const double open = budget * std::min(1.0, kColdTurn / known_.arrivals(s.fall_span));
-    return of_[i].room(budget, s.fall_span, open, c_.now);
+    const double capacity = known_.completions(i, s.fall_span);
+    const double budget = kColdSafety * s.fall_multiple * known_.warmth(i) * capacity / c_.nodes_per_backend;
+    const double open = budget * std::min(1.0, kColdTurn / known_.expected_arrivals(s.fall_span));
+    return of_[i].available(budget, s.fall_span, open, c_.now);
   }
   void sent(BackendId i) {
     if (known_.cold(i)) of_[i].spend(c_.now);
@@ -115,7 +115,7 @@
  private:
   Context& c_;
   const estimate::Backends& known_;
-  Grown<SpanBudget> of_;
+  GrowingVector<SpanBudget> of_;
 };
 
 }  // namespace shorelead::policy
