--- a/bench/lists/lists.cpp
+++ b/bench/lists/lists.cpp
@@ -9,8 +9,8 @@
 #include <string>
 
 #include "node/config.h"
-#include "node/facade.h"
 #include "node/list_reader.h"
+#include "node/policy_host.h"
 
 namespace {
 
--- a/bench/plans/sim.cpp
+++ b/bench/plans/sim.cpp
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-#include "boxes.h"
+#include "backends.h"
 #include "control.h"
 #include "events.h"
 #include "plans/coin.h"
--- a/fuzz/registry_fuzz.cpp
+++ b/fuzz/registry_fuzz.cpp
@@ -5,10 +5,10 @@
 #include <cstdlib>
 #include <string>
 
-#include "membership/kept_list.h"
 #include "membership/registry/follower.h"
 #include "membership/registry/messages.h"
 #include "membership/registry/writes.h"
+#include "membership/saved_list.h"
 
 using namespace shorelead::membership;
 
--- a/src/manage/figures.cpp
+++ b/src/manage/metrics.cpp
@@ -1,4 +1,4 @@
-#include "manage/figures.h"
+#include "manage/metrics.h"
 
 #include <string_view>
 
--- a/src/membership/kept_list.cpp
+++ b/src/membership/saved_list.cpp
@@ -1,5 +1,5 @@
 #define XXH_INLINE_ALL
-#include "membership/kept_list.h"
+#include "membership/saved_list.h"
 
 #include <xxhash.h>
 
--- a/src/node/intake.cpp
+++ b/src/node/acceptor.cpp
@@ -1,4 +1,4 @@
-#include "node/intake.h"
+#include "node/acceptor.h"
 
 #include <Poco/Net/ServerSocket.h>
 #include <spdlog/spdlog.h>
--- a/src/node/door.cpp
+++ b/src/node/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "node/door.h"
+#include "node/admin_server.h"
 
 #include <spdlog/spdlog.h>
 #include <sys/socket.h>
--- a/src/node/shore_affinity.cpp
+++ b/src/node/affinity_binding.cpp
@@ -1,4 +1,4 @@
-#include "node/shore_affinity.h"
+#include "node/affinity_binding.h"
 
 #include <algorithm>
 #include <array>
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "affinity/condition.h"
-#include "node/shore_words.h"
+#include "node/section_fields.h"
 
 namespace shorelead::node {
 namespace {
--- a/src/node/key_gate.cpp
+++ b/src/node/affinity_router.cpp
@@ -1,4 +1,4 @@
-#include "node/key_gate.h"
+#include "node/affinity_router.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/node/key_gate.h
+++ b/src/node/affinity_router.h
@@ -12,9 +12,9 @@
 
 #include "affinity/bindings.h"
 #include "fleet/port.h"
+#include "node/affinity_hold.h"
+#include "node/affinity_planner.h"
 #include "node/fleet_config.h"
-#include "node/hold.h"
-#include "node/key_planner.h"
 #include "node/net.h"
 #include "node/units.h"
 
--- a/src/node/affinity_words.cpp
+++ b/src/node/affinity_text.cpp
@@ -1,4 +1,4 @@
-#include "node/affinity_words.h"
+#include "node/affinity_text.h"
 
 #include <fmt/format.h>
 
--- a/src/node/link.cpp
+++ b/src/node/backend_connection.cpp
@@ -1,4 +1,4 @@
-#include "node/link.h"
+#include "node/backend_connection.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,9 +6,9 @@
 
 #include "node/connecting.h"
 #include "node/connections.h"
-#include "node/long_answers.h"
 #include "node/recorder.h"
 #include "node/request_head.h"
+#include "node/streamed_responses.h"
 
 namespace shorelead::node {
 namespace {
--- a/src/node/box_source.cpp
+++ b/src/node/backend_source.cpp
@@ -1,4 +1,4 @@
-#include "node/box_source.h"
+#include "node/backend_source.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/node/box_source.h
+++ b/src/node/backend_source.h
@@ -12,13 +12,13 @@
 
 #include "membership/registry/client.h"
 #include "membership/view.h"
-#include "node/birth_times.h"
 #include "node/config.h"
 #include "node/discovery.h"
 #include "node/discovery_lease.h"
-#include "node/kept_copy.h"
 #include "node/net.h"
-#include "node/watch_waits.h"
+#include "node/saved_list_copy.h"
+#include "node/start_times.h"
+#include "node/watch_backoff.h"
 
 namespace shorelead::node {
 
--- a/src/node/ban_keeper.cpp
+++ b/src/node/ban_list.cpp
@@ -1,4 +1,4 @@
-#include "node/ban_keeper.h"
+#include "node/ban_list.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/node/client.h
+++ b/src/node/client.h
@@ -6,14 +6,14 @@
 #include <memory>
 #include <string>
 
-#include "manage/figures.h"
+#include "manage/metrics.h"
 #include "net/flow.h"
-#include "node/answer_words.h"
+#include "node/error_responses.h"
 #include "node/guarded.h"
-#include "node/lingering.h"
+#include "node/lingering_close.h"
 #include "node/net.h"
-#include "node/passing.h"
-#include "node/upload.h"
+#include "node/request_body_forwarder.h"
+#include "node/response_forwarder.h"
 #include "policy/policy.h"
 
 namespace shorelead::node {
--- a/src/node/client_waits.cpp
+++ b/src/node/client_timeouts.cpp
@@ -1,4 +1,4 @@
-#include "node/client_waits.h"
+#include "node/client_timeouts.h"
 
 #include <algorithm>
 
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -14,8 +14,8 @@
 
 #include "membership/registry/client.h"
 #include "membership/view.h"
-#include "node/facade.h"
 #include "node/fleet_config.h"
+#include "node/policy_host.h"
 #include "routing/plan.h"
 #include "settings/settings.h"
 
--- a/src/node/reloads.cpp
+++ b/src/node/config_reloader.cpp
@@ -1,4 +1,4 @@
-#include "node/reloads.h"
+#include "node/config_reloader.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/node/connecting.h
+++ b/src/node/connecting.h
@@ -2,8 +2,8 @@
 // machine could not begin. Owns what was learnt of both; it must never write a request.
 #pragma once
 
-#include "node/link.h"
-#include "node/link_lessons.h"
+#include "node/backend_connection.h"
+#include "node/connection_statistics.h"
 #include "node/local_failures.h"
 
 namespace shorelead::node {
--- a/src/node/link_lessons.cpp
+++ b/src/node/connection_statistics.cpp
@@ -1,4 +1,4 @@
-#include "node/link_lessons.h"
+#include "node/connection_statistics.h"
 
 #include <algorithm>
 #include <cstddef>
--- a/src/node/connections.h
+++ b/src/node/connections.h
@@ -8,8 +8,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "node/link.h"
-#include "node/link_lessons.h"
+#include "node/backend_connection.h"
+#include "node/connection_statistics.h"
 
 namespace shorelead::node {
 
--- a/src/node/difference.cpp
+++ b/src/node/difference.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <sstream>
 
-#include "node/fleet_words.h"
+#include "node/fleet_text.h"
 
 namespace shorelead::node {
 namespace {
--- a/src/node/roster.cpp
+++ b/src/node/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "node/roster.h"
+#include "node/endpoint_list.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/node/roster.h
+++ b/src/node/endpoint_list.h
@@ -12,7 +12,7 @@
 
 #include "manage/bans.h"
 #include "membership/member.h"
-#include "node/drawn_part.h"
+#include "node/subset_selection.h"
 #include "node/units.h"
 #include "policy/policy.h"
 #include "settings/settings.h"
--- a/src/node/answer_words.cpp
+++ b/src/node/error_responses.cpp
@@ -1,4 +1,4 @@
-#include "node/answer_words.h"
+#include "node/error_responses.h"
 
 #include <array>
 #include <cstdio>
--- a/src/node/explain.cpp
+++ b/src/node/explain.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <optional>
 
-#include "node/affinity_words.h"
+#include "node/affinity_text.h"
 #include "node/fleet_rules.h"
-#include "node/fleet_words.h"
+#include "node/fleet_text.h"
 #include "plans/order.h"
 
 namespace shorelead::node {
--- a/src/node/fleet_gate.cpp
+++ b/src/node/fleet_admission.cpp
@@ -1,4 +1,4 @@
-#include "node/fleet_gate.h"
+#include "node/fleet_admission.h"
 
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <numeric>
 #include <utility>
 
-#include "node/answer_words.h"
+#include "node/error_responses.h"
 #include "plans/coin.h"
 
 namespace shorelead::node {
--- a/src/node/fleet_gates.cpp
+++ b/src/node/fleet_admissions.cpp
@@ -1,4 +1,4 @@
-#include "node/fleet_gates.h"
+#include "node/fleet_admissions.h"
 
 #include <unistd.h>
 
--- a/src/node/fleet_gates.h
+++ b/src/node/fleet_admissions.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "node/config.h"
-#include "node/fleet_gate.h"
+#include "node/fleet_admission.h"
 #include "node/net.h"
-#include "node/traffic.h"
+#include "node/routing_snapshot.h"
 
 namespace shorelead::node {
 
--- a/src/node/shore_fleet.cpp
+++ b/src/node/fleet_binding.cpp
@@ -1,10 +1,10 @@
-#include "node/shore_fleet.h"
+#include "node/fleet_binding.h"
 
 #include <algorithm>
 #include <cctype>
 
-#include "node/shore_affinity.h"
-#include "node/shore_words.h"
+#include "node/affinity_binding.h"
+#include "node/section_fields.h"
 
 namespace shorelead::node {
 namespace {
--- a/src/node/fleet_words.cpp
+++ b/src/node/fleet_text.cpp
@@ -1,8 +1,8 @@
-#include "node/fleet_words.h"
+#include "node/fleet_text.h"
 
 #include <fmt/format.h>
 
-#include "node/affinity_words.h"
+#include "node/affinity_text.h"
 
 namespace shorelead::node {
 
--- a/src/node/front.h
+++ b/src/node/front.h
@@ -12,15 +12,15 @@
 #include <unordered_set>
 
 #include "manage/drain.h"
-#include "manage/figures.h"
+#include "manage/metrics.h"
+#include "node/acceptor.h"
 #include "node/client.h"
-#include "node/client_waits.h"
+#include "node/client_timeouts.h"
 #include "node/config.h"
-#include "node/facade.h"
-#include "node/intake.h"
-#include "node/readings.h"
+#include "node/policy_host.h"
 #include "node/recorder.h"
-#include "node/traffic.h"
+#include "node/request_classifier.h"
+#include "node/routing_snapshot.h"
 
 namespace shorelead::node {
 
--- a/src/node/generations.h
+++ b/src/node/generations.h
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "node/config.h"
-#include "node/fleet_gates.h"
+#include "node/fleet_admissions.h"
 #include "node/net.h"
 #include "node/pool.h"
-#include "node/traffic.h"
+#include "node/routing_snapshot.h"
 
 namespace shorelead::node {
 
--- a/src/node/departure.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -1,4 +1,4 @@
-#include "node/departure.h"
+#include "node/graceful_shutdown.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/node/succession.cpp
+++ b/src/node/hot_restart.cpp
@@ -1,4 +1,4 @@
-#include "node/succession.h"
+#include "node/hot_restart.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/node/shore.cpp
+++ b/src/node/language_binding.cpp
@@ -1,13 +1,13 @@
-#include "node/shore.h"
+#include "node/language_binding.h"
 
 #include <algorithm>
 #include <cctype>
 #include <charconv>
 #include <cstdlib>
 
-#include "node/shore_fleet.h"
-#include "node/shore_parts.h"
-#include "node/shore_words.h"
+#include "node/fleet_binding.h"
+#include "node/pool_route_binding.h"
+#include "node/section_fields.h"
 
 namespace shorelead::node {
 namespace {
--- a/src/node/list_text.cpp
+++ b/src/node/list_text.cpp
@@ -1,7 +1,7 @@
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
-#include "node/roster.h"
+#include "node/endpoint_list.h"
 
 namespace shorelead::node {
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -18,9 +18,9 @@
 #include "node/config.h"
 #include "node/difference.h"
 #include "node/explain.h"
+#include "node/language_binding.h"
 #include "node/migrate.h"
 #include "node/serve.h"
-#include "node/shore.h"
 
 namespace {
 
--- a/src/node/open_requests.h
+++ b/src/node/open_requests.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "guard/guard.h"
-#include "node/hold.h"
-#include "node/roster.h"
+#include "node/affinity_hold.h"
+#include "node/endpoint_list.h"
 
 namespace shorelead::node {
 
--- a/src/node/own.cpp
+++ b/src/node/platform_file.cpp
@@ -1,4 +1,4 @@
-#include "node/own.h"
+#include "node/platform_file.h"
 
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
--- a/src/node/facade.cpp
+++ b/src/node/policy_host.cpp
@@ -1,4 +1,4 @@
-#include "node/facade.h"
+#include "node/policy_host.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/node/facade.h
+++ b/src/node/policy_host.h
@@ -11,11 +11,11 @@
 
 #include "estimate/room.h"
 #include "node/class_numbers.h"
-#include "node/errands.h"
-#include "node/further.h"
+#include "node/deferred_actions.h"
+#include "node/endpoint_list.h"
 #include "node/net.h"
 #include "node/open_requests.h"
-#include "node/roster.h"
+#include "node/retry_allowance.h"
 #include "policy/policy.h"
 #include "settings/settings.h"
 
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -11,10 +11,10 @@
 #include <unordered_map>
 
 #include "limits/descriptors.h"
-#include "node/box_source.h"
+#include "node/backend_source.h"
 #include "node/config.h"
-#include "node/facade.h"
 #include "node/net.h"
+#include "node/policy_host.h"
 #include "node/pool_counters.h"
 #include "node/pool_record.h"
 #include "node/upstream.h"
--- a/src/node/shore_pool.cpp
+++ b/src/node/pool_binding.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 
-#include "node/shore_parts.h"
-#include "node/shore_words.h"
+#include "node/pool_route_binding.h"
+#include "node/section_fields.h"
 
 namespace shorelead::node {
 namespace {
--- a/src/node/pool_counters.h
+++ b/src/node/pool_counters.h
@@ -8,8 +8,8 @@
 #include <string>
 
 #include "node/counts_text.h"
-#include "node/drawn_part.h"
 #include "node/net.h"
+#include "node/subset_selection.h"
 
 namespace shorelead::node {
 
--- a/src/node/pool_record.h
+++ b/src/node/pool_record.h
@@ -7,7 +7,7 @@
 
 #include "guard/listed_record.h"
 #include "manage/bans.h"
-#include "node/facade.h"
+#include "node/policy_host.h"
 #include "node/recorder.h"
 #include "node/request_rules.h"
 #include "node/upstream.h"
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -4,7 +4,7 @@
 
 #include <utility>
 
-#include "node/fleet_gate.h"
+#include "node/fleet_admission.h"
 #include "node/pool.h"
 
 namespace shorelead::node {
--- a/src/node/readiness.h
+++ b/src/node/readiness.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "node/net.h"
-#include "node/traffic.h"
+#include "node/routing_snapshot.h"
 
 namespace shorelead::node {
 
--- a/src/node/recorder.h
+++ b/src/node/recorder.h
@@ -9,7 +9,7 @@
 #include "guard/checker.h"
 #include "guard/event_log.h"
 #include "guard/guard.h"
-#include "manage/figures.h"
+#include "manage/metrics.h"
 #include "node/net.h"
 #include "policy/policy.h"
 
--- a/src/node/upload.cpp
+++ b/src/node/request_body_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "node/upload.h"
+#include "node/request_body_forwarder.h"
 
 #include <utility>
 
--- a/src/node/readings.cpp
+++ b/src/node/request_classifier.cpp
@@ -1,4 +1,4 @@
-#include "node/readings.h"
+#include "node/request_classifier.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/node/readings.h
+++ b/src/node/request_classifier.h
@@ -7,9 +7,9 @@
 #include <optional>
 #include <vector>
 
-#include "node/facade.h"
 #include "node/net.h"
-#include "node/traffic.h"
+#include "node/policy_host.h"
+#include "node/routing_snapshot.h"
 
 namespace shorelead::node {
 
--- a/src/node/desk.cpp
+++ b/src/node/request_table.cpp
@@ -1,4 +1,4 @@
-#include "node/desk.h"
+#include "node/request_table.h"
 
 #include <string_view>
 #include <utility>
--- a/src/node/desk.h
+++ b/src/node/request_table.h
@@ -8,11 +8,11 @@
 #include <memory>
 #include <unordered_map>
 
-#include "node/answer_words.h"
-#include "node/facade.h"
-#include "node/fleet_gate.h"
+#include "node/error_responses.h"
+#include "node/fleet_admission.h"
+#include "node/policy_host.h"
 #include "node/pool.h"
-#include "node/traffic.h"
+#include "node/routing_snapshot.h"
 
 namespace shorelead::node {
 
--- a/src/node/passing.cpp
+++ b/src/node/response_forwarder.cpp
@@ -1,11 +1,11 @@
-#include "node/passing.h"
+#include "node/response_forwarder.h"
 
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "node/answer_words.h"
+#include "node/error_responses.h"
 
 namespace shorelead::node {
 
--- a/src/node/shore_routes.cpp
+++ b/src/node/route_binding.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "node/shore_parts.h"
-#include "node/shore_words.h"
+#include "node/pool_route_binding.h"
+#include "node/section_fields.h"
 
 namespace shorelead::node {
 namespace {
--- a/src/node/kept_copy.cpp
+++ b/src/node/saved_list_copy.cpp
@@ -1,4 +1,4 @@
-#include "node/kept_copy.h"
+#include "node/saved_list_copy.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/node/kept_copy.h
+++ b/src/node/saved_list_copy.h
@@ -7,10 +7,10 @@
 #include <optional>
 #include <string>
 
-#include "membership/kept_list.h"
+#include "membership/saved_list.h"
 #include "membership/view.h"
+#include "node/endpoint_list.h"
 #include "node/net.h"
-#include "node/roster.h"
 
 namespace shorelead::node {
 
--- a/src/node/shore_words.cpp
+++ b/src/node/section_fields.cpp
@@ -1,4 +1,4 @@
-#include "node/shore_words.h"
+#include "node/section_fields.h"
 
 #include <algorithm>
 #include <cctype>
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -12,10 +12,10 @@
 #include <system_error>
 #include <thread>
 
+#include "node/language_binding.h"
 #include "node/log_output.h"
-#include "node/own.h"
+#include "node/platform_file.h"
 #include "node/server.h"
-#include "node/shore.h"
 
 namespace shorelead::node {
 namespace {
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -10,19 +10,19 @@
 #include <vector>
 
 #include "manage/calls.h"
-#include "node/ban_keeper.h"
+#include "node/admin_server.h"
+#include "node/ban_list.h"
 #include "node/config.h"
-#include "node/departure.h"
+#include "node/config_reloader.h"
 #include "node/descriptor_room.h"
-#include "node/desk.h"
-#include "node/door.h"
 #include "node/front.h"
 #include "node/generations.h"
+#include "node/graceful_shutdown.h"
+#include "node/hot_restart.h"
 #include "node/net.h"
 #include "node/readiness.h"
 #include "node/recorder.h"
-#include "node/reloads.h"
-#include "node/succession.h"
+#include "node/request_table.h"
 
 namespace shorelead::node {
 
--- a/src/node/birth_times.h
+++ b/src/node/start_times.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "node/roster.h"
+#include "node/endpoint_list.h"
 
 namespace shorelead::node {
 
--- a/src/node/long_answers.cpp
+++ b/src/node/streamed_responses.cpp
@@ -1,4 +1,4 @@
-#include "node/long_answers.h"
+#include "node/streamed_responses.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/node/long_answers.h
+++ b/src/node/streamed_responses.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <unordered_set>
 
-#include "node/link.h"
+#include "node/backend_connection.h"
 
 namespace shorelead::node {
 
--- a/src/node/drawn_part.cpp
+++ b/src/node/subset_selection.cpp
@@ -1,4 +1,4 @@
-#include "node/drawn_part.h"
+#include "node/subset_selection.h"
 
 #include <string_view>
 #include <unordered_set>
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -4,11 +4,11 @@
 #include <utility>
 
 #include "node/connecting.h"
+#include "node/connection_statistics.h"
 #include "node/connections.h"
-#include "node/link_lessons.h"
-#include "node/long_answers.h"
 #include "node/outcome.h"
 #include "node/recorder.h"
+#include "node/streamed_responses.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/affinity/shore_test.cpp
+++ b/tests/affinity/shore_test.cpp
@@ -1,7 +1,5 @@
 // Rules of affinity from the text of a configuration: refused with file, line and reason; what explain and
 // diff say of them.
-#include "node/shore.h"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,6 +7,7 @@
 
 #include "node/difference.h"
 #include "node/explain.h"
+#include "node/language_binding.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -12,10 +12,10 @@
 #include <tuple>
 
 #include "node/difference.h"
+#include "node/language_binding.h"
 #include "node/list_reader.h"
 #include "node/migrate.h"
-#include "node/own.h"
-#include "node/shore.h"
+#include "node/platform_file.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/link_lessons_test.cpp
+++ b/tests/connection_statistics_test.cpp
@@ -1,5 +1,5 @@
 // What connections to backends teach: which ages are good, and how long one may take to come up.
-#include "node/link_lessons.h"
+#include "node/connection_statistics.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/crossings/endings_test.cpp
+++ b/tests/crossings/endings_test.cpp
@@ -2,7 +2,7 @@
 // the facade and the module behind it decide.
 #include <gtest/gtest.h>
 
-#include "node/facade.h"
+#include "node/policy_host.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/crossings/lists_fleet.h
+++ b/tests/crossings/lists_fleet.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "base/random.h"
-#include "node/watch_waits.h"
+#include "node/watch_backoff.h"
 #include "policy/policy.h"
 
 namespace shorelead::node {
--- a/tests/crossings/settings_world.h
+++ b/tests/crossings/settings_world.h
@@ -4,7 +4,7 @@
 
 #include "crossings/settings_judge.h"
 #include "node/config.h"
-#include "node/facade.h"
+#include "node/policy_host.h"
 
 namespace shorelead::node {
 
--- a/tests/faults/accept_test.cpp
+++ b/tests/faults/accept_test.cpp
@@ -8,8 +8,8 @@
 
 #include "faults/fault_plan.h"
 #include "handover/handover.h"
-#include "node/door.h"
-#include "node/intake.h"
+#include "node/acceptor.h"
+#include "node/admin_server.h"
 #include "peer.h"
 
 namespace shorelead::node {
--- a/tests/faults/bans_test.cpp
+++ b/tests/faults/bans_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "faults/fault_plan.h"
-#include "node/ban_keeper.h"
+#include "node/ban_list.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/fleet_gates_test.cpp
+++ b/tests/fleet_admissions_test.cpp
@@ -1,6 +1,6 @@
 // One node has one reserve: through reloads that make another gate, and through processes that replace one
 // another, however these end. The store is away throughout, so that the reserve is all there is.
-#include "node/fleet_gates.h"
+#include "node/fleet_admissions.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 #include <string>
 #include <thread>
 
-#include "node/shore.h"
+#include "node/language_binding.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/fleet_node_test.cpp
+++ b/tests/fleet_node_test.cpp
@@ -2,9 +2,9 @@
 // with what is left of further attempts.
 #include <gtest/gtest.h>
 
-#include "node/facade.h"
 #include "node/fleet_rules.h"
-#include "node/shore.h"
+#include "node/language_binding.h"
+#include "node/policy_host.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/full_tables_test.cpp
+++ b/tests/full_tables_test.cpp
@@ -1,7 +1,7 @@
 // Which connections are closed when one could not be had: on sockets none, as a full table answers.
 #include <gtest/gtest.h>
 
-#include "node/facade.h"
+#include "node/policy_host.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/home_test.cpp
+++ b/tests/home_test.cpp
@@ -4,7 +4,7 @@
 
 #include <set>
 
-#include "node/facade.h"
+#include "node/policy_host.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/keys_node_test.cpp
+++ b/tests/keys_node_test.cpp
@@ -10,9 +10,9 @@
 #include <thread>
 
 #include "fleet/fleet_bench.h"
-#include "keys_boxes.h"
+#include "keys_backends.h"
+#include "node/language_binding.h"
 #include "node/server.h"
-#include "node/shore.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/manage/manage_test.cpp
+++ b/tests/manage/manage_test.cpp
@@ -8,7 +8,7 @@
 #include "manage/bans.h"
 #include "manage/calls.h"
 #include "manage/drain.h"
-#include "manage/figures.h"
+#include "manage/metrics.h"
 
 namespace shorelead::manage {
 namespace {
--- a/tests/membership/kept_list_test.cpp
+++ b/tests/membership/saved_list_test.cpp
@@ -1,5 +1,5 @@
 // The last good list on disk: whole or refused with its cause, whatever became of the file.
-#include "membership/kept_list.h"
+#include "membership/saved_list.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/tests/facade_test.cpp
+++ b/tests/policy_host_test.cpp
@@ -1,5 +1,5 @@
 // The facade: what each way to end means to the module shows in what the module does next.
-#include "node/facade.h"
+#include "node/policy_host.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/pools_test.cpp
+++ b/tests/pools_test.cpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <thread>
 
+#include "node/language_binding.h"
 #include "node/server.h"
-#include "node/shore.h"
 #include "peer.h"
 
 namespace shorelead::node {
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -9,7 +9,7 @@
 #include "base/random.h"
 #include "node/discovery.h"
 #include "node/list_stream.h"
-#include "node/watch_waits.h"
+#include "node/watch_backoff.h"
 #include "node_case.h"
 #include "peer.h"
 
