--- a/bench/lists/lists.cpp
+++ b/bench/lists/lists.cpp
@@ -1,5 +1,5 @@
 // What it costs a node to read a list, to take it in, and to follow a change of one box, with subsets and
-// without. No sockets: the facade alone.
+// without. No sockets: the policy host alone.
 #include <benchmark/benchmark.h>
 #include <rapidjson/document.h>
 
@@ -78,12 +78,12 @@
 void take_whole(benchmark::State& state, bool subsets) {
   const List list = read(whole(static_cast<int>(state.range(0))));
   Millis now = 1e12;
-  Facade facade(settings(), {}, 1, fleet(subsets));
-  facade.start({}, now);
+  PolicyHost policy_host(settings(), {}, 1, fleet(subsets));
+  policy_host.start({}, now);
   for (auto _ : state) {
     now += 200;
-    facade.report_list(list, ListSource::kWatch, now);
-    facade.tick(now);
+    policy_host.report_list(list, ListSource::kWatch, now);
+    policy_host.tick(now);
   }
 }
 
@@ -107,25 +107,25 @@
 
 void one_change(benchmark::State& state, bool subsets) {
   Millis now = 1e12;
-  Facade facade(settings(), {}, 1, fleet(subsets));
-  facade.start(read(whole(static_cast<int>(state.range(0)))), now);
+  PolicyHost policy_host(settings(), {}, 1, fleet(subsets));
+  policy_host.start(read(whole(static_cast<int>(state.range(0)))), now);
   Flapping box;
   for (auto _ : state) {
-    benchmark::DoNotOptimize(facade.report_list(box.next(), ListSource::kWatch, now));
+    benchmark::DoNotOptimize(policy_host.report_list(box.next(), ListSource::kWatch, now));
   }
 }
 
 void drawing(benchmark::State& state) {
   Millis now = 1e12;
-  Facade facade(settings(), {}, 1, fleet(true));
-  facade.start(read(whole(static_cast<int>(state.range(0)))), now);
+  PolicyHost policy_host(settings(), {}, 1, fleet(true));
+  policy_host.start(read(whole(static_cast<int>(state.range(0)))), now);
   Flapping box;
   for (auto _ : state) {
     state.PauseTiming();
-    facade.report_list(box.next(), ListSource::kWatch, now);
+    policy_host.report_list(box.next(), ListSource::kWatch, now);
     now += 200;
     state.ResumeTiming();
-    facade.tick(now);
+    policy_host.tick(now);
   }
 }
 
--- a/src/node/affinity_hold.h
+++ b/src/node/affinity_hold.h
@@ -13,7 +13,7 @@
   virtual void over(int place) = 0;      // nothing of it is under way any more
 };
 
-struct Hold {
+struct AffinityHold {
   std::shared_ptr<Holder> by;  // none: nobody counts
   int place = -1;
 
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -1,5 +1,5 @@
-// What the facade has for its host to do, from when it was decided until the host comes for it. Owns that
-// list; it must never decide, nor do any of it.
+// What the policy host has for its host to do, from when it was decided until the host comes for it. Owns
+// that list; it must never decide, nor do any of it.
 #pragma once
 
 #include <algorithm>
@@ -30,7 +30,7 @@
 };
 
 // What has fallen due, in the order in which it is to be done.
-struct Errands {
+struct DeferredActions {
   std::vector<Choice> choices;
   std::vector<std::pair<RequestId, int>> call_off;  // attempts that nobody waits for any more
   std::vector<BackendId> probes;
--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -40,29 +40,29 @@
     const bool ready = listener_.ready();
     return client.answer(ready ? 200 : 503, ready ? "ready" : "not ready", 0, false);
   }
-  Ask ask;
-  Way way;
+  RequestInfo info;
+  RequestRoute request_route;
   const char* cause = "";
-  const int refusal = readings_.read(message, loop_.now(), ask, way, cause);
+  const int refusal = readings_.read(message, loop_.now(), info, request_route, cause);
   if (refusal != 0) return client.answer(refusal, cause, 0, false);
   // Guards against another's request being taken for a repeat of this one, by a backend or by whoever reads
   // its records.
   if (!open_ids_.emplace(message.value("x-request-id")).second) {
     return client.answer(409, "a request with this X-Request-ID is open", 0, false);
   }
-  const Millis wait = ask.due;
+  const Millis wait = info.due;
   // From its last byte, which came with what was read last.
   client.wait = wait - std::min(kTransit, kTransitShare * wait);
-  ask.due = client.input_at + client.wait;
-  ask.body_comes = client.uploading();
+  info.due = client.input_at + client.wait;
+  info.body_comes = client.uploading();
   client.request = ++last_request_;
   waiting_[client.request] = &client;
-  client.class_name = way.traffic->names[static_cast<std::size_t>(way.request_class)];
+  client.class_name = request_route.traffic->names[static_cast<std::size_t>(request_route.request_class)];
   client.taken = false;
-  recorder_->taken(client.request, message.value("x-request-id"), client.input_at, ask.due);
+  recorder_->taken(client.request, message.value("x-request-id"), client.input_at, info.due);
   if (!client.uploading()) take(client);
   if (giving_up_) return refuse(client.request, {});  // it was sent nowhere
-  listener_.request(client.request, ask, way, client.message);
+  listener_.request(client.request, info, request_route, client.message);
 }
 
 void Front::go_by(std::shared_ptr<const Traffic> traffic) {
--- a/src/node/front.h
+++ b/src/node/front.h
@@ -36,7 +36,8 @@
 class Front : private Client::Host {
  public:
   struct Listener {
-    std::function<void(RequestId, const Ask&, const Way&, std::shared_ptr<const Message>)> request;
+    std::function<void(RequestId, const RequestInfo&, const RequestRoute&, std::shared_ptr<const Message>)>
+        request;
     std::function<void(RequestId)> gone;
     std::function<bool()> ready;
     std::function<bool()> crowded;                 // whether room is short
--- a/src/node/open_requests.cpp
+++ b/src/node/open_requests.cpp
@@ -69,9 +69,9 @@
   deadlines_.erase({open.due + kAfterDue, request});
   for (const BackendId backend : open.attempts) roster_.release(backend);
   if (open.home.kind == Unit::Kind::kBackend) roster_.release(open.home.backend);
-  const Hold hold = std::move(open.hold);
+  const AffinityHold affinity_hold = std::move(open.affinity_hold);
   requests_.erase(request);
-  hold.over();
+  affinity_hold.over();
 }
 
 }  // namespace shorelead::node
--- a/src/node/open_requests.h
+++ b/src/node/open_requests.h
@@ -24,7 +24,7 @@
     guard::RequestState rules{};  // as the settings said when it came
     bool may_have_run = false;    // an attempt that has ended
     Unit home{};
-    Hold hold{};
+    AffinityHold affinity_hold{};
     bool over = false;
 
     // As the guard is to know it.
@@ -32,7 +32,7 @@
       guard::RequestState state = rules;
       state.answered = over;
       state.may_have_run = may_have_run || out > 0;
-      state.slot_open = hold.may_send();
+      state.slot_open = affinity_hold.may_send();
       return state;
     }
   };
--- a/src/node/policy_host.h
+++ b/src/node/policy_host.h
@@ -21,7 +21,7 @@
 
 namespace shorelead::node {
 
-struct Ask {
+struct RequestInfo {
   int request_class = 0;
   int tenant = 0;
   Millis due = 0;
@@ -31,16 +31,17 @@
   bool body_comes =
       false;    // by parts: its time counts from body_whole(), and until then there is no due time
   Unit home{};  // where a rule of affinity keeps it
-  Hold hold{};
+  AffinityHold affinity_hold{};
 };
 
 enum class ListSource { kStored, kWatch };
 
-class Facade {
+class PolicyHost {
  public:
-  Facade(const Settings& settings, const HostSettings& host, std::uint64_t seed)
-      : Facade(settings, host, seed, FleetOptions()) {}
-  Facade(const Settings& settings, const HostSettings& host, std::uint64_t seed, const FleetOptions& fleet);
+  PolicyHost(const Settings& settings, const HostSettings& host, std::uint64_t seed)
+      : PolicyHost(settings, host, seed, FleetOptions()) {}
+  PolicyHost(const Settings& settings, const HostSettings& host, std::uint64_t seed,
+             const FleetOptions& fleet);
 
   // Call first, with the list that the node had before; empty where it had none.
   void start(const List& known, Millis now);
@@ -48,7 +49,7 @@
   // New settings count from now on; says the number that each of their classes has here.
   std::vector<int> adopt(const Settings& settings, const HostSettings& host, Millis now);
 
-  Choice pick(RequestId request, const Ask& ask, Millis now);
+  Choice pick(RequestId request, const RequestInfo& info, Millis now);
   Choice report(RequestId request, int attempt, Ending ending, Millis elapsed, const LoadReport* load,
                 Millis now);
   void report_probe(BackendId backend, Ending ending, Millis elapsed, const LoadReport* load, Millis now);
@@ -73,15 +74,15 @@
   // All that is out of it, whether the settings allow that or not; its answer, if it has none, is the
   // caller's.
   void call_off(RequestId request, Millis now);
-  Errands tick(Millis now);
+  DeferredActions tick(Millis now);
 
-  using Further = node::Further;
+  using RetryAllowance = node::RetryAllowance;
   // From now on; with empty functions only the module's own bound counts.
-  void bound_attempts(Further further, Millis now);
+  void bound_attempts(RetryAllowance retry_allowance, Millis now);
   double room() const { return room_.value(); }  // share of the backends' capacity that is unused
 
   // Set by the host: called when something for tick() came up outside of it.
-  void on_errand(std::function<void()> wake) { wake_ = std::move(wake); }
+  void on_deferred_action(std::function<void()> wake) { wake_ = std::move(wake); }
 
   std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return roster_.see(kind, unit); }
   const Roster& roster() const { return roster_; }
@@ -109,10 +110,10 @@
   Roster roster_;
   OpenRequests requests_;
   std::multimap<Millis, std::uint64_t> timers_;
-  FurtherBound further_;
+  RetryAllowanceBound retry_allowance_;
   estimate::Room room_;
   std::vector<Event> unsent_;  // attempts that could not be begun, to be told to the module
-  Errands errands_;
+  DeferredActions deferred_actions_;
   std::function<void()> wake_;
 };
 
--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -25,49 +25,50 @@
     : loop_(loop),
       config_(config),
       host_(std::move(host)),
-      facade_(config.settings, config.host, seed, config.fleet),
+      policy_host_(config.settings, config.host, seed, config.fleet),
       record_({loop, host_.recorder}) {
-  facade_.on_errand([this] {
+  policy_host_.on_deferred_action([this] {
     if (std::exchange(settling_, true)) return;
     loop_.later([this] { settle(); });
   });
   const auto purpose = [](bool probe) { return probe ? limits::Purpose::kProbe : limits::Purpose::kRequest; };
   upstream_ = std::make_unique<Upstream>(
       loop_, config.settings.connect_timeout, config.host.idle_timeout, config.host.settle, std::move(flows),
-      Upstream::Listener{
-          [this](RequestId request, int attempt, const Result& result) {
-            attempt_done(request, attempt, result);
-          },
-          [this](BackendId backend, const Result& result) {
-            counters_.probe_ended(facade_.host(backend), result.ending, result.elapsed);
-            record_.probed(facade_.host(backend), result, loop_.now());
-            facade_.report_probe(backend, result.ending, result.elapsed,
-                                 result.load ? &*result.load : nullptr, loop_.now());
-          },
-          [this, purpose](bool probe) { return host_.make_room(purpose(probe)); },
-          [this, purpose](bool probe) { return host_.keep(purpose(probe)); },
-          [this](RequestId request, BackendId backend, Millis now, guard::RequestState& state,
-                 guard::BackendState& there) {
-            facade_.describe(request, backend, now, state, there);
-            state.client_waits = host_.still_waits(request);
-          },
-          [this](BackendId backend, Millis now) { return record_.withdrawn(facade_.host(backend), now); },
-          host_.recorder});
+      Upstream::Listener{[this](RequestId request, int attempt, const Result& result) {
+                           attempt_done(request, attempt, result);
+                         },
+                         [this](BackendId backend, const Result& result) {
+                           counters_.probe_ended(policy_host_.host(backend), result.ending, result.elapsed);
+                           record_.probed(policy_host_.host(backend), result, loop_.now());
+                           policy_host_.report_probe(backend, result.ending, result.elapsed,
+                                                     result.load ? &*result.load : nullptr, loop_.now());
+                         },
+                         [this, purpose](bool probe) { return host_.make_room(purpose(probe)); },
+                         [this, purpose](bool probe) { return host_.keep(purpose(probe)); },
+                         [this](RequestId request, BackendId backend, Millis now, guard::RequestState& state,
+                                guard::BackendState& there) {
+                           policy_host_.describe(request, backend, now, state, there);
+                           state.client_waits = host_.still_waits(request);
+                         },
+                         [this](BackendId backend, Millis now) {
+                           return record_.withdrawn(policy_host_.host(backend), now);
+                         },
+                         host_.recorder});
   source_ = std::make_unique<BoxSource>(
       loop_, config, seed,
       BoxSource::Listener{[this](const List& list, ListSource from) {
                             record_.list(list);
-                            const auto unwanted = facade_.report_list(list, from, loop_.now());
+                            const auto unwanted = policy_host_.report_list(list, from, loop_.now());
                             for (const BackendId one : unwanted)
-                              record_.withdrawn_by(list.version, facade_.host(one));
+                              record_.withdrawn_by(list.version, policy_host_.host(one));
                             upstream_->withdraw(unwanted);
-                            for (const auto& one : facade_.take_restarted())
+                            for (const auto& one : policy_host_.take_restarted())
                               upstream_->restarted(one.backend, one.started);
                           },
-                          [this] { facade_.report_watch_ended(loop_.now()); },
+                          [this] { policy_host_.report_watch_ended(loop_.now()); },
                           [this](const ListValidity& validity) {
                             record_.validity(validity);
-                            facade_.report_validity(validity, loop_.now());
+                            policy_host_.report_validity(validity, loop_.now());
                           }});
 }
 
@@ -76,7 +77,7 @@
 void Pool::start() {
   const List known = source_->known();
   record_.list(known);
-  facade_.start(known, loop_.now());
+  policy_host_.start(known, loop_.now());
   source_->start();
 }
 
@@ -90,12 +91,12 @@
 
 void Pool::ban(const manage::BanSet& bans) {
   record_.bans(bans);
-  upstream_->withdraw(facade_.report_bans(bans, loop_.now()));
+  upstream_->withdraw(policy_host_.report_bans(bans, loop_.now()));
 }
 
 void Pool::body_whole(RequestId request, Millis due) {
   record_.body_whole(request, due);
-  facade_.body_whole(request, due);
+  policy_host_.body_whole(request, due);
 }
 
 bool Pool::serves_as(const PoolConfig& config) const { return same_making(config_, config); }
@@ -111,26 +112,26 @@
   config_.host = config.host;
   source_->adopt(config.settings);
   upstream_->adopt(config.settings.connect_timeout, config.host.idle_timeout, config.host.settle);
-  return facade_.adopt(config.settings, config.host, loop_.now());
+  return policy_host_.adopt(config.settings, config.host, loop_.now());
 }
 
 bool Pool::idle() const {
-  return open_.empty() && facade_.open_requests() == 0 && upstream_->connections() == upstream_->idle();
+  return open_.empty() && policy_host_.open_requests() == 0 && upstream_->connections() == upstream_->idle();
 }
 
-void Pool::request(RequestId request, const Ask& ask, std::shared_ptr<const Message> message) {
+void Pool::request(RequestId request, const RequestInfo& info, std::shared_ptr<const Message> message) {
   open_[request].message = std::move(message);
-  record_.request(request, facade_.settings(), ask);
-  carry_out(facade_.pick(request, ask, loop_.now()));
+  record_.request(request, policy_host_.settings(), info);
+  carry_out(policy_host_.pick(request, info, loop_.now()));
 }
 
 void Pool::gone(RequestId request) {
-  facade_.report_client_gone(request, loop_.now());
+  policy_host_.report_client_gone(request, loop_.now());
   close(request);
 }
 
 void Pool::call_off(RequestId request) {
-  facade_.call_off(request, loop_.now());
+  policy_host_.call_off(request, loop_.now());
   if (open_.count(request) == 0) return;
   host_.fail(request, 502);
   close(request);
@@ -144,7 +145,7 @@
 // Its way broke off within this node: nothing more of it is sent, and it is answered as failed.
 void Pool::abandon(RequestId request) {
   record_.threw(request);
-  facade_.call_off(request, loop_.now());
+  policy_host_.call_off(request, loop_.now());
   host_.fail(request, 500);
   close(request);
 }
@@ -159,8 +160,8 @@
         return attempt_done(choice.request, choice.attempt, result);
       }
       counters_.attempt_sent();
-      record_.decided(choice, facade_.host(choice.backend));
-      upstream_->send(choice.request, choice.attempt, choice.backend, facade_.dial(choice.backend),
+      record_.decided(choice, policy_host_.host(choice.backend));
+      upstream_->send(choice.request, choice.attempt, choice.backend, policy_host_.dial(choice.backend),
                       choice.until, it->second.message, choice.begin_by);
       break;
     case Choice::Kind::kRefuse:
@@ -189,7 +190,7 @@
 // Does what fell due, and sees to it that the next is not missed.
 void Pool::settle() {
   settling_ = false;
-  const Errands due = facade_.tick(loop_.now());
+  const DeferredActions due = policy_host_.tick(loop_.now());
   upstream_->withdraw(due.unwanted);
   upstream_->close_unused(due.crowded);
   for (const Choice& choice : due.choices) carry_out(choice);
@@ -211,11 +212,11 @@
   if (left_) {
     // By whoever has its boxes now. Not from within settle(), which the answer would call.
     loop_.later(
-        [this, backend] { facade_.report_probe(backend, Ending::kNotSent, 0, nullptr, loop_.now()); });
+        [this, backend] { policy_host_.report_probe(backend, Ending::kNotSent, 0, nullptr, loop_.now()); });
     return;
   }
   counters_.probe_sent();
-  upstream_->probe(backend, facade_.dial(backend));
+  upstream_->probe(backend, policy_host_.dial(backend));
 }
 
 void Pool::attempt_done(RequestId request, int attempt, const Result& result) {
@@ -227,8 +228,8 @@
   counters_.attempt_ended(request, attempt, result.ending, result.elapsed);
   const auto it = open_.find(request);
   if (it != open_.end()) it->second.last = result.ending;
-  const Choice choice = facade_.report(request, attempt, result.ending, result.elapsed,
-                                       result.load ? &*result.load : nullptr, loop_.now());
+  const Choice choice = policy_host_.report(request, attempt, result.ending, result.elapsed,
+                                            result.load ? &*result.load : nullptr, loop_.now());
   if (choice.kind == Choice::Kind::kPass) {
     host_.serve(request, *result.answer, result.flow);
     close(request);
@@ -241,9 +242,9 @@
   counters_.log(before);
   source_->log_counters(before);
   spdlog::info("counters: {}boxes={} ready={} backends={} idle={} made={} reused={} open_requests={}", before,
-               facade_.backends(), facade_.ready(), upstream_->connections(), upstream_->idle(),
-               upstream_->opened(), upstream_->reused(), facade_.open_requests());
-  if (const auto subset = facade_.subset_counters()) PoolCounters::log_subset(before, *subset);
+               policy_host_.backends(), policy_host_.ready(), upstream_->connections(), upstream_->idle(),
+               upstream_->opened(), upstream_->reused(), policy_host_.open_requests());
+  if (const auto subset = policy_host_.subset_counters()) PoolCounters::log_subset(before, *subset);
 }
 
 }  // namespace shorelead::node
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -1,6 +1,7 @@
-// One pool of boxes: its decision module behind the facade, its connections, its source of boxes, and the
-// requests that are with it. It owns these and their order. It must never speak to a client but through its
-// host, never see another pool, and never send anything new once it has been left, except for what it has.
+// One pool of boxes: its decision module behind the policy host, its connections, its source of boxes, and
+// the requests that are with it. It owns these and their order. It must never speak to a client but through
+// its host, never see another pool, and never send anything new once it has been left, except for what it
+// has.
 #pragma once
 
 #include <cstdint>
@@ -41,14 +42,14 @@
   Pool& operator=(const Pool&) = delete;
 
   void start();
-  void request(RequestId request, const Ask& ask, std::shared_ptr<const Message> message);
+  void request(RequestId request, const RequestInfo& info, std::shared_ptr<const Message> message);
   void gone(RequestId request);  // its client is
   // All of it that is out; where it has no answer yet it is answered as failed.
   void call_off(RequestId request);
   // A box, cell or zone of this pool, as it stands now.
-  std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return facade_.see(kind, unit); }
-  std::uint64_t list_changes() const { return facade_.roster().changes(); }
-  std::vector<ListedBackend> boxes() const { return facade_.roster().all(); }
+  std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return policy_host_.see(kind, unit); }
+  std::uint64_t list_changes() const { return policy_host_.roster().changes(); }
+  std::vector<ListedBackend> boxes() const { return policy_host_.roster().all(); }
   // The body of one that came by parts is whole now; its client waits until `due`.
   void body_whole(RequestId request, Millis due);
 
@@ -63,8 +64,10 @@
   void leave() { left_ = true; }
   void rejoin() { left_ = false; }
   // What a fleet allows of further attempts from now on.
-  void bound_attempts(Facade::Further further) { facade_.bound_attempts(std::move(further), loop_.now()); }
-  double room() const { return facade_.room(); }
+  void bound_attempts(PolicyHost::RetryAllowance further) {
+    policy_host_.bound_attempts(std::move(further), loop_.now());
+  }
+  double room() const { return policy_host_.room(); }
   // That a refusal may say to wait; 0 = it may say nothing.
   Millis most_advice() const { return config_.settings.advise_wait ? config_.settings.max_wait_advice : 0; }
   bool idle() const;  // nothing is under way
@@ -79,13 +82,13 @@
   // What is out by hand from now on; nothing that is not yet written goes there any more.
   void ban(const manage::BanSet& bans);
   std::string list_text() const;  // in discovery's form, births labelled by the wall clock
-  bool lists(const std::string& host) const { return facade_.roster().lists(host); }
-  std::size_t in_list() const { return facade_.roster().listed(); }
-  std::size_t skipped() const { return facade_.skipped(loop_.now()); }
+  bool lists(const std::string& host) const { return policy_host_.roster().lists(host); }
+  std::size_t in_list() const { return policy_host_.roster().listed(); }
+  std::size_t skipped() const { return policy_host_.skipped(loop_.now()); }
   std::uint64_t written() const { return upstream_->written(); }
-  std::size_t backends() const { return facade_.backends(); }
-  bool anybody_ready() const { return facade_.ready() > 0; }
-  std::size_t open_requests() const { return facade_.open_requests(); }
+  std::size_t backends() const { return policy_host_.backends(); }
+  bool anybody_ready() const { return policy_host_.ready() > 0; }
+  std::size_t open_requests() const { return policy_host_.open_requests(); }
   std::size_t connections() const { return upstream_->connections(); }
   std::size_t probing() const { return upstream_->probing(); }
   Millis unused_since() const { return upstream_->unused_since(); }
@@ -110,7 +113,7 @@
   Loop& loop_;
   PoolConfig config_;
   const Host host_;
-  Facade facade_;
+  PolicyHost policy_host_;
   PoolRecord record_;
   std::unique_ptr<Upstream> upstream_;
   std::unique_ptr<BoxSource> source_;
--- a/src/node/pool_record.h
+++ b/src/node/pool_record.h
@@ -41,9 +41,9 @@
   }
   bool withdrawn(const std::string& host, Millis now) const { return listed_.withdrawn(host, now); }
 
-  void request(RequestId request, const Settings& settings, const Ask& ask) {
-    const Millis due = ask.body_comes ? guard::kNever : ask.due;
-    recorder_->ruled(request, checked_rules(settings, ask.request_class, due));
+  void request(RequestId request, const Settings& settings, const RequestInfo& info) {
+    const Millis due = info.body_comes ? guard::kNever : info.due;
+    recorder_->ruled(request, checked_rules(settings, info.request_class, due));
   }
   void body_whole(RequestId request, Millis due) { recorder_->due(request, due); }
   void threw(RequestId request) { recorder_->handler_threw(request); }
--- a/src/node/request_classifier.cpp
+++ b/src/node/request_classifier.cpp
@@ -10,7 +10,8 @@
 constexpr Millis kMostWait = 3600000;  // that a client may name
 constexpr std::size_t kMostPast = 16;  // generations kept for repeats; beyond, the oldest is forgotten
 
-std::optional<Way> way_by(const Message& message, const std::shared_ptr<const Traffic>& traffic) {
+std::optional<RequestRoute> request_route_by(const Message& message,
+                                             const std::shared_ptr<const Traffic>& traffic) {
   const Head& head = message.head();
   const std::string_view raw = message.raw;
   std::string_view path = head.target.in(raw);
@@ -24,12 +25,12 @@
     std::string_view key = route.by.empty() ? std::string_view() : message.value(route.by);
     if (key.empty()) key = message.value("idempotency-key");
     if (key.empty()) key = message.value("x-request-id");
-    return Way{traffic, route.request_class, routing::arm_of(route, key), static_cast<int>(*rule)};
+    return RequestRoute{traffic, route.request_class, routing::arm_of(route, key), static_cast<int>(*rule)};
   }
   path = path.substr(1, std::min(path.find_first_of("/?#", 1), path.size()) - 1);
   const auto known = std::find(traffic->names.begin(), traffic->names.end(), path);
   if (known == traffic->names.end()) return std::nullopt;
-  return Way{traffic, static_cast<int>(known - traffic->names.begin()), 0};
+  return RequestRoute{traffic, static_cast<int>(known - traffic->names.begin()), 0};
 }
 
 }  // namespace
@@ -50,26 +51,30 @@
 }
 
 // A client's repeat goes where its first try may have gone.
-std::optional<Way> Readings::way_of(const Message& message, Millis now) const {
+std::optional<RequestRoute> Readings::request_route_of(const Message& message, Millis now) const {
   if (!past_.empty() && message.value("x-retried") == "1" && !message.value("idempotency-key").empty()) {
     for (const Past& past : past_) {
       if (past.until <= now) continue;
-      auto way = way_by(message, past.traffic);
-      if (way && way->traffic->classes[static_cast<std::size_t>(way->request_class)].effect == Effect::kKeyed)
-        return way;
+      auto request_route = request_route_by(message, past.traffic);
+      if (request_route &&
+          request_route->traffic->classes[static_cast<std::size_t>(request_route->request_class)].effect ==
+              Effect::kKeyed)
+        return request_route;
     }
   }
-  return way_by(message, traffic_);
+  return request_route_by(message, traffic_);
 }
 
-int Readings::read(const Message& message, Millis now, Ask& ask, Way& way, const char*& cause) const {
+int Readings::read(const Message& message, Millis now, RequestInfo& info, RequestRoute& request_route,
+                   const char*& cause) const {
   const Head& head = message.head();
   const std::string_view raw = message.raw;
-  std::optional<Way> found = way_of(message, now);
+  std::optional<RequestRoute> found = request_route_of(message, now);
   if (!found) return cause = traffic_->routes ? "no route" : "unknown class", 404;
-  way = std::move(*found);
-  ask.request_class = way.request_class;
-  const RequestClass& request_class = way.traffic->classes[static_cast<std::size_t>(ask.request_class)];
+  request_route = std::move(*found);
+  info.request_class = request_route.request_class;
+  const RequestClass& request_class =
+      request_route.traffic->classes[static_cast<std::size_t>(info.request_class)];
   const std::string_view method = head.method.in(raw);
   const bool keyed = !message.value("idempotency-key").empty();
   const bool fits = request_class.effect == Effect::kSafe
@@ -85,25 +90,25 @@
     const auto same = [&](const Field& field) { return same_name(field.name.in(raw), once); };
     if (std::count_if(head.fields.begin(), head.fields.end(), same) > 1) return cause = "field twice", 400;
   }
-  ask.due = request_class.deadline;
+  info.due = request_class.deadline;
   if (const Field* wait = head.find(raw, "x-timeout-ms")) {
     const auto value = parse_whole(wait->value.in(raw));
     if (!value || *value == 0 || static_cast<double>(*value) > kMostWait)
       return cause = "bad X-Timeout-Ms", 400;
-    ask.due = static_cast<Millis>(*value);
+    info.due = static_cast<Millis>(*value);
   }
   const std::string_view tenant = message.value("x-tenant-id");
-  const auto& tenants = way.traffic->tenants;
+  const auto& tenants = request_route.traffic->tenants;
   const auto named = std::find(tenants.begin(), tenants.end(), tenant);
   if (!tenant.empty() && named != tenants.end()) {
-    ask.tenant = static_cast<int>(named - tenants.begin());
+    info.tenant = static_cast<int>(named - tenants.begin());
   }
   if (const Field* cost = head.find(raw, "x-cost")) {
     const auto value = parse_decimal(cost->value.in(raw));
     if (!value || *value < 0) return cause = "bad X-Cost", 400;
-    ask.expected_work = *value;
+    info.expected_work = *value;
   }
-  ask.client_retry = message.value("x-retried") == "1";
+  info.client_retry = message.value("x-retried") == "1";
   return 0;
 }
 
--- a/src/node/request_classifier.h
+++ b/src/node/request_classifier.h
@@ -23,7 +23,8 @@
 
   // Reads of a request what the module is told of it; `ask.due` holds the client's whole wait until the
   // caller knows better. Returns 0, or the status that it is refused with and its cause.
-  int read(const Message& message, Millis now, Ask& ask, Way& way, const char*& cause) const;
+  int read(const Message& message, Millis now, RequestInfo& info, RequestRoute& request_route,
+           const char*& cause) const;
 
  private:
   struct Past {
@@ -31,7 +32,7 @@
     Millis until = 0;
   };
 
-  std::optional<Way> way_of(const Message& message, Millis now) const;
+  std::optional<RequestRoute> request_route_of(const Message& message, Millis now) const;
 
   std::shared_ptr<const Traffic> traffic_;
   std::vector<Past> past_;  // the oldest first
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -6,19 +6,19 @@
 namespace shorelead::node {
 namespace {
 
-std::optional<affinity::Found> rule_of(const FleetGate& gate, const KeyGate& keys, const Way& way,
-                                       const Message& message) {
+std::optional<affinity::Found> rule_of(const FleetGate& gate, const KeyGate& keys,
+                                       const RequestRoute& request_route, const Message& message) {
   const Head& head = message.head();
   const std::function<std::string_view(std::string_view)> field = [&message](std::string_view name) {
     return message.value(name);
   };
   affinity::Request request;
-  if (way.route >= 0 && way.traffic->routes) {
-    const auto n = static_cast<std::size_t>(way.route);
-    request.route = way.traffic->routes->routes[n].name;
-    request.pattern = way.traffic->routes->rules[n].path;
+  if (request_route.route >= 0 && request_route.traffic->routes) {
+    const auto n = static_cast<std::size_t>(request_route.route);
+    request.route = request_route.traffic->routes->routes[n].name;
+    request.pattern = request_route.traffic->routes->rules[n].path;
   }
-  request.request_class = way.traffic->names[static_cast<std::size_t>(way.request_class)];
+  request.request_class = request_route.traffic->names[static_cast<std::size_t>(request_route.request_class)];
   request.tenant = message.value("x-tenant-id");
   request.plan = gate.plan_of(request.tenant);
   request.method = head.method.in(message.raw);
@@ -29,45 +29,49 @@
 
 }  // namespace
 
-void Desk::take(RequestId request, Ask ask, const Way& way, std::shared_ptr<const Message> message) {
-  const Traffic& traffic = *way.traffic;
+void RequestTable::take(RequestId request, RequestInfo info, const RequestRoute& request_route,
+                        std::shared_ptr<const Message> message) {
+  const Traffic& traffic = *request_route.traffic;
   FleetGate* const gate = traffic.gate.get();
   KeyGate* const keys = gate == nullptr ? nullptr : gate->keys();
-  const auto found = keys == nullptr ? std::nullopt : rule_of(*gate, *keys, way, *message);
+  const auto found = keys == nullptr ? std::nullopt : rule_of(*gate, *keys, request_route, *message);
   // A client's repeat of a keyed request stays where its key may be known; and what has a box of its own has
   // none in another pool.
-  const auto& request_class = traffic.classes[static_cast<std::size_t>(way.request_class)];
-  const bool bound = (ask.client_retry && request_class.effect == Effect::kKeyed) ||
+  const auto& request_class = traffic.classes[static_cast<std::size_t>(request_route.request_class)];
+  const bool bound = (info.client_retry && request_class.effect == Effect::kKeyed) ||
                      (found && found->keyed && keys->must(*found));
-  const int to = bound ? way.pool : routing::standing_in(traffic.fallbacks, way.pool, [&traffic](int n) {
-    return traffic.pools[static_cast<std::size_t>(n)]->anybody_ready();
-  });
-  if (to != way.pool) ++stood_in_;
+  const int to = bound ? request_route.pool
+                       : routing::standing_in(traffic.fallbacks, request_route.pool, [&traffic](int n) {
+                           return traffic.pools[static_cast<std::size_t>(n)]->anybody_ready();
+                         });
+  if (to != request_route.pool) ++stood_in_;
   const auto n = static_cast<std::size_t>(to);
   FleetGate::Ticket ticket;
   if (gate != nullptr) {
     gate->room(traffic.pools[n]->room());
-    const auto said = gate->admit({to, way.route, way.request_class, message->value("x-tenant-id"),
-                                   gate->client_of(*message), traffic.pools[n]->most_advice()},
-                                  request_class.aim);
+    const auto said =
+        gate->admit({to, request_route.route, request_route.request_class, message->value("x-tenant-id"),
+                     gate->client_of(*message), traffic.pools[n]->most_advice()},
+                    request_class.aim);
     if (said.refused != 0) {
       return refuse_(request, {said.refused, said.cause, said.why, said.come_back});
     }
-    ticket = said.ticket, ask.worth = said.worth;
+    ticket = said.ticket, info.worth = said.worth;
   }
-  ask.request_class = traffic.class_in_pool[n][static_cast<std::size_t>(way.request_class)];
+  info.request_class = traffic.class_in_pool[n][static_cast<std::size_t>(request_route.request_class)];
   const std::shared_ptr<Pool> pool = traffic.pools[n];
   with_[request] = {pool, traffic.gate, ticket};
-  if (!found) return pool->request(request, ask, std::move(message));
-  go(request, keys->arrive(request, *found, pool, ask.due), ask, std::move(message));
+  if (!found) return pool->request(request, info, std::move(message));
+  go(request, keys->arrive(request, *found, pool, info.due), info, std::move(message));
 }
 
-void Desk::go(RequestId request, const KeyGate::Said& said, Ask ask, std::shared_ptr<const Message> message) {
+void RequestTable::go(RequestId request, const KeyGate::Said& said, RequestInfo info,
+                      std::shared_ptr<const Message> message) {
   With& with = with_.at(request);
   switch (said.go) {
     case affinity::Go::kWait:
       if (!with.waits) with.waits = std::make_unique<Waits>();
-      *with.waits = {std::move(ask), std::move(message), said.place};
+      *with.waits = {std::move(info), std::move(message), said.place};
       return;
     case affinity::Go::kRefuse: {
       const Millis come_back = with.pool->most_advice();
@@ -76,38 +80,38 @@
     }
     case affinity::Go::kOnly:
       // Both live for as long as anything of it is out.
-      ask.hold = {std::shared_ptr<Holder>(with.gate, with.gate->keys()), said.place};
+      info.affinity_hold = {std::shared_ptr<Holder>(with.gate, with.gate->keys()), said.place};
       [[fallthrough]];
     case affinity::Go::kPrefer:
-      ask.home = said.home;
+      info.home = said.home;
       [[fallthrough]];
     case affinity::Go::kFree:
       break;
   }
   with.waits.reset();
   const std::shared_ptr<Pool> pool = with.pool;
-  pool->request(request, ask, std::move(message));
+  pool->request(request, info, std::move(message));
 }
 
-void Desk::again(RequestId request) {
+void RequestTable::again(RequestId request) {
   const auto it = with_.find(request);
   if (it == with_.end() || !it->second.waits) return;
   Waits& waits = *it->second.waits;
   const KeyGate::Said said = it->second.gate->keys()->again(waits.place);
   if (said.go == affinity::Go::kWait) return;
   waits.place = -1;
-  go(request, said, std::move(waits.ask), std::move(waits.message));
+  go(request, said, std::move(waits.info), std::move(waits.message));
 }
 
-void Desk::body_whole(RequestId request, Millis due) {
+void RequestTable::body_whole(RequestId request, Millis due) {
   const auto it = with_.find(request);
   if (it == with_.end()) return;
   if (!it->second.waits) return it->second.pool->body_whole(request, due);
-  it->second.waits->ask.due = due;
-  it->second.waits->ask.body_comes = false;
+  it->second.waits->info.due = due;
+  it->second.waits->info.body_comes = false;
 }
 
-void Desk::gone(RequestId request) {
+void RequestTable::gone(RequestId request) {
   const auto it = with_.find(request);
   if (it == with_.end()) return;
   const std::shared_ptr<Pool> pool = it->second.waits ? nullptr : it->second.pool;
@@ -115,7 +119,7 @@
   if (pool) pool->gone(request);
 }
 
-void Desk::close(RequestId request, FleetGate::End end) {
+void RequestTable::close(RequestId request, FleetGate::End end) {
   const auto it = with_.find(request);
   if (it == with_.end()) return;
   const With with = std::move(it->second);
--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -16,13 +16,14 @@
 
 namespace shorelead::node {
 
-class Desk {
+class RequestTable {
  public:
   using Refuse = std::function<void(RequestId, const Refusal&)>;
 
-  explicit Desk(Refuse refuse) : refuse_(std::move(refuse)) {}
+  explicit RequestTable(Refuse refuse) : refuse_(std::move(refuse)) {}
 
-  void take(RequestId request, Ask ask, const Way& way, std::shared_ptr<const Message> message);
+  void take(RequestId request, RequestInfo info, const RequestRoute& request_route,
+            std::shared_ptr<const Message> message);
   // One that waits for its key's box: asks again.
   void again(RequestId request);
   void body_whole(RequestId request, Millis due);
@@ -33,7 +34,7 @@
 
  private:
   struct Waits {
-    Ask ask;
+    RequestInfo info;
     std::shared_ptr<const Message> message;
     int place = -1;
   };
@@ -45,7 +46,8 @@
   };
 
   // As a rule of affinity says.
-  void go(RequestId request, const KeyGate::Said& said, Ask ask, std::shared_ptr<const Message> message);
+  void go(RequestId request, const KeyGate::Said& said, RequestInfo info,
+          std::shared_ptr<const Message> message);
 
   const Refuse refuse_;
   std::unordered_map<RequestId, With> with_;
--- a/src/node/retry_allowance.h
+++ b/src/node/retry_allowance.h
@@ -15,40 +15,41 @@
 
 // How many are left now, and that one was made, or wanted and not left. Empty: only the module's own bound
 // counts.
-struct Further {
+struct RetryAllowance {
   std::function<double()> left;
   std::function<void()> made;
 };
 
-class FurtherBound {
+class RetryAllowanceBound {
  public:
   // From now on. What the module is to be told at once, if anything.
-  std::optional<FurtherAllowed> set(Further further) {
-    further_ = std::move(further);
-    if (further_.left) return std::nullopt;
+  std::optional<FurtherAllowed> set(RetryAllowance retry_allowance) {
+    retry_allowance_ = std::move(retry_allowance);
+    if (retry_allowance_.left) return std::nullopt;
     return FurtherAllowed{told_ = std::numeric_limits<double>::infinity()};
   }
   // Before each event: what the module does not know yet.
   std::optional<FurtherAllowed> news() {
-    if (!further_.left) return std::nullopt;
-    const double left = further_.left();
+    if (!retry_allowance_.left) return std::nullopt;
+    const double left = retry_allowance_.left();
     if (left == told_) return std::nullopt;
     return FurtherAllowed{told_ = left};
   }
   void made() {
-    if (further_.made) further_.made();
+    if (retry_allowance_.made) retry_allowance_.made();
   }
   // After it: an attempt that ended without being served, nothing left, and none sent is one that was wanted.
   void after(const Event& event, const std::vector<Action>& actions) {
     const auto* const ended = std::get_if<AttemptEnded>(&event);
-    if (!further_.made || ended == nullptr || ended->outcome == Outcome::kServed || ended->request_over)
+    if (!retry_allowance_.made || ended == nullptr || ended->outcome == Outcome::kServed ||
+        ended->request_over)
       return;
     const auto sends = [](const Action& action) { return std::holds_alternative<SendAttempt>(action); };
-    if (told_ < 1 && std::none_of(actions.begin(), actions.end(), sends)) further_.made();
+    if (told_ < 1 && std::none_of(actions.begin(), actions.end(), sends)) retry_allowance_.made();
   }
 
  private:
-  Further further_;
+  RetryAllowance retry_allowance_;
   double told_ = std::numeric_limits<double>::infinity();
 };
 
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -27,7 +27,7 @@
       waits_(waits),
       reloads_(loop, {[this]() -> const Shape& { return shape_; },
                       [this](Config fresh) { take_up(std::move(fresh)); }}),
-      gates_(loop, place.legacy.has_value(), [this](RequestId request) { desk_.again(request); }),
+      gates_(loop, place.legacy.has_value(), [this](RequestId request) { request_table_.again(request); }),
       generations_(loop, gates_,
                    {[this](const PoolConfig& one, const Config& whole) { return make_pool(one, whole); },
                     [this](Pool& pool) {
@@ -39,7 +39,7 @@
                       front_->go_by(std::move(next));
                     }}),
       room_(generations_.pools(), [this] { return most_streams(); }),
-      desk_([this](RequestId request, const Refusal& words) { front_->refuse(request, words); }),
+      request_table_([this](RequestId request, const Refusal& words) { front_->refuse(request, words); }),
       departure_(loop, waits.accept_on,
                  {[this]() -> Front& { return *front_; }, [this] { return open_requests(); },
                   [this] { return gates_.give_back(traffic()); }}),
@@ -68,10 +68,11 @@
   front_ = std::make_unique<Front>(
       loop_, entry, generations_.traffic(),
       Front::Listener{
-          [this](RequestId request, const Ask& ask, const Way& way, std::shared_ptr<const Message> message) {
-            desk_.take(request, ask, way, std::move(message));
+          [this](RequestId request, const RequestInfo& info, const RequestRoute& request_route,
+                 std::shared_ptr<const Message> message) {
+            request_table_.take(request, info, request_route, std::move(message));
           },
-          [this](RequestId request) { desk_.gone(request); },
+          [this](RequestId request) { request_table_.gone(request); },
           [this] {
             const bool is_ready = ready();
             if (is_ready) readiness_.log_first(traffic());
@@ -81,7 +82,8 @@
           [this](std::size_t unused) { return static_cast<int>(unused) * kManyUnused > most_streams(); },
           [this] { return Stream::open_count() * kRoomy < most_streams(); },
           [this] { return room_.make(limits::Purpose::kClient, *front_); },
-          [this](RequestId request, Millis due) { desk_.body_whole(request, due); }, flows_, &recorder_});
+          [this](RequestId request, Millis due) { request_table_.body_whole(request, due); }, flows_,
+          &recorder_});
   if (!succession_.alone()) bans_->share(place.bans());
   gates_.go_by(traffic(), traffic());
   for (const auto& pool : generations_.pools()) pool->start();
@@ -95,15 +97,15 @@
 std::shared_ptr<Pool> Server::make_pool(const PoolConfig& config, const Config& whole) {
   Pool::Host host;
   host.serve = [this](RequestId request, const Message& answer, const std::shared_ptr<net::Flow>& flow) {
-    desk_.close(request, FleetGate::End::kServed);
+    request_table_.close(request, FleetGate::End::kServed);
     front_->serve(request, answer, flow);
   };
   host.refuse = [this](RequestId request, Millis wait) {
-    desk_.close(request, FleetGate::End::kFailed);
+    request_table_.close(request, FleetGate::End::kFailed);
     front_->refuse(request, {.why = traffic().gate ? kWhyNoRoom : "", .wait = wait});
   };
   host.fail = [this](RequestId request, int status) {
-    desk_.close(request, FleetGate::End::kFailed);
+    request_table_.close(request, FleetGate::End::kFailed);
     front_->fail(request, status);
   };
   host.make_room = [this](limits::Purpose purpose) { return room_.make(purpose, *front_); };
@@ -218,7 +220,7 @@
       "malformed={} reloads={} bad_reloads={} generation={} pools={} stood_in={}",
       readiness_.running() / 1000, all.taken(), all.passed, all.dropped, all.bad_gateway, all.left,
       front.left_early, front.malformed, reloads_.done(), reloads_.refused(), traffic().number,
-      generations_.pools().size(), desk_.stood_in());
+      generations_.pools().size(), request_table_.stood_in());
   spdlog::info("counters: answers {}",
                listed(front.by_status, [](int code) { return std::to_string(code); }));
   recorder_.log_counters();
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -85,7 +85,7 @@
   FleetGates gates_;
   Generations generations_;
   DescriptorRoom room_;
-  Desk desk_;
+  RequestTable request_table_;
   std::unique_ptr<Front> front_;
   std::unique_ptr<BanKeeper> bans_;
   Departure departure_;
--- a/tests/crossings/endings_test.cpp
+++ b/tests/crossings/endings_test.cpp
@@ -1,5 +1,5 @@
 // No effect twice, whatever ends an attempt: every ending with every effect, by one attempt and by two, as
-// the facade and the module behind it decide.
+// the policy host and the module behind it decide.
 #include <gtest/gtest.h>
 
 #include "node/policy_host.h"
@@ -41,7 +41,9 @@
 }
 
 struct Asked {
-  explicit Asked(DedupGroup group) : facade(settings(group), host(), 1) { facade.start(two_zones(), now); }
+  explicit Asked(DedupGroup group) : policy_host(settings(group), host(), 1) {
+    policy_host.start(two_zones(), now);
+  }
   static HostSettings host() {
     HostSettings h;
     h.zones = {"a", "b"};
@@ -49,7 +51,7 @@
     return h;
   }
   Millis now = 1.7e12;
-  Facade facade;
+  PolicyHost policy_host;
 };
 
 // What the protocol says of each: these cannot have run.
@@ -85,7 +87,7 @@
   Asked a(group);
   const Effect effect = settings(group).classes[static_cast<std::size_t>(request_class)].effect;
   std::vector<Run> runs;  // that may have been
-  Choice choice = a.facade.pick(1, {request_class, 0, a.now + 3000, -1, false}, a.now);
+  Choice choice = a.policy_host.pick(1, {request_class, 0, a.now + 3000, -1, false}, a.now);
   for (const Ending ending : {first, second, Ending::kBroken}) {
     if (choice.kind != Choice::Kind::kSend) break;
     const int zone = static_cast<int>(choice.backend % 2);
@@ -104,7 +106,7 @@
     if (!cannot_have_run(ending)) runs.push_back({a.now, zone});
     const int attempt = choice.attempt;
     a.now += takes;
-    choice = a.facade.report(1, attempt, ending, takes, nullptr, a.now);
+    choice = a.policy_host.report(1, attempt, ending, takes, nullptr, a.now);
   }
   if (choice.kind == Choice::Kind::kRefuse && !runs.empty()) {
     EXPECT_NE(effect, Effect::kUnsafe) << name_of(first) << ' ' << name_of(second);
@@ -132,14 +134,14 @@
   Asked a(DedupGroup::kAll);
   const auto attempts = [&a](RequestId request) {
     int sent = 0;
-    Choice choice = a.facade.pick(request, {0, 0, a.now + 3000, -1, false}, a.now);
+    Choice choice = a.policy_host.pick(request, {0, 0, a.now + 3000, -1, false}, a.now);
     for (; choice.kind == Choice::Kind::kSend; ++sent) {
       if (request == 1 && sent == 0) {
         Settings fewer = settings(DedupGroup::kAll);
         fewer.max_attempts = 1;
-        a.facade.adopt(fewer, Asked::host(), a.now);
+        a.policy_host.adopt(fewer, Asked::host(), a.now);
       }
-      choice = a.facade.report(request, choice.attempt, Ending::kErred, 1, nullptr, a.now);
+      choice = a.policy_host.report(request, choice.attempt, Ending::kErred, 1, nullptr, a.now);
     }
     return sent;
   };
@@ -150,11 +152,12 @@
 // Two at once only where allowed: however long one is out, the next is sent when it has ended.
 TEST(Endings, NoSecondWhileOneIsOutWhereThatIsNotAllowed) {
   Asked a(DedupGroup::kAll);
-  ASSERT_EQ(a.facade.pick(1, {0, 0, a.now + 3000, -1, false}, a.now).kind, Choice::Kind::kSend);
+  ASSERT_EQ(a.policy_host.pick(1, {0, 0, a.now + 3000, -1, false}, a.now).kind, Choice::Kind::kSend);
   for (const Millis end = a.now + 1000; a.now < end; a.now += 10) {
-    for (const Choice& choice : a.facade.tick(a.now).choices) EXPECT_NE(choice.kind, Choice::Kind::kSend);
+    for (const Choice& choice : a.policy_host.tick(a.now).choices)
+      EXPECT_NE(choice.kind, Choice::Kind::kSend);
   }
-  EXPECT_EQ(a.facade.report(1, 0, Ending::kErred, 1000, nullptr, a.now).kind, Choice::Kind::kSend);
+  EXPECT_EQ(a.policy_host.report(1, 0, Ending::kErred, 1000, nullptr, a.now).kind, Choice::Kind::kSend);
 }
 
 }  // namespace
--- a/tests/crossings/settings_order_test.cpp
+++ b/tests/crossings/settings_order_test.cpp
@@ -9,8 +9,9 @@
 
 // Four backends that answer probes at once and hold on to requests.
 struct Held {
-  explicit Held(const Settings& settings, const HostSettings& names = host()) : facade(settings, names, 1) {
-    facade.start(list("ready"), now);
+  explicit Held(const Settings& settings, const HostSettings& names = host())
+      : policy_host(settings, names, 1) {
+    policy_host.start(list("ready"), now);
   }
 
   static Settings settings(bool parallel) {
@@ -44,14 +45,15 @@
   // Lets time pass up to `until`.
   void pass(Millis until) {
     while (true) {
-      const Errands due = facade.tick(now);
+      const DeferredActions due = policy_host.tick(now);
       for (const Choice& choice : due.choices) {
         if (choice.kind == Choice::Kind::kSend) sent.push_back(choice);
       }
       probes += static_cast<int>(due.probes.size());
       LoadReport idle;
       idle.in_hand = idle.waiting = idle.busy = 0;
-      for (const BackendId backend : due.probes) facade.report_probe(backend, Ending::kServed, 1, &idle, now);
+      for (const BackendId backend : due.probes)
+        policy_host.report_probe(backend, Ending::kServed, 1, &idle, now);
       if (!due.probes.empty()) continue;
       if (due.next <= 0 || due.next > until) break;
       now = std::max(now + 0.01, due.next);
@@ -62,23 +64,23 @@
   // Answers of 10 ms, so that a second is far longer than is expected.
   void teach() {
     for (RequestId id = 1000; id < 1300; ++id) {
-      facade.pick(id, {0, 0, now + 1000}, now);
+      policy_host.pick(id, {0, 0, now + 1000}, now);
       pass(now + 10);
       for (const Choice& one : std::exchange(sent, {}))
-        facade.report(one.request, one.attempt, Ending::kServed, 10, nullptr, now);
+        policy_host.report(one.request, one.attempt, Ending::kServed, 10, nullptr, now);
     }
   }
 
   Millis now = 1.7e12;
   std::vector<Choice> sent;
   int probes = 0;
-  Facade facade;
+  PolicyHost policy_host;
 };
 
 TEST(Settings, TwoAttemptsAtOnceAreNotThree) {
   Held f(Held::settings(true));
   f.teach();
-  f.facade.pick(1, {0, 0, f.now + 1000}, f.now);
+  f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now);
   f.pass(f.now + 990);
   EXPECT_EQ(f.sent.size(), 2U) << "the first, and one beside it";
 }
@@ -86,11 +88,11 @@
 TEST(Settings, AnOpenRequestIsNotHedgedForANewPermission) {
   Held f(Held::settings(false));
   f.teach();
-  f.facade.pick(1, {0, 0, f.now + 1000}, f.now);
+  f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now);
   f.pass(f.now + 5);
   ASSERT_EQ(f.sent.size(), 1U);
-  f.facade.adopt(Held::settings(true), Held::host(), f.now);
-  const Choice next = f.facade.report(1, 0, Ending::kTurnedAway, 5, nullptr, f.now);
+  f.policy_host.adopt(Held::settings(true), Held::host(), f.now);
+  const Choice next = f.policy_host.report(1, 0, Ending::kTurnedAway, 5, nullptr, f.now);
   if (next.kind == Choice::Kind::kSend) f.sent.push_back(next);
   f.pass(f.now + 980);
   EXPECT_EQ(f.sent.size(), 2U) << "the second is out, and came under settings that allow one at once";
@@ -106,9 +108,9 @@
 TEST(Settings, WhatWasDecidedBeforeAListSaidOtherwiseIsNotDone) {
   Held f(Held::settings(false));
   f.pass(f.now + 2000);
-  EXPECT_EQ(f.facade.pick(1, {0, 0, f.now + 1000}, f.now).kind, Choice::Kind::kHold);
-  f.facade.report_list(f.list("draining"), ListSource::kWatch, f.now);
-  const Errands due = f.facade.tick(f.now);
+  EXPECT_EQ(f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now).kind, Choice::Kind::kHold);
+  f.policy_host.report_list(f.list("draining"), ListSource::kWatch, f.now);
+  const DeferredActions due = f.policy_host.tick(f.now);
   EXPECT_TRUE(due.probes.empty()) << "of backends that drain by now";
   for (const Choice& choice : due.choices) EXPECT_NE(choice.kind, Choice::Kind::kSend);
 }
@@ -117,14 +119,14 @@
 TEST(Settings, AnAttemptDecidedBeforeAListSaidOtherwiseIsNotSent) {
   Held f(Held::settings(false));
   f.pass(f.now + 2000);
-  EXPECT_EQ(f.facade.pick(1, {0, 0, f.now + 1000}, f.now).kind, Choice::Kind::kHold);
-  const std::vector<BackendId> asked = f.facade.tick(f.now).probes;
+  EXPECT_EQ(f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now).kind, Choice::Kind::kHold);
+  const std::vector<BackendId> asked = f.policy_host.tick(f.now).probes;
   ASSERT_FALSE(asked.empty());
   LoadReport idle;
   idle.in_hand = idle.waiting = idle.busy = 0;
-  for (const BackendId one : asked) f.facade.report_probe(one, Ending::kServed, 1, &idle, f.now);
-  f.facade.report_list(f.list("draining"), ListSource::kWatch, f.now);
-  const Errands due = f.facade.tick(f.now);
+  for (const BackendId one : asked) f.policy_host.report_probe(one, Ending::kServed, 1, &idle, f.now);
+  f.policy_host.report_list(f.list("draining"), ListSource::kWatch, f.now);
+  const DeferredActions due = f.policy_host.tick(f.now);
   for (const Choice& choice : due.choices) EXPECT_NE(choice.kind, Choice::Kind::kSend);
   ASSERT_FALSE(due.choices.empty());
   EXPECT_EQ(due.choices.back().kind, Choice::Kind::kRefuse) << "nobody is left";
@@ -140,20 +142,21 @@
   both.classes[1].worth = 1000;
   HostSettings names = Held::host();
   names.classes.emplace_back("dear");
-  const auto taken = [](Facade& facade, Millis now) {
+  const auto taken = [](PolicyHost& policy_host, Millis now) {
     int count = 0;
-    while (count < 1000 && facade.pick(static_cast<RequestId>(count + 1), {0, 0, now + 1000}, now).kind ==
-                               Choice::Kind::kSend)
+    while (count < 1000 &&
+           policy_host.pick(static_cast<RequestId>(count + 1), {0, 0, now + 1000}, now).kind ==
+               Choice::Kind::kSend)
       ++count;
     return count;
   };
   Held never(cheap);
   Held dropped(both, names);
   Held still(both, names);
-  dropped.facade.adopt(cheap, Held::host(), dropped.now);
-  const int all = taken(never.facade, never.now);
-  EXPECT_EQ(taken(dropped.facade, dropped.now), all);
-  EXPECT_LT(taken(still.facade, still.now), all) << "beside a dear one it does give way";
+  dropped.policy_host.adopt(cheap, Held::host(), dropped.now);
+  const int all = taken(never.policy_host, never.now);
+  EXPECT_EQ(taken(dropped.policy_host, dropped.now), all);
+  EXPECT_LT(taken(still.policy_host, still.now), all) << "beside a dear one it does give way";
 }
 
 }  // namespace
--- a/tests/crossings/settings_world.h
+++ b/tests/crossings/settings_world.h
@@ -1,5 +1,5 @@
-// A facade with drawn settings before backends, clients and lists that do whatever chance has them do, in
-// simulated time. Owns the clock; what happens to requests it tells the judge.
+// A policy host with drawn settings before backends, clients and lists that do whatever chance has them do,
+// in simulated time. Owns the clock; what happens to requests it tells the judge.
 #pragma once
 
 #include "crossings/settings_judge.h"
@@ -13,12 +13,12 @@
   World(std::uint64_t seed, const Made& first)
       : chance_(seed), made_(first), read_(parse_config(first.text(), {})), ever_(first) {
     for (std::size_t n = 0; n < first.classes.size(); ++n) numbers_.push_back(static_cast<int>(n));
-    facade_.emplace(read_.settings, read_.host, seed);
-    facade_->on_errand([this] { wake_ = true; });
+    policy_host_.emplace(read_.settings, read_.host, seed);
+    policy_host_->on_deferred_action([this] { wake_ = true; });
     List known;
     known.whole = true;
     for (int n = chance_.below(9); n > 0; --n) add(chance_.yes(0.2), known);
-    facade_->start(known, now_);
+    policy_host_->start(known, now_);
     settle();
   }
 
@@ -28,7 +28,7 @@
       if (chance_.yes(0.8)) ask();
       if (chance_.yes(0.06)) change_list();
       if (chance_.yes(0.03)) leave();
-      if (chance_.yes(0.02)) facade_->report_watch_ended(now_);
+      if (chance_.yes(0.02)) policy_host_->report_watch_ended(now_);
       if (chance_.yes(0.015)) reload();
       settle();
     }
@@ -69,13 +69,13 @@
   void settle() {
     do {
       wake_ = false;
-      const Errands due = facade_->tick(now_);
+      const DeferredActions due = policy_host_->tick(now_);
       next_ = due.next > 0 ? std::max(due.next, now_ + 0.01) : 0;
       for (const Choice& choice : due.choices) carry_out(choice);
       for (const auto& [id, attempt] : due.call_off) call_off(id, attempt);
       for (const BackendId backend : due.probes) probe(backend);
       if (due.watch && !ever_.ask) judge_.broken("a list is asked for where it comes by itself");
-      if (due.watch) chance_.yes(0.7) ? tell(whole()) : facade_->report_watch_ended(now_);
+      if (due.watch) chance_.yes(0.7) ? tell(whole()) : policy_host_->report_watch_ended(now_);
     } while (wake_);
   }
 
@@ -84,19 +84,19 @@
     const MadeClass& c = made_.classes[static_cast<std::size_t>(n)];
     const Millis due = now_ + c.deadline * (chance_.yes() ? 1 : chance_.real(0.02, 1.3));
     judge_.came(++last_, {c, made_.attempts, made_.parallel, made_.retry_after, due});
-    Ask asked;
+    RequestInfo asked;
     asked.request_class = numbers_[static_cast<std::size_t>(n)];
     asked.tenant = made_.tenants.empty() ? 0 : chance_.below(static_cast<int>(made_.tenants.size()));
     asked.due = due;
     asked.expected_work = !hints_ ? -1 : chance_.yes(0.1) ? 0 : chance_.real(0.01, 0.3) * c.aim;
     asked.client_retry = chance_.yes(0.1);
-    carry_out(facade_->pick(last_, asked, now_));
+    carry_out(policy_host_->pick(last_, asked, now_));
   }
 
   void leave() {
     if (last_ == 0) return;
     const RequestId id = static_cast<RequestId>(chance_.from(1, static_cast<int>(last_)));
-    facade_->report_client_gone(id, now_);
+    policy_host_->report_client_gone(id, now_);
     judge_.left(id);
   }
 
@@ -117,7 +117,8 @@
   }
 
   void send(const Choice& choice) {
-    judge_.sent(choice.request, choice.attempt, spots_.at(facade_->host(choice.backend)), choice.until, now_);
+    judge_.sent(choice.request, choice.attempt, spots_.at(policy_host_->host(choice.backend)), choice.until,
+                now_);
     End end{choice.request, choice.attempt, choice.backend, now_, chance_.one_of(kEndings)};
     const bool at_its_end = end.ending == Ending::kTimeout || end.ending == Ending::kStoppedUnsent;
     ends_.emplace(at_its_end ? choice.until : chance_.real(now_, choice.until), end);
@@ -137,7 +138,7 @@
   void probe(BackendId backend) {
     ++probes_;
     if (!ever_.probes) judge_.broken("a probe where there are none");
-    if (spots_.at(facade_->host(backend)).health != "ready") judge_.broken("a probe of one not ready");
+    if (spots_.at(policy_host_->host(backend)).health != "ready") judge_.broken("a probe of one not ready");
     const Ending ending = chance_.yes(0.8) ? Ending::kServed : chance_.one_of(kEndings);
     ends_.emplace(now_ + chance_.real(0, 400), End{0, -1, backend, now_, ending});
   }
@@ -149,9 +150,9 @@
     load.busy = chance_.real(0, 1);
     const LoadReport* const told = chance_.yes(0.4) ? &load : nullptr;
     const Millis elapsed = now_ - end.sent;
-    if (end.attempt < 0) return facade_->report_probe(end.backend, end.ending, elapsed, told, now_);
+    if (end.attempt < 0) return policy_host_->report_probe(end.backend, end.ending, elapsed, told, now_);
     judge_.ended(end.request, end.attempt, end.ending);
-    carry_out(facade_->report(end.request, end.attempt, end.ending, elapsed, told, now_));
+    carry_out(policy_host_->report(end.request, end.attempt, end.ending, elapsed, told, now_));
   }
 
   // ---- lists ----
@@ -175,7 +176,7 @@
     }
     return list;
   }
-  void tell(const List& list) { facade_->report_list(list, ListSource::kWatch, now_); }
+  void tell(const List& list) { policy_host_->report_list(list, ListSource::kWatch, now_); }
   void change_list() {
     List list;
     if (spots_.empty() || chance_.yes(0.2)) {
@@ -199,7 +200,7 @@
     ever_.ask = ever_.ask || made_.ask;
     ever_.probes = ever_.probes || made_.probes;
     ever_.cancel = ever_.cancel || made_.cancel;
-    numbers_ = facade_->adopt(read_.settings, read_.host, now_);
+    numbers_ = policy_host_->adopt(read_.settings, read_.host, now_);
   }
 
   inline static const std::vector<Ending> kEndings = {
@@ -212,7 +213,7 @@
   Made made_;
   Config read_;
   Made ever_;  // what any settings so far allow
-  std::optional<Facade> facade_;
+  std::optional<PolicyHost> policy_host_;
   std::vector<int> numbers_;  // of the classes in force
   Judge judge_;
   Millis now_ = 1.7e12;
--- a/tests/faults/exception_test.cpp
+++ b/tests/faults/exception_test.cpp
@@ -31,7 +31,7 @@
       loop,
       Poco::Net::SocketAddress("127.0.0.1", 0),
       one_safe_class(),
-      {[](RequestId, const Ask&, const Way&, const std::shared_ptr<const Message>&) {
+      {[](RequestId, const RequestInfo&, const RequestRoute&, const std::shared_ptr<const Message>&) {
          throw std::runtime_error("out of something");
        },
        [this](RequestId request) { gone.push_back(request); }, [] { return true; }, [] { return false; },
--- a/tests/fleet_node_test.cpp
+++ b/tests/fleet_node_test.cpp
@@ -66,7 +66,7 @@
 
 // The module tries again as long as the fleet has something left, counts what it uses within one event, and
 // wants it known where there is nothing.
-TEST(FleetFacade, FurtherAttemptsKeepWithinWhatTheFleetHasLeft) {
+TEST(FleetPolicyHost, FurtherAttemptsKeepWithinWhatTheFleetHasLeft) {
   Settings s;
   RequestClass c;
   c.effect = Effect::kSafe;
@@ -79,34 +79,34 @@
   host.zones = {"a"};
   const List list = read_list(kList);
   for (const double most : {0.0, 2.0, 100.0}) {
-    Facade facade(s, host, 1);
+    PolicyHost policy_host(s, host, 1);
     Millis now = 1.7e12;
-    facade.start(list, now);
+    policy_host.start(list, now);
     double left = most;
     int made = 0;
     int wanted = 0;
-    facade.bound_attempts({[&] { return left; },
-                           [&] {
-                             ++(left >= 1 ? made : wanted);
-                             left -= left >= 1 ? 1 : 0;
-                           }},
-                          now);
+    policy_host.bound_attempts({[&] { return left; },
+                                [&] {
+                                  ++(left >= 1 ? made : wanted);
+                                  left -= left >= 1 ? 1 : 0;
+                                }},
+                               now);
     int sent_again = 0;
     for (RequestId id = 1; id <= 4; ++id) {
       now += 50;
-      Choice choice = facade.pick(id, {0, 0, now + 1000, -1, false}, now);
+      Choice choice = policy_host.pick(id, {0, 0, now + 1000, -1, false}, now);
       while (choice.kind == Choice::Kind::kSend) {
         sent_again += choice.attempt > 0;
-        choice = facade.report(id, choice.attempt, Ending::kRefused, 1, nullptr, now);
+        choice = policy_host.report(id, choice.attempt, Ending::kRefused, 1, nullptr, now);
       }
     }
     EXPECT_EQ(sent_again, made);
     EXPECT_EQ(made, most < 4 ? most : 8) << "two further for each of four";
     EXPECT_EQ(wanted > 0, most < 4);
     // Without it only the module's own bound counts.
-    facade.bound_attempts({}, now);
-    Choice choice = facade.pick(9, {0, 0, now + 1000, -1, false}, now);
-    choice = facade.report(9, choice.attempt, Ending::kRefused, 1, nullptr, now);
+    policy_host.bound_attempts({}, now);
+    Choice choice = policy_host.pick(9, {0, 0, now + 1000, -1, false}, now);
+    choice = policy_host.report(9, choice.attempt, Ending::kRefused, 1, nullptr, now);
     EXPECT_EQ(choice.kind, Choice::Kind::kSend);
   }
 }
--- a/tests/front_case.h
+++ b/tests/front_case.h
@@ -36,20 +36,20 @@
   std::function<void(RequestId)> after_each;  // in place of stopping
   bool roomy = true;
   Millis left = 0;  // of the client's wait, when the last was taken
-  Front front{
-      loop,
-      Poco::Net::SocketAddress("127.0.0.1", 0),
-      one_safe_class(),
-      {[this](RequestId request, const Ask& ask, const Way&, const std::shared_ptr<const Message>& message) {
-         taken.emplace_back(message->head().target.in(message->raw));
-         dues.push_back(ask.due);
-         left = ask.due - loop.now();
-         if (after_each) return after_each(request);
-         loop.after(1, [this] { loop.stop(); });
-       },
-       [](RequestId) {}, [] { return true; }, [] { return false; },
-       [](std::size_t unused) { return unused >= 2; }, [this] { return roomy; }, [] { return true; }},
-      waits};
+  Front front{loop,
+              Poco::Net::SocketAddress("127.0.0.1", 0),
+              one_safe_class(),
+              {[this](RequestId request, const RequestInfo& ask, const RequestRoute&,
+                      const std::shared_ptr<const Message>& message) {
+                 taken.emplace_back(message->head().target.in(message->raw));
+                 dues.push_back(ask.due);
+                 left = ask.due - loop.now();
+                 if (after_each) return after_each(request);
+                 loop.after(1, [this] { loop.stop(); });
+               },
+               [](RequestId) {}, [] { return true; }, [] { return false; },
+               [](std::size_t unused) { return unused >= 2; }, [this] { return roomy; }, [] { return true; }},
+              waits};
 };
 
 }  // namespace shorelead::node
--- a/tests/full_tables_test.cpp
+++ b/tests/full_tables_test.cpp
@@ -23,7 +23,7 @@
   for (const bool reloaded : {false, true}) {
     HostSettings host;
     host.classes = {"look"};
-    Facade facade(one_class(), host, 7);
+    PolicyHost policy_host(one_class(), host, 7);
     List list;
     list.version = 1;
     list.whole = true;
@@ -35,16 +35,16 @@
       list.backends.push_back(backend);
     }
     Millis now = 1000;
-    facade.start(list, now);
-    facade.report_list(list, ListSource::kWatch, now);
-    if (reloaded) facade.adopt(one_class(), host, now);
+    policy_host.start(list, now);
+    policy_host.report_list(list, ListSource::kWatch, now);
+    if (reloaded) policy_host.adopt(one_class(), host, now);
     std::size_t sent = 0;
     for (RequestId request = 1; request <= 30; ++request, now += 5) {
-      Choice choice = facade.pick(request, {.due = now + 1000}, now);
+      Choice choice = policy_host.pick(request, {.due = now + 1000}, now);
       for (; choice.kind == Choice::Kind::kSend; ++sent) {
         const Ending ending = sent % 2 == 0 ? Ending::kRefused : Ending::kConnectTimeout;
-        choice = facade.report(request, choice.attempt, ending, 1, nullptr, now);
-        EXPECT_TRUE(facade.tick(now).crowded.empty()) << name_of(ending);
+        choice = policy_host.report(request, choice.attempt, ending, 1, nullptr, now);
+        EXPECT_TRUE(policy_host.tick(now).crowded.empty()) << name_of(ending);
       }
     }
     EXPECT_GT(sent, 3U);
--- a/tests/home_test.cpp
+++ b/tests/home_test.cpp
@@ -20,7 +20,7 @@
     settings.probing = false;
     HostSettings host;
     host.zones = {"a", "b"};
-    facade = std::make_unique<Facade>(settings, host, 7);
+    policy_host = std::make_unique<PolicyHost>(settings, host, 7);
     list.whole = true;
     for (int n = 1; n <= 8; ++n) {
       const std::string number = std::to_string(n);
@@ -30,40 +30,40 @@
       one.dial += number;
       list.backends.push_back(one);
     }
-    facade->start(list, now);
+    policy_host->start(list, now);
   }
   void health(const std::string& name, const std::string& health) {
     for (ListedBackend& one : list.backends) {
       if (one.host == name) one.health = health;
     }
-    facade->report_list(list, ListSource::kWatch, now);
+    policy_host->report_list(list, ListSource::kWatch, now);
   }
   // The boxes that one request is sent to, where each turns it away; the last word is "" where nobody is
   // left.
   std::vector<std::string> tries(Unit home) {
     std::vector<std::string> all;
     now += 5;
-    Ask ask{0, 0, now + 1000, -1, false};
-    ask.home = home;
-    Choice choice = facade->pick(++last, ask, now);
+    RequestInfo info{0, 0, now + 1000, -1, false};
+    info.home = home;
+    Choice choice = policy_host->pick(++last, info, now);
     while (choice.kind == Choice::Kind::kSend) {
-      all.push_back(facade->host(choice.backend));
-      choice = facade->report(last, choice.attempt, Ending::kTurnedAway, 1, nullptr, now);
+      all.push_back(policy_host->host(choice.backend));
+      choice = policy_host->report(last, choice.attempt, Ending::kTurnedAway, 1, nullptr, now);
     }
     EXPECT_EQ(choice.kind, Choice::Kind::kRefuse);
     return all;
   }
   std::string served(Unit home) {
     now += 5;
-    Ask ask{0, 0, now + 1000, -1, false};
-    ask.home = home;
-    const Choice choice = facade->pick(++last, ask, now);
+    RequestInfo info{0, 0, now + 1000, -1, false};
+    info.home = home;
+    const Choice choice = policy_host->pick(++last, info, now);
     if (choice.kind != Choice::Kind::kSend) return "";
-    facade->report(last, choice.attempt, Ending::kServed, 2, nullptr, now += 2);
-    return facade->host(choice.backend);
+    policy_host->report(last, choice.attempt, Ending::kServed, 2, nullptr, now += 2);
+    return policy_host->host(choice.backend);
   }
   Unit unit(Unit::Kind kind, const std::string& name, bool only) {
-    Unit unit = facade->see(kind, name)->unit;
+    Unit unit = policy_host->see(kind, name)->unit;
     unit.only = only;
     return unit;
   }
@@ -72,7 +72,7 @@
   List list;
   Millis now = 1.7e12;
   RequestId last = 0;
-  std::unique_ptr<Facade> facade;
+  std::unique_ptr<PolicyHost> policy_host;
 };
 
 TEST(Home, WhatMayGoNowhereElseNeverDoesForAnyAttempt) {
@@ -99,7 +99,7 @@
     // Nothing new goes to who drains, and to nobody else in its place.
     for (const std::string& box : row.all) c.health(box, "draining");
     EXPECT_TRUE(c.tries(c.unit(row.kind, row.name, true)).empty());
-    EXPECT_EQ(c.facade->see(row.kind, row.name)->standing, affinity::Standing::kDraining);
+    EXPECT_EQ(c.policy_host->see(row.kind, row.name)->standing, affinity::Standing::kDraining);
   }
 }
 
--- a/tests/policy_host_test.cpp
+++ b/tests/policy_host_test.cpp
@@ -1,4 +1,4 @@
-// The facade: what each way to end means to the module shows in what the module does next.
+// The policy host: what each way to end means to the module shows in what the module does next.
 #include "node/policy_host.h"
 
 #include <gtest/gtest.h>
@@ -54,31 +54,33 @@
 }
 
 struct Fixture {
-  explicit Fixture(int backends = 4, const Settings& s = settings()) : facade(s, host(), 1) {
-    facade.start(list_of(backends), now);
+  explicit Fixture(int backends = 4, const Settings& s = settings()) : policy_host(s, host(), 1) {
+    policy_host.start(list_of(backends), now);
   }
 
   Choice pick(int request_class, Millis wait = 1000) {
-    return facade.pick(++last, {request_class, 0, now + wait, -1, false}, now);
+    return policy_host.pick(++last, {request_class, 0, now + wait, -1, false}, now);
   }
 
-  Choice report(int attempt, Ending ending) { return facade.report(last, attempt, ending, 5, nullptr, now); }
+  Choice report(int attempt, Ending ending) {
+    return policy_host.report(last, attempt, ending, 5, nullptr, now);
+  }
 
   Millis now = 1.7e12;
   RequestId last = 0;
-  Facade facade;
+  PolicyHost policy_host;
 };
 
 // Whatever the list says, until the call back: also where the id leaves the list and returns.
-TEST(Facade, ABackendOutByHandIsNotSentToWhateverTheListSays) {
+TEST(PolicyHost, ABackendOutByHandIsNotSentToWhateverTheListSays) {
   Fixture f(2);
   manage::BanSet bans;
   bans.disable("s-0", f.now);
-  EXPECT_EQ(f.facade.report_bans(bans, f.now).size(), 1U) << "its connections are to be dropped";
+  EXPECT_EQ(f.policy_host.report_bans(bans, f.now).size(), 1U) << "its connections are to be dropped";
   const auto sent_to = [&f] {
     std::set<std::string> hosts;
     for (int n = 0; n < 20; ++n) {
-      hosts.insert(f.facade.host(f.pick(kSafe).backend));
+      hosts.insert(f.policy_host.host(f.pick(kSafe).backend));
       f.report(0, Ending::kServed);
       f.now += 50;
     }
@@ -86,23 +88,23 @@
   };
   const std::set<std::string> other = {"s-1"};
   EXPECT_EQ(sent_to(), other);
-  EXPECT_EQ(f.facade.skipped(f.now), 1U);
+  EXPECT_EQ(f.policy_host.skipped(f.now), 1U);
   List list = list_of(2);
-  f.facade.report_list(list, ListSource::kWatch, f.now);
+  f.policy_host.report_list(list, ListSource::kWatch, f.now);
   EXPECT_EQ(sent_to(), other) << "listed as ready again";
   list.backends.erase(list.backends.begin());
-  f.facade.report_list(list, ListSource::kWatch, f.now);
-  f.facade.report_list(list, ListSource::kWatch, f.now);  // its number is given back
-  f.facade.report_list(list_of(2), ListSource::kWatch, f.now);
+  f.policy_host.report_list(list, ListSource::kWatch, f.now);
+  f.policy_host.report_list(list, ListSource::kWatch, f.now);  // its number is given back
+  f.policy_host.report_list(list_of(2), ListSource::kWatch, f.now);
   EXPECT_EQ(sent_to(), other) << "gone and back";
   bans.enable("s-0", f.now);
-  f.facade.report_bans(bans, f.now);
+  f.policy_host.report_bans(bans, f.now);
   EXPECT_EQ(sent_to().size(), 2U);
 }
 
 // It may have been restarted while it was out, and the list is seconds late: no more than a cold one's
 // budget.
-TEST(Facade, ABackendBackFromTheHandIsColdUntilTheListKnowsBetter) {
+TEST(PolicyHost, ABackendBackFromTheHandIsColdUntilTheListKnowsBetter) {
   Settings s = settings();
   s.warm_up = 10000;
   s.cold_share = 0.5;
@@ -111,13 +113,13 @@
   Fixture f(2, s);
   manage::BanSet bans;
   bans.disable("s-0", f.now);
-  f.facade.report_bans(bans, f.now);
+  f.policy_host.report_bans(bans, f.now);
   f.now += 3000;
   bans.enable("s-0", f.now);
-  f.facade.report_bans(bans, f.now);
+  f.policy_host.report_bans(bans, f.now);
   std::map<std::string, int> sent;
   for (int n = 0; n < 200; ++n) {
-    ++sent[f.facade.host(f.pick(kSafe).backend)];
+    ++sent[f.policy_host.host(f.pick(kSafe).backend)];
     f.report(0, Ending::kServed);
     f.now += 5;
   }
@@ -127,33 +129,33 @@
 
 // Open requests keep the class and the number of attempts under which they came; a class that is as it was
 // keeps its number, one with another effect has a new one.
-TEST(Facade, NewSettingsCountForRequestsThatComeThen) {
+TEST(PolicyHost, NewSettingsCountForRequestsThatComeThen) {
   Settings s = settings();
   s.fall_multiple = 1;
   HostSettings h = host();
   h.classes = {"read", "pay", "book"};
-  Facade facade(s, h, 1);
+  PolicyHost policy_host(s, h, 1);
   Millis now = 1.7e12;
-  facade.start(list_of(6), now);
-  EXPECT_EQ(facade.pick(1, {0, 0, now + 1000, -1, false}, now).kind, Choice::Kind::kSend);
+  policy_host.start(list_of(6), now);
+  EXPECT_EQ(policy_host.pick(1, {0, 0, now + 1000, -1, false}, now).kind, Choice::Kind::kSend);
   Settings next = s;
   next.max_attempts = 1;
   next.classes = {s.classes[1], s.classes[0], s.classes[0]};
   HostSettings names = h;
   names.classes = {"pay", "book", "new"};  // "book" is safe now, "read" is dropped
-  EXPECT_EQ(facade.adopt(next, names, now), (std::vector<int>{1, 3, 4}));
-  EXPECT_EQ(facade.adopt(s, h, now), (std::vector<int>{0, 1, 2})) << "as before: no new numbers";
-  EXPECT_EQ(facade.adopt(next, names, now), (std::vector<int>{1, 3, 4}));
+  EXPECT_EQ(policy_host.adopt(next, names, now), (std::vector<int>{1, 3, 4}));
+  EXPECT_EQ(policy_host.adopt(s, h, now), (std::vector<int>{0, 1, 2})) << "as before: no new numbers";
+  EXPECT_EQ(policy_host.adopt(next, names, now), (std::vector<int>{1, 3, 4}));
   const auto sent_again = [&](RequestId request) {
-    return facade.report(request, 0, Ending::kErred, 5, nullptr, now).kind == Choice::Kind::kSend;
+    return policy_host.report(request, 0, Ending::kErred, 5, nullptr, now).kind == Choice::Kind::kSend;
   };
   EXPECT_TRUE(sent_again(1)) << "came when there were five attempts";
-  EXPECT_EQ(facade.pick(2, {3, 0, now + 1000, -1, false}, now).kind, Choice::Kind::kSend);
+  EXPECT_EQ(policy_host.pick(2, {3, 0, now + 1000, -1, false}, now).kind, Choice::Kind::kSend);
   EXPECT_FALSE(sent_again(2));
 }
 
 // Rule "no effect twice": an unsafe request goes on only if its last byte was never written.
-TEST(Facade, EveryEndingOfAnUnsafeRequest) {
+TEST(PolicyHost, EveryEndingOfAnUnsafeRequest) {
   const std::vector<std::pair<Ending, bool>> endings = {
       {Ending::kTurnedAway, true},   {Ending::kRefused, true},      {Ending::kConnectTimeout, true},
       {Ending::kNoDescriptor, true}, {Ending::kBrokenUnsent, true}, {Ending::kStoppedUnsent, true},
@@ -175,27 +177,27 @@
   }
 }
 
-TEST(Facade, TheFirstWholeAnswerIsPassedOnce) {
+TEST(PolicyHost, TheFirstWholeAnswerIsPassedOnce) {
   Fixture f;
   ASSERT_EQ(f.pick(kSafe).kind, Choice::Kind::kSend);
   EXPECT_EQ(f.report(0, Ending::kServed).kind, Choice::Kind::kPass);
   EXPECT_EQ(f.report(0, Ending::kServed).kind, Choice::Kind::kOver);
-  EXPECT_EQ(f.facade.open_requests(), 0U);
+  EXPECT_EQ(f.policy_host.open_requests(), 0U);
 }
 
-TEST(Facade, NothingIsAnsweredOnceTheClientIsGone) {
+TEST(PolicyHost, NothingIsAnsweredOnceTheClientIsGone) {
   Fixture f;
   ASSERT_EQ(f.pick(kSafe).kind, Choice::Kind::kSend);
-  f.facade.report_client_gone(f.last, f.now);
-  const Errands errands = f.facade.tick(f.now);
-  ASSERT_EQ(errands.call_off.size(), settings().cancelling ? 1U : 0U);
-  EXPECT_TRUE(errands.choices.empty());
+  f.policy_host.report_client_gone(f.last, f.now);
+  const DeferredActions deferred = f.policy_host.tick(f.now);
+  ASSERT_EQ(deferred.call_off.size(), settings().cancelling ? 1U : 0U);
+  EXPECT_TRUE(deferred.choices.empty());
   const Choice after = f.report(0, Ending::kCalledOff);
   EXPECT_TRUE(after.kind == Choice::Kind::kHold || after.kind == Choice::Kind::kOver);
-  EXPECT_EQ(f.facade.open_requests(), 0U);
+  EXPECT_EQ(f.policy_host.open_requests(), 0U);
 }
 
-TEST(Facade, AttemptsNeverOutlastTheClientsWait) {
+TEST(PolicyHost, AttemptsNeverOutlastTheClientsWait) {
   Fixture f;
   const Choice choice = f.pick(kSafe, 100);
   ASSERT_EQ(choice.kind, Choice::Kind::kSend);
@@ -203,51 +205,51 @@
 }
 
 // Guards against a request that nobody answers: if no outcome came by its due time, the host gives it up.
-TEST(Facade, ARequestWithoutOutcomeFailsAtItsDueTime) {
+TEST(PolicyHost, ARequestWithoutOutcomeFailsAtItsDueTime) {
   Fixture f;
   ASSERT_EQ(f.pick(kSafe, 100).kind, Choice::Kind::kSend);
   f.now += 99;
-  EXPECT_TRUE(f.facade.tick(f.now).choices.empty());
+  EXPECT_TRUE(f.policy_host.tick(f.now).choices.empty());
   f.now += 3;
-  const Errands errands = f.facade.tick(f.now);
-  ASSERT_EQ(errands.choices.size(), 1U);
-  EXPECT_EQ(errands.choices[0].kind, Choice::Kind::kFail);
-  EXPECT_EQ(errands.choices[0].request, f.last);
+  const DeferredActions deferred = f.policy_host.tick(f.now);
+  ASSERT_EQ(deferred.choices.size(), 1U);
+  EXPECT_EQ(deferred.choices[0].kind, Choice::Kind::kFail);
+  EXPECT_EQ(deferred.choices[0].request, f.last);
   EXPECT_NE(f.report(0, Ending::kServed).kind, Choice::Kind::kPass);
 }
 
-TEST(Facade, TickSaysWhenItIsWantedNext) {
+TEST(PolicyHost, TickSaysWhenItIsWantedNext) {
   Fixture f;
-  Errands errands = f.facade.tick(f.now);
-  ASSERT_GT(errands.next, f.now);
-  f.now = errands.next;
-  errands = f.facade.tick(f.now);
-  EXPECT_GT(errands.next, f.now);
+  DeferredActions deferred = f.policy_host.tick(f.now);
+  ASSERT_GT(deferred.next, f.now);
+  f.now = deferred.next;
+  deferred = f.policy_host.tick(f.now);
+  EXPECT_GT(deferred.next, f.now);
 }
 
-TEST(Facade, TheListIsAskedForAtTheStartAndAfterABreak) {
+TEST(PolicyHost, TheListIsAskedForAtTheStartAndAfterABreak) {
   Fixture f;
   for (const int most : {1, 60}) {  // tenths of a second
     bool asked = false;
     for (int i = 0; i < most && !asked; ++i) {
       f.now += 100;
-      asked = f.facade.tick(f.now).watch;
+      asked = f.policy_host.tick(f.now).watch;
     }
     EXPECT_TRUE(asked) << most;
-    EXPECT_FALSE(f.facade.tick(f.now).watch);
-    f.facade.report_watch_ended(f.now);
+    EXPECT_FALSE(f.policy_host.tick(f.now).watch);
+    f.policy_host.report_watch_ended(f.now);
   }
 }
 
-TEST(Facade, NothingGoesToABackendThatDrainsOrIsGone) {
+TEST(PolicyHost, NothingGoesToABackendThatDrainsOrIsGone) {
   Fixture f(2);
   List change;
   change.version = 1;
   change.backends = {list_of(2).backends[0]};
   for (const std::string health : {"draining", "gone", "some new word"}) {
     change.backends[0].health = health;
-    f.facade.report_list(change, ListSource::kWatch, f.now);
-    EXPECT_FALSE(f.facade.wanted(0)) << health;
+    f.policy_host.report_list(change, ListSource::kWatch, f.now);
+    EXPECT_FALSE(f.policy_host.wanted(0)) << health;
     for (int i = 0; i < 4; ++i) {
       const Choice choice = f.pick(kSafe);
       ASSERT_EQ(choice.kind, Choice::Kind::kSend) << health;
@@ -255,29 +257,29 @@
       f.report(0, Ending::kServed);
     }
     change.backends[0].health = "ready";
-    f.facade.report_list(change, ListSource::kWatch, f.now);
-    EXPECT_TRUE(f.facade.wanted(0));
+    f.policy_host.report_list(change, ListSource::kWatch, f.now);
+    EXPECT_TRUE(f.policy_host.wanted(0));
   }
 }
 
 // A backend missing from a whole list is gone, and its new address counts when it comes back.
-TEST(Facade, WholeListsReplaceWhatWasKnown) {
+TEST(PolicyHost, WholeListsReplaceWhatWasKnown) {
   Fixture f(2);
   List whole = list_of(2);
   whole.backends.erase(whole.backends.begin());
-  f.facade.report_list(whole, ListSource::kWatch, f.now);
-  EXPECT_FALSE(f.facade.wanted(0));
+  f.policy_host.report_list(whole, ListSource::kWatch, f.now);
+  EXPECT_FALSE(f.policy_host.wanted(0));
   whole = list_of(2);
   whole.backends[0].dial = "127.0.0.1:9999";
-  f.facade.report_list(whole, ListSource::kWatch, f.now);
-  EXPECT_TRUE(f.facade.wanted(0));
-  EXPECT_EQ(f.facade.dial(0), "127.0.0.1:9999");
-  EXPECT_EQ(f.facade.backends(), 2U);
+  f.policy_host.report_list(whole, ListSource::kWatch, f.now);
+  EXPECT_TRUE(f.policy_host.wanted(0));
+  EXPECT_EQ(f.policy_host.dial(0), "127.0.0.1:9999");
+  EXPECT_EQ(f.policy_host.backends(), 2U);
 }
 
 // Guards against growing with every backend that ever was: numbers of those gone are given to others, but not
 // while a request or a probe still names them.
-TEST(Facade, NumbersOfBackendsThatAreGoneAreGivenBack) {
+TEST(PolicyHost, NumbersOfBackendsThatAreGoneAreGivenBack) {
   Fixture f(2);
   const Choice held = f.pick(kSafe);
   const RequestId request = f.last;
@@ -291,14 +293,14 @@
     change.backends[0].health = "gone";
     change.backends[1] = list_of(1).backends[0];  // at an address that another had before
     change.backends[1].host = host;
-    f.facade.report_list(change, ListSource::kWatch, f.now);
+    f.policy_host.report_list(change, ListSource::kWatch, f.now);
   };
   replace("s-0", "n-0");
   replace("s-1", "n-1");
   std::set<BackendId> met;
   for (int i = 2; i < 200; ++i) {
     replace("n-" + std::to_string(i - 2), "n-" + std::to_string(i));
-    EXPECT_EQ(f.facade.backends(), 4U) << i;  // two, the one just gone and the one held
+    EXPECT_EQ(f.policy_host.backends(), 4U) << i;  // two, the one just gone and the one held
     const Choice choice = f.pick(kSafe);
     ASSERT_EQ(choice.kind, Choice::Kind::kSend);
     met.insert(choice.backend);
@@ -310,27 +312,27 @@
   EXPECT_EQ(f.report(0, Ending::kServed).kind, Choice::Kind::kPass);
   replace("n-198", "n-200");
   replace("n-199", "n-201");
-  EXPECT_EQ(f.facade.backends(), 3U);
+  EXPECT_EQ(f.policy_host.backends(), 3U);
   // Of a backend never heard of there is nothing to remember once it is gone.
   replace("never", "n-202");
-  EXPECT_EQ(f.facade.backends(), 3U);
+  EXPECT_EQ(f.policy_host.backends(), 3U);
 }
 
-TEST(Facade, KeyedRequestsStayInTheirZone) {
+TEST(PolicyHost, KeyedRequestsStayInTheirZone) {
   Fixture f(1);
   List other;
   other.backends = list_of(1).backends;
   other.backends[0].host = "elsewhere";
   other.backends[0].site = "b";
-  f.facade.report_list(other, ListSource::kWatch, f.now);
+  f.policy_host.report_list(other, ListSource::kWatch, f.now);
   ASSERT_EQ(f.pick(kKeyed).kind, Choice::Kind::kSend);
   EXPECT_EQ(f.report(0, Ending::kBroken).kind, Choice::Kind::kFail);
 }
 
-TEST(Facade, TellsTheHostThatSomethingCameUp) {
+TEST(PolicyHost, TellsTheHostThatSomethingCameUp) {
   Fixture f;
   int woken = 0;
-  f.facade.on_errand([&woken] { ++woken; });
+  f.policy_host.on_deferred_action([&woken] { ++woken; });
   f.pick(kSafe);
   EXPECT_GT(woken, 0);
 }
@@ -338,8 +340,8 @@
 // ---- subsets ----
 
 struct Part {
-  explicit Part(int boxes = 400, int size = 20) : facade(settings(), host(), 1, fleet(size)) {
-    facade.start(list_of(boxes), now);
+  explicit Part(int boxes = 400, int size = 20) : policy_host(settings(), host(), 1, fleet(size)) {
+    policy_host.start(list_of(boxes), now);
   }
   static FleetOptions fleet(int size) {
     FleetOptions options;
@@ -353,15 +355,15 @@
   std::set<BackendId> used(int requests = 400) {
     std::set<BackendId> all;
     for (int i = 0; i < requests; ++i) {
-      const Choice choice = facade.pick(++last, {kSafe, 0, now + 1000, -1, false}, now);
+      const Choice choice = policy_host.pick(++last, {kSafe, 0, now + 1000, -1, false}, now);
       if (choice.kind != Choice::Kind::kSend) continue;
       all.insert(choice.backend);
-      facade.report(last, 0, Ending::kServed, 5, nullptr, now);
+      policy_host.report(last, 0, Ending::kServed, 5, nullptr, now);
     }
     return all;
   }
   std::string host_of(BackendId backend) const {
-    return "s-" + std::to_string(std::stoi(facade.dial(backend).substr(10)) - 9000);
+    return "s-" + std::to_string(std::stoi(policy_host.dial(backend).substr(10)) - 9000);
   }
   void change(const std::string& host, const std::string& health) {
     List list;
@@ -370,17 +372,17 @@
     b.health = health;
     b.site.push_back('a');
     list.backends.push_back(b);
-    unwanted = facade.report_list(list, ListSource::kWatch, now);
+    unwanted = policy_host.report_list(list, ListSource::kWatch, now);
   }
   Millis now = 1.7e12;
   RequestId last = 0;
   std::vector<BackendId> unwanted;
-  Facade facade;
+  PolicyHost policy_host;
 };
 
-TEST(FacadeSubset, WorksWithItsPartAndWithASmallFleetWhole) {
+TEST(PolicyHostSubset, WorksWithItsPartAndWithASmallFleetWhole) {
   Part part;
-  const auto counters = part.facade.subset_counters();
+  const auto counters = part.policy_host.subset_counters();
   ASSERT_TRUE(counters);
   EXPECT_EQ(counters->fleet, 400U);
   EXPECT_GE(counters->members, 10U);
@@ -391,7 +393,7 @@
 
 // Rule "drains are kept", on a part: a member that drains gets nothing new from that moment, without waiting
 // for a drawing, and another stands in before its grace ends.
-TEST(FacadeSubset, AMemberThatDrainsStopsAtOnceAndIsReplaced) {
+TEST(PolicyHostSubset, AMemberThatDrainsStopsAtOnceAndIsReplaced) {
   Part part;
   const std::set<BackendId> before = part.used();
   const BackendId drained = *before.begin();
@@ -399,13 +401,13 @@
   EXPECT_EQ(part.unwanted, std::vector<BackendId>{drained});
   EXPECT_EQ(part.used().count(drained), 0U);
   part.now += 101;
-  part.facade.tick(part.now);
+  part.policy_host.tick(part.now);
   EXPECT_EQ(part.used().count(drained), 0U);
-  EXPECT_GE(part.facade.subset_counters()->members, before.size() * 7 / 10);
+  EXPECT_GE(part.policy_host.subset_counters()->members, before.size() * 7 / 10);
 }
 
 // A change among boxes of other nodes' parts leaves this one's as it is, or nearly.
-TEST(FacadeSubset, ABoxElsewhereMovesFew) {
+TEST(PolicyHostSubset, ABoxElsewhereMovesFew) {
   Part part;
   const std::set<BackendId> before = part.used();
   std::set<std::string> members;
@@ -415,13 +417,13 @@
   part.change("s-" + std::to_string(host), "gone");
   EXPECT_TRUE(part.unwanted.empty());
   part.now += 101;
-  part.facade.tick(part.now);
-  EXPECT_LE(part.facade.subset_counters()->changes, before.size() + 6);
+  part.policy_host.tick(part.now);
+  EXPECT_LE(part.policy_host.subset_counters()->changes, before.size() + 6);
 }
 
 // The hard case: all of its members drain in one deploy. Others stand in; it is never without while anybody
 // is ready, and numbers of those gone are given back.
-TEST(FacadeSubset, ASubsetAllOfWhoseBoxesDrainIsDrawnAnew) {
+TEST(PolicyHostSubset, ASubsetAllOfWhoseBoxesDrainIsDrawnAnew) {
   Part part;
   for (int round = 0; round < 15; ++round) {
     for (const BackendId b : part.used()) {
@@ -429,53 +431,53 @@
       part.change(part.host_of(b), "gone");
     }
     part.now += 101;
-    part.facade.tick(part.now);
+    part.policy_host.tick(part.now);
     EXPECT_FALSE(part.used().empty()) << round;
   }
 }
 
 // Members that are silent count as no capacity: others are borrowed, and given back when they answer again.
-TEST(FacadeSubset, BorrowsWhileMembersAreSilent) {
+TEST(PolicyHostSubset, BorrowsWhileMembersAreSilent) {
   Part part;
   const std::set<BackendId> before = part.used();
   const auto probe_all = [&](Ending ending) {
     for (const BackendId b : before) {
-      for (int n = 0; n < 3; ++n) part.facade.report_probe(b, ending, 250, nullptr, part.now);
+      for (int n = 0; n < 3; ++n) part.policy_host.report_probe(b, ending, 250, nullptr, part.now);
     }
     part.now += 101;
-    part.facade.tick(part.now);
+    part.policy_host.tick(part.now);
   };
   probe_all(Ending::kTimeout);
-  EXPECT_GT(part.facade.subset_counters()->borrowed, 0U);
-  EXPECT_GT(part.facade.subset_counters()->members, before.size());
+  EXPECT_GT(part.policy_host.subset_counters()->borrowed, 0U);
+  EXPECT_GT(part.policy_host.subset_counters()->members, before.size());
   probe_all(Ending::kServed);
-  EXPECT_EQ(part.facade.subset_counters()->borrowed, 0U);
-  EXPECT_EQ(part.facade.subset_counters()->members, before.size());
+  EXPECT_EQ(part.policy_host.subset_counters()->borrowed, 0U);
+  EXPECT_EQ(part.policy_host.subset_counters()->members, before.size());
 }
 
 // Guards against counting silences on over a box's absence: one that was silent, went and came back is judged
 // anew.
-TEST(FacadeSubset, AMemberThatCameBackIsJudgedAnew) {
+TEST(PolicyHostSubset, AMemberThatCameBackIsJudgedAnew) {
   Part part;
   const std::set<BackendId> before = part.used();
   const auto silent = [&] {
     for (const BackendId b : before) {
-      for (int n = 0; n < 3; ++n) part.facade.report_probe(b, Ending::kTimeout, 250, nullptr, part.now);
+      for (int n = 0; n < 3; ++n) part.policy_host.report_probe(b, Ending::kTimeout, 250, nullptr, part.now);
     }
   };
   const auto all = [&](const std::string& health) {
     for (const BackendId b : before) part.change(part.host_of(b), health);
     part.now += 101;
-    part.facade.tick(part.now);
+    part.policy_host.tick(part.now);
   };
   silent();
   all("draining");
   all("ready");
-  EXPECT_EQ(part.facade.subset_counters()->borrowed, 0U);
+  EXPECT_EQ(part.policy_host.subset_counters()->borrowed, 0U);
   silent();
   part.now += 101;
-  part.facade.tick(part.now);
-  EXPECT_GT(part.facade.subset_counters()->borrowed, 0U);
+  part.policy_host.tick(part.now);
+  EXPECT_GT(part.policy_host.subset_counters()->borrowed, 0U);
 }
 
 }  // namespace
