--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -109,7 +109,7 @@
   const Millis now = fleet::boot_now();
   if (const fleet::Snapshot* const valid = port_.valid(now)) shedder_.told(valid->cut_off, now + kCutHolds);
   const auto loads = counted_.since_last([this](int rank) { return cells_of(rank); });
-  const fleet::CutOff next = shedder_.in_force(loads, channel_->traffic.room.get(), now);
+  const fleet::CutOff next = shedder_.in_force(loads, channel_->snapshot.room.get(), now);
   if (next == cut_off_) return;
   spdlog::info("fleet: in a shortage rank {} and {:.0f} % of it are turned away, by {}", next.rank + 1,
                next.share * 100, shedder_.alone() ? "own figures" : "the plan");
--- a/src/node/fleet_admissions.cpp
+++ b/src/node/fleet_admissions.cpp
@@ -15,15 +15,15 @@
 constexpr Millis kMostPast = 30000;
 
 // What the fleet allows of further attempts is each pool's module's to keep to.
-void bound_attempts(const Traffic& traffic) {
-  for (std::size_t n = 0; n < traffic.pools.size(); ++n) {
+void bound_attempts(const RoutingSnapshot& snapshot) {
+  for (std::size_t n = 0; n < snapshot.pools.size(); ++n) {
     const int pool = static_cast<int>(n);
-    if (!traffic.gate || !traffic.gate->bounds_attempts(pool)) {
-      traffic.pools[n]->bound_attempts({});
+    if (!snapshot.gate || !snapshot.gate->bounds_attempts(pool)) {
+      snapshot.pools[n]->bound_attempts({});
       continue;
     }
-    const std::shared_ptr<FleetGate> gate = traffic.gate;
-    traffic.pools[n]->bound_attempts(
+    const std::shared_ptr<FleetGate> gate = snapshot.gate;
+    snapshot.pools[n]->bound_attempts(
         {[gate, pool] { return gate->attempts_left(pool); }, [gate, pool] { gate->attempt_made(pool); }});
   }
 }
@@ -32,7 +32,7 @@
 
 // One that shares the same as before goes on with what it has; another joins under another name, as the one
 // before it lives until it has given all back.
-std::shared_ptr<FleetGate> FleetGates::make(const Config& config, const Traffic* now) {
+std::shared_ptr<FleetGate> FleetGates::make(const Config& config, const RoutingSnapshot* now) {
   if (!config.shared) return nullptr;
   FleetGate::Names names = FleetGate::names_of(config);
   if (now != nullptr && now->gate && now->gate->serves(*config.shared, names)) return now->gate;
@@ -47,7 +47,7 @@
 
 // What the one before has under way in slots keeps its epoch, so it goes on as it is until that is over; and
 // for a while for clients' repeats, which still go by it.
-void FleetGates::go_by(const Traffic& before, const Traffic& next) {
+void FleetGates::go_by(const RoutingSnapshot& before, const RoutingSnapshot& next) {
   if (before.gate && before.gate != next.gate) {
     before.gate->cease_reserve();
     left_.push_back({before.gate, loop_.now() + kMostPast});
@@ -74,7 +74,7 @@
   if (!left_.empty()) sweep_ = loop_.after(kSweepEvery, [this] { sweep(); });
 }
 
-bool FleetGates::give_back(const Traffic& now) {
+bool FleetGates::give_back(const RoutingSnapshot& now) {
   bool all = true;
   const auto ask = [&all](FleetGate& gate) {
     if (!gate.bound()) gate.leave();
--- a/src/node/fleet_admissions.h
+++ b/src/node/fleet_admissions.h
@@ -26,11 +26,11 @@
   FleetGates& operator=(const FleetGates&) = delete;
 
   // For a generation by `config`, the one in force being `now` (or none); null where nothing is shared.
-  std::shared_ptr<FleetGate> make(const Config& config, const Traffic* now);
+  std::shared_ptr<FleetGate> make(const Config& config, const RoutingSnapshot* now);
   // Requests go by `next` from now on, and no longer by `before`.
-  void go_by(const Traffic& before, const Traffic& next);
+  void go_by(const RoutingSnapshot& before, const RoutingSnapshot& next);
   // This process ends: gives back all of what is in force; whether that is done, as for those left before.
-  bool give_back(const Traffic& now);
+  bool give_back(const RoutingSnapshot& now);
 
   // The node's reserve, between the processes of it: another has it from now on, and what was begun with it
   // here is over after the time that is given back; or it is this one's, where that of the other's is over
--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -13,10 +13,10 @@
 
 }  // namespace
 
-Front::Front(Loop& loop, const Entry& entry, std::shared_ptr<const Traffic> traffic, Listener listener,
-             const Waits& waits)
+Front::Front(Loop& loop, const Entry& entry, std::shared_ptr<const RoutingSnapshot> snapshot,
+             Listener listener, const Waits& waits)
     : loop_(loop),
-      readings_(std::move(traffic)),
+      readings_(std::move(snapshot)),
       listener_(std::move(listener)),
       recorder_(loop, listener_.recorder),
       waits_(waits),
@@ -57,7 +57,7 @@
   info.body_comes = client.uploading();
   client.request = ++last_request_;
   waiting_[client.request] = &client;
-  client.class_name = request_route.traffic->names[static_cast<std::size_t>(request_route.request_class)];
+  client.class_name = request_route.snapshot->names[static_cast<std::size_t>(request_route.request_class)];
   client.taken = false;
   recorder_->taken(client.request, message.value("x-request-id"), client.input_at, info.due);
   if (!client.uploading()) take(client);
@@ -65,8 +65,8 @@
   listener_.request(client.request, info, request_route, client.message);
 }
 
-void Front::go_by(std::shared_ptr<const Traffic> traffic) {
-  readings_.go_by(std::move(traffic), loop_.now());
+void Front::go_by(std::shared_ptr<const RoutingSnapshot> snapshot) {
+  readings_.go_by(std::move(snapshot), loop_.now());
   for (const std::string& name : readings_.in_force().names) ledger_.name_class(name);
 }
 
--- a/src/node/front.h
+++ b/src/node/front.h
@@ -54,9 +54,9 @@
   using Entry = node::Entry;
 
   // Throws Poco::Exception where the address cannot be had.
-  Front(Loop& loop, const Entry& entry, std::shared_ptr<const Traffic> traffic, Listener listener)
-      : Front(loop, entry, std::move(traffic), std::move(listener), Waits()) {}
-  Front(Loop& loop, const Entry& entry, std::shared_ptr<const Traffic> traffic, Listener listener,
+  Front(Loop& loop, const Entry& entry, std::shared_ptr<const RoutingSnapshot> snapshot, Listener listener)
+      : Front(loop, entry, std::move(snapshot), std::move(listener), Waits()) {}
+  Front(Loop& loop, const Entry& entry, std::shared_ptr<const RoutingSnapshot> snapshot, Listener listener,
         const Waits& waits);
   ~Front() override;
 
@@ -69,7 +69,7 @@
 
   // Requests read from now on go by this generation; but a client's repeat of a keyed one, for the class's
   // window, by the one before: there its key is known, and elsewhere it would run again.
-  void go_by(std::shared_ptr<const Traffic> traffic);
+  void go_by(std::shared_ptr<const RoutingSnapshot> snapshot);
 
   // Clients can connect from now on; see Intake::open().
   void open() { intake_.open(); }
--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -23,13 +23,13 @@
   loop_.cancel(sweep_);
 }
 
-void Generations::begin(const Config& config) { traffic_ = make_traffic(config).traffic; }
+void Generations::begin(const Config& config) { snapshot_ = make_snapshot(config).snapshot; }
 
 void Generations::follow(const Config& config) {
   // What was pending is overtaken; its pools go on where the newer one has them as well.
   const std::vector<std::shared_ptr<Pool>> before = pools_;
   try {
-    Pending made = make_traffic(config);
+    Pending made = make_snapshot(config);
     pending_ = std::move(made);
   } catch (...) {
     // Keys that are of no use are seen only when a pool is made.
@@ -44,7 +44,7 @@
 }
 
 void Generations::adopt(const Config& config) {
-  auto next = std::make_shared<Traffic>(*traffic_);
+  auto next = std::make_shared<RoutingSnapshot>(*snapshot_);
   ++next->number;
   next->classes = config.settings.classes;
   next->names = config.host.classes;
@@ -63,15 +63,15 @@
 }
 
 // Pools that are told as they are now go on, under another name if need be; the others are made.
-Generations::Pending Generations::make_traffic(const Config& config) {
+Generations::Pending Generations::make_snapshot(const Config& config) {
   Pending made;
   made.told = pools_of(config);
-  auto traffic = std::make_shared<Traffic>();
-  traffic->number = traffic_ ? traffic_->number + 1 : 1;
-  traffic->classes = config.settings.classes;
-  traffic->names = config.host.classes;
-  traffic->tenants = config.host.tenants;
-  traffic->routes = config.routes;
+  auto snapshot = std::make_shared<RoutingSnapshot>();
+  snapshot->number = snapshot_ ? snapshot_->number + 1 : 1;
+  snapshot->classes = config.settings.classes;
+  snapshot->names = config.host.classes;
+  snapshot->tenants = config.host.tenants;
+  snapshot->routes = config.routes;
   std::vector<std::shared_ptr<Pool>> free = pools_;
   const auto claim = [&free](const auto& fits) {
     const auto it = std::find_if(free.begin(), free.end(), fits);
@@ -80,9 +80,9 @@
     free.erase(it);
     return pool;
   };
-  traffic->pools.resize(made.told.size());
+  snapshot->pools.resize(made.told.size());
   for (std::size_t n = 0; n < made.told.size(); ++n) {
-    traffic->pools[n] = claim(
+    snapshot->pools[n] = claim(
         [&](const auto& pool) { return pool->name() == made.told[n].name && pool->serves_as(made.told[n]); });
   }
   for (std::size_t n = 0; n < made.told.size(); ++n) {
@@ -94,16 +94,16 @@
                                      [&](const PoolConfig& other) { return other.name == pool->name(); });
       return !named && source && pool->serves_as(told);
     };
-    if (!traffic->pools[n]) traffic->pools[n] = claim(same_boxes);
-    if (!traffic->pools[n]) {
-      traffic->pools[n] = host_.make_pool(told, config);
-      pools_.push_back(traffic->pools[n]);
+    if (!snapshot->pools[n]) snapshot->pools[n] = claim(same_boxes);
+    if (!snapshot->pools[n]) {
+      snapshot->pools[n] = host_.make_pool(told, config);
+      pools_.push_back(snapshot->pools[n]);
     }
-    traffic->class_in_pool.push_back(told.classes);
-    traffic->fallbacks.push_back(told.fallback);
+    snapshot->class_in_pool.push_back(told.classes);
+    snapshot->fallbacks.push_back(told.fallback);
   }
-  traffic->gate = gates_.make(config, traffic_.get());
-  made.traffic = std::move(traffic);
+  snapshot->gate = gates_.make(config, snapshot_.get());
+  made.snapshot = std::move(snapshot);
   made.until = loop_.now() + kListWait;
   return made;
 }
@@ -111,7 +111,7 @@
 void Generations::put_in_force() {
   loop_.cancel(look_);
   if (!pending_) return;
-  const std::shared_ptr<Traffic> next = pending_->traffic;
+  const std::shared_ptr<RoutingSnapshot> next = pending_->snapshot;
   const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->told(); };
   const auto late = std::find_if(next->pools.begin(), next->pools.end(), waits);
   // Keys have no box by a gate that has no plan yet.
@@ -128,8 +128,8 @@
     next->pools[n]->follow(told[n]);
     next->pools[n]->rejoin();
   }
-  gates_.go_by(*traffic_, *next);
-  traffic_ = next;
+  gates_.go_by(*snapshot_, *next);
+  snapshot_ = next;
   host_.in_force(next);
   for (const auto& pool : pools_) {
     if (std::find(next->pools.begin(), next->pools.end(), pool) == next->pools.end()) pool->leave();
@@ -143,10 +143,10 @@
 void Generations::sweep_pools() {
   loop_.cancel(sweep_);
   const auto wanted = [this](const std::shared_ptr<Pool>& pool) {
-    const auto in = [&pool](const Traffic& t) {
+    const auto in = [&pool](const RoutingSnapshot& t) {
       return std::find(t.pools.begin(), t.pools.end(), pool) != t.pools.end();
     };
-    return in(*traffic_) || (pending_ && in(*pending_->traffic));
+    return in(*snapshot_) || (pending_ && in(*pending_->snapshot));
   };
   std::size_t left = 0;
   for (const auto& pool : pools_) left += wanted(pool) ? 0 : 1;
--- a/src/node/generations.h
+++ b/src/node/generations.h
@@ -21,7 +21,7 @@
   struct Host {
     std::function<std::shared_ptr<Pool>(const PoolConfig&, const Config&)> make_pool;
     std::function<void(Pool&)> begin;  // of a pool that has come with a reload
-    std::function<void(std::shared_ptr<const Traffic>)> in_force;
+    std::function<void(std::shared_ptr<const RoutingSnapshot>)> in_force;
   };
 
   Generations(Loop& loop, FleetGates& gates, Host host);
@@ -35,7 +35,7 @@
   // The platform's form: the one pool goes on with what it has learnt.
   void adopt(const Config& config);
 
-  const std::shared_ptr<const Traffic>& traffic() const { return traffic_; }  // in force
+  const std::shared_ptr<const RoutingSnapshot>& snapshot() const { return snapshot_; }  // in force
   // All that live: in force, pending, or left with something to do.
   const std::vector<std::shared_ptr<Pool>>& pools() const { return pools_; }
   std::uint64_t written_by_ended() const { return written_by_ended_; }  // attempts of pools that have ended
@@ -43,12 +43,12 @@
  private:
   // One that waits for the lists of its new pools before requests go by it.
   struct Pending {
-    std::shared_ptr<Traffic> traffic;
+    std::shared_ptr<RoutingSnapshot> snapshot;
     std::vector<PoolConfig> told;  // by pool: what it is to follow once the generation is in force
     Millis until = 0;
   };
 
-  Pending make_traffic(const Config& config);
+  Pending make_snapshot(const Config& config);
   void put_in_force();  // what is pending, if it is time
   void sweep_pools();
 
@@ -56,7 +56,7 @@
   FleetGates& gates_;
   const Host host_;
   std::vector<std::shared_ptr<Pool>> pools_;
-  std::shared_ptr<const Traffic> traffic_;
+  std::shared_ptr<const RoutingSnapshot> snapshot_;
   std::optional<Pending> pending_;
   Loop::TimerId look_ = 0;
   Loop::TimerId sweep_ = 0;
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -9,17 +9,17 @@
 
 namespace shorelead::node {
 
-bool Readiness::gate_suffices(const Traffic& traffic) const {
-  return traffic.number != 1 || !traffic.gate || traffic.gate->told();
+bool Readiness::gate_suffices(const RoutingSnapshot& snapshot) const {
+  return snapshot.number != 1 || !snapshot.gate || snapshot.gate->told();
 }
 
 // Lists of earlier will do if discovery takes its time.
-bool Readiness::lists_suffice(const Traffic& traffic, bool beside) const {
+bool Readiness::lists_suffice(const RoutingSnapshot& snapshot, bool beside) const {
   bool told = true;
   bool pushed = false;
   bool known = false;
   bool unusable = false;
-  for (const auto& pool : traffic.pools) {
+  for (const auto& pool : snapshot.pools) {
     told = told && pool->told();
     // While discovery is down it learns nothing, so what was known when it went down is all there is.
     pushed = pushed || (pool->pushed() && !pool->told() && !pool->unreached());
@@ -34,9 +34,9 @@
   return known && running() >= wait;
 }
 
-void Readiness::log_first(const Traffic& traffic) {
+void Readiness::log_first(const RoutingSnapshot& snapshot) {
   if (std::exchange(logged_, true)) return;
-  for (const auto& pool : traffic.pools) {
+  for (const auto& pool : snapshot.pools) {
     spdlog::info("pool {}: ready {:.2f} s after the start, {}", pool->name(), running() / 1000,
                  pool->told() ? "by a list told since" : "by the list given at the start: none was told");
   }
--- a/src/node/readiness.h
+++ b/src/node/readiness.h
@@ -24,10 +24,10 @@
   Readiness(Loop& loop, const Waits& waits) : loop_(loop), waits_(waits), started_(loop.now()) {}
 
   // `beside`: another process of this node serves meanwhile.
-  bool lists_suffice(const Traffic& traffic, bool beside) const;
-  bool gate_suffices(const Traffic& traffic) const;
+  bool lists_suffice(const RoutingSnapshot& snapshot, bool beside) const;
+  bool gate_suffices(const RoutingSnapshot& snapshot) const;
   // Says in the log, once, by which lists this process began to take clients.
-  void log_first(const Traffic& traffic);
+  void log_first(const RoutingSnapshot& snapshot);
 
   Millis running() const { return loop_.now() - started_; }
 
--- a/src/node/request_classifier.cpp
+++ b/src/node/request_classifier.cpp
@@ -11,39 +11,40 @@
 constexpr std::size_t kMostPast = 16;  // generations kept for repeats; beyond, the oldest is forgotten
 
 std::optional<RequestRoute> request_route_by(const Message& message,
-                                             const std::shared_ptr<const Traffic>& traffic) {
+                                             const std::shared_ptr<const RoutingSnapshot>& snapshot) {
   const Head& head = message.head();
   const std::string_view raw = message.raw;
   std::string_view path = head.target.in(raw);
-  if (traffic->routes) {
+  if (snapshot->routes) {
     const std::function<std::string_view(std::string_view)> field = [&message](std::string_view name) {
       return message.value(name);
     };
-    const auto rule = traffic->routes->table.find({message.value("host"), path, head.method.in(raw), &field});
+    const auto rule =
+        snapshot->routes->table.find({message.value("host"), path, head.method.in(raw), &field});
     if (!rule) return std::nullopt;
-    const routing::Route& route = traffic->routes->routes[*rule];
+    const routing::Route& route = snapshot->routes->routes[*rule];
     std::string_view key = route.by.empty() ? std::string_view() : message.value(route.by);
     if (key.empty()) key = message.value("idempotency-key");
     if (key.empty()) key = message.value("x-request-id");
-    return RequestRoute{traffic, route.request_class, routing::arm_of(route, key), static_cast<int>(*rule)};
+    return RequestRoute{snapshot, route.request_class, routing::arm_of(route, key), static_cast<int>(*rule)};
   }
   path = path.substr(1, std::min(path.find_first_of("/?#", 1), path.size()) - 1);
-  const auto known = std::find(traffic->names.begin(), traffic->names.end(), path);
-  if (known == traffic->names.end()) return std::nullopt;
-  return RequestRoute{traffic, static_cast<int>(known - traffic->names.begin()), 0};
+  const auto known = std::find(snapshot->names.begin(), snapshot->names.end(), path);
+  if (known == snapshot->names.end()) return std::nullopt;
+  return RequestRoute{snapshot, static_cast<int>(known - snapshot->names.begin()), 0};
 }
 
 }  // namespace
 
-void Readings::go_by(std::shared_ptr<const Traffic> traffic, Millis now) {
+void Readings::go_by(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now) {
   Millis window = 0;
-  for (const RequestClass& one : traffic_->classes) {
+  for (const RequestClass& one : snapshot_->classes) {
     if (one.effect == Effect::kKeyed) window = std::max(window, one.dedup_window);
   }
   forget_past(now);
-  if (window > 0) past_.push_back({traffic_, now + window});
+  if (window > 0) past_.push_back({snapshot_, now + window});
   if (past_.size() > kMostPast) past_.erase(past_.begin());
-  traffic_ = std::move(traffic);
+  snapshot_ = std::move(snapshot);
 }
 
 void Readings::forget_past(Millis now) {
@@ -55,14 +56,14 @@
   if (!past_.empty() && message.value("x-retried") == "1" && !message.value("idempotency-key").empty()) {
     for (const Past& past : past_) {
       if (past.until <= now) continue;
-      auto request_route = request_route_by(message, past.traffic);
+      auto request_route = request_route_by(message, past.snapshot);
       if (request_route &&
-          request_route->traffic->classes[static_cast<std::size_t>(request_route->request_class)].effect ==
+          request_route->snapshot->classes[static_cast<std::size_t>(request_route->request_class)].effect ==
               Effect::kKeyed)
         return request_route;
     }
   }
-  return request_route_by(message, traffic_);
+  return request_route_by(message, snapshot_);
 }
 
 int Readings::read(const Message& message, Millis now, RequestInfo& info, RequestRoute& request_route,
@@ -70,11 +71,11 @@
   const Head& head = message.head();
   const std::string_view raw = message.raw;
   std::optional<RequestRoute> found = request_route_of(message, now);
-  if (!found) return cause = traffic_->routes ? "no route" : "unknown class", 404;
+  if (!found) return cause = snapshot_->routes ? "no route" : "unknown class", 404;
   request_route = std::move(*found);
   info.request_class = request_route.request_class;
   const RequestClass& request_class =
-      request_route.traffic->classes[static_cast<std::size_t>(info.request_class)];
+      request_route.snapshot->classes[static_cast<std::size_t>(info.request_class)];
   const std::string_view method = head.method.in(raw);
   const bool keyed = !message.value("idempotency-key").empty();
   const bool fits = request_class.effect == Effect::kSafe
@@ -98,7 +99,7 @@
     info.due = static_cast<Millis>(*value);
   }
   const std::string_view tenant = message.value("x-tenant-id");
-  const auto& tenants = request_route.traffic->tenants;
+  const auto& tenants = request_route.snapshot->tenants;
   const auto named = std::find(tenants.begin(), tenants.end(), tenant);
   if (!tenant.empty() && named != tenants.end()) {
     info.tenant = static_cast<int>(named - tenants.begin());
--- a/src/node/request_classifier.h
+++ b/src/node/request_classifier.h
@@ -15,10 +15,10 @@
 
 class Readings {
  public:
-  explicit Readings(std::shared_ptr<const Traffic> traffic) : traffic_(std::move(traffic)) {}
+  explicit Readings(std::shared_ptr<const RoutingSnapshot> snapshot) : snapshot_(std::move(snapshot)) {}
 
-  const Traffic& in_force() const { return *traffic_; }
-  void go_by(std::shared_ptr<const Traffic> traffic, Millis now);
+  const RoutingSnapshot& in_force() const { return *snapshot_; }
+  void go_by(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now);
   void forget_past(Millis now);
 
   // Reads of a request what the module is told of it; `ask.due` holds the client's whole wait until the
@@ -28,13 +28,13 @@
 
  private:
   struct Past {
-    std::shared_ptr<const Traffic> traffic;
+    std::shared_ptr<const RoutingSnapshot> snapshot;
     Millis until = 0;
   };
 
   std::optional<RequestRoute> request_route_of(const Message& message, Millis now) const;
 
-  std::shared_ptr<const Traffic> traffic_;
+  std::shared_ptr<const RoutingSnapshot> snapshot_;
   std::vector<Past> past_;  // the oldest first
 };
 
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -13,12 +13,13 @@
     return message.value(name);
   };
   affinity::Request request;
-  if (request_route.route >= 0 && request_route.traffic->routes) {
+  if (request_route.route >= 0 && request_route.snapshot->routes) {
     const auto n = static_cast<std::size_t>(request_route.route);
-    request.route = request_route.traffic->routes->routes[n].name;
-    request.pattern = request_route.traffic->routes->rules[n].path;
+    request.route = request_route.snapshot->routes->routes[n].name;
+    request.pattern = request_route.snapshot->routes->rules[n].path;
   }
-  request.request_class = request_route.traffic->names[static_cast<std::size_t>(request_route.request_class)];
+  request.request_class =
+      request_route.snapshot->names[static_cast<std::size_t>(request_route.request_class)];
   request.tenant = message.value("x-tenant-id");
   request.plan = gate.plan_of(request.tenant);
   request.method = head.method.in(message.raw);
@@ -31,36 +32,36 @@
 
 void RequestTable::take(RequestId request, RequestInfo info, const RequestRoute& request_route,
                         std::shared_ptr<const Message> message) {
-  const Traffic& traffic = *request_route.traffic;
-  FleetGate* const gate = traffic.gate.get();
+  const RoutingSnapshot& snapshot = *request_route.snapshot;
+  FleetGate* const gate = snapshot.gate.get();
   KeyGate* const keys = gate == nullptr ? nullptr : gate->keys();
   const auto found = keys == nullptr ? std::nullopt : rule_of(*gate, *keys, request_route, *message);
   // A client's repeat of a keyed request stays where its key may be known; and what has a box of its own has
   // none in another pool.
-  const auto& request_class = traffic.classes[static_cast<std::size_t>(request_route.request_class)];
+  const auto& request_class = snapshot.classes[static_cast<std::size_t>(request_route.request_class)];
   const bool bound = (info.client_retry && request_class.effect == Effect::kKeyed) ||
                      (found && found->keyed && keys->must(*found));
   const int to = bound ? request_route.pool
-                       : routing::standing_in(traffic.fallbacks, request_route.pool, [&traffic](int n) {
-                           return traffic.pools[static_cast<std::size_t>(n)]->anybody_ready();
+                       : routing::standing_in(snapshot.fallbacks, request_route.pool, [&snapshot](int n) {
+                           return snapshot.pools[static_cast<std::size_t>(n)]->anybody_ready();
                          });
   if (to != request_route.pool) ++stood_in_;
   const auto n = static_cast<std::size_t>(to);
   FleetGate::Ticket ticket;
   if (gate != nullptr) {
-    gate->room(traffic.pools[n]->room());
+    gate->room(snapshot.pools[n]->room());
     const auto said =
         gate->admit({to, request_route.route, request_route.request_class, message->value("x-tenant-id"),
-                     gate->client_of(*message), traffic.pools[n]->most_advice()},
+                     gate->client_of(*message), snapshot.pools[n]->most_advice()},
                     request_class.aim);
     if (said.refused != 0) {
       return refuse_(request, {said.refused, said.cause, said.why, said.come_back});
     }
     ticket = said.ticket, info.worth = said.worth;
   }
-  info.request_class = traffic.class_in_pool[n][static_cast<std::size_t>(request_route.request_class)];
-  const std::shared_ptr<Pool> pool = traffic.pools[n];
-  with_[request] = {pool, traffic.gate, ticket};
+  info.request_class = snapshot.class_in_pool[n][static_cast<std::size_t>(request_route.request_class)];
+  const std::shared_ptr<Pool> pool = snapshot.pools[n];
+  with_[request] = {pool, snapshot.gate, ticket};
   if (!found) return pool->request(request, info, std::move(message));
   go(request, keys->arrive(request, *found, pool, info.due), info, std::move(message));
 }
--- a/src/node/routing_snapshot.h
+++ b/src/node/routing_snapshot.h
@@ -16,7 +16,7 @@
 class Pool;
 class FleetGate;
 
-struct Traffic {
+struct RoutingSnapshot {
   std::uint64_t number = 1;
   std::vector<RequestClass> classes;
   std::vector<std::string> names;  // of the classes
@@ -36,7 +36,7 @@
 
 // Where a request goes by the generation that read it.
 struct Way {
-  std::shared_ptr<const Traffic> traffic;
+  std::shared_ptr<const RoutingSnapshot> snapshot;
   int request_class = 0;
   int pool = 0;
   int route = -1;  // none where the first part of the path is the class
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -34,7 +34,7 @@
                       pool.ban(bans_->bans());
                       pool.start();
                     },
-                    [this](std::shared_ptr<const Traffic> next) {
+                    [this](std::shared_ptr<const RoutingSnapshot> next) {
                       recorder_.generation(next->number);
                       front_->go_by(std::move(next));
                     }}),
@@ -42,7 +42,7 @@
       request_table_([this](RequestId request, const Refusal& words) { front_->refuse(request, words); }),
       departure_(loop, waits.accept_on,
                  {[this]() -> Front& { return *front_; }, [this] { return open_requests(); },
-                  [this] { return gates_.give_back(traffic()); }}),
+                  [this] { return gates_.give_back(snapshot()); }}),
       succession_(
           loop, place,
           {[this] { return could_serve(); }, [this](bool held) { front_->hold(held); },
@@ -66,7 +66,7 @@
   entry.shared = !succession_.alone();
   if (place.legacy) entry.listening = place.legacy->listener;
   front_ = std::make_unique<Front>(
-      loop_, entry, generations_.traffic(),
+      loop_, entry, generations_.snapshot(),
       Front::Listener{
           [this](RequestId request, const RequestInfo& info, const RequestRoute& request_route,
                  std::shared_ptr<const Message> message) {
@@ -75,7 +75,7 @@
           [this](RequestId request) { request_table_.gone(request); },
           [this] {
             const bool is_ready = ready();
-            if (is_ready) readiness_.log_first(traffic());
+            if (is_ready) readiness_.log_first(snapshot());
             return recorder_.reported_ready(is_ready);
           },
           [this] { return Stream::open_count() * kCrowded >= most_streams() * (kCrowded - 1); },
@@ -85,7 +85,7 @@
           [this](RequestId request, Millis due) { request_table_.body_whole(request, due); }, flows_,
           &recorder_});
   if (!succession_.alone()) bans_->share(place.bans());
-  gates_.go_by(traffic(), traffic());
+  gates_.go_by(snapshot(), snapshot());
   for (const auto& pool : generations_.pools()) pool->start();
   succession_.begin();
   if (config.door) {
@@ -102,7 +102,7 @@
   };
   host.refuse = [this](RequestId request, Millis wait) {
     request_table_.close(request, FleetGate::End::kFailed);
-    front_->refuse(request, {.why = traffic().gate ? kWhyNoRoom : "", .wait = wait});
+    front_->refuse(request, {.why = snapshot().gate ? kWhyNoRoom : "", .wait = wait});
   };
   host.fail = [this](RequestId request, int status) {
     request_table_.close(request, FleetGate::End::kFailed);
@@ -125,9 +125,9 @@
 }
 
 bool Server::could_serve() const {
-  if (!readiness_.gate_suffices(traffic())) return false;
+  if (!readiness_.gate_suffices(snapshot())) return false;
   if (!bans_->known() && readiness_.running() < kBansWait) return false;
-  return readiness_.lists_suffice(traffic(), succession_.beside());
+  return readiness_.lists_suffice(snapshot(), succession_.beside());
 }
 
 int Server::most_streams() const {
@@ -193,7 +193,7 @@
 
 void Server::shut_down() {
   recorder_.phase(guard::ProcessPhase::kLeaving);
-  departure_.shut_down(std::min(traffic().longest_deadline(), waits_.deadline), succession_.replaced());
+  departure_.shut_down(std::min(snapshot().longest_deadline(), waits_.deadline), succession_.replaced());
 }
 
 void Server::take_up(Config fresh) {
@@ -219,12 +219,12 @@
       "counters: up_s={:.1f} taken={} served={} refused={} failed={} client_gone={} left_early={} "
       "malformed={} reloads={} bad_reloads={} generation={} pools={} stood_in={}",
       readiness_.running() / 1000, all.taken(), all.passed, all.dropped, all.bad_gateway, all.left,
-      front.left_early, front.malformed, reloads_.done(), reloads_.refused(), traffic().number,
+      front.left_early, front.malformed, reloads_.done(), reloads_.refused(), snapshot().number,
       generations_.pools().size(), request_table_.stood_in());
   spdlog::info("counters: answers {}",
                listed(front.by_status, [](int code) { return std::to_string(code); }));
   recorder_.log_counters();
-  if (traffic().gate) traffic().gate->log_counters();
+  if (snapshot().gate) snapshot().gate->log_counters();
   for (const auto& pool : generations_.pools()) {
     pool->log_counters(generations_.pools().size() > 1 ? "pool " + pool->name() + ": " : std::string());
   }
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -58,13 +58,13 @@
   unsigned short door_port() const { return door_ ? door_->port() : 0; }
   const FrontCounters& counters() const { return front_->counters(); }
   const manage::Ledger& ledger() const { return front_->ledger(); }
-  std::uint64_t generation() const { return traffic().number; }
+  std::uint64_t generation() const { return snapshot().number; }
   std::size_t pools() const { return generations_.pools().size(); }
   const Recorder& recorder() const { return recorder_; }
 
  private:
   std::shared_ptr<Pool> make_pool(const PoolConfig& config, const Config& whole);
-  const Traffic& traffic() const { return *generations_.traffic(); }  // in force
+  const RoutingSnapshot& snapshot() const { return *generations_.snapshot(); }  // in force
   bool ready() const;
   bool could_serve() const;
   void take_up(Config fresh);  // throws where that cannot be; all is as before then
--- a/tests/faults/exception_test.cpp
+++ b/tests/faults/exception_test.cpp
@@ -12,13 +12,13 @@
 namespace shorelead::node {
 namespace {
 
-std::shared_ptr<const Traffic> one_safe_class() {
-  auto traffic = std::make_shared<Traffic>();
-  traffic->number = 1;
-  traffic->classes.resize(1);
-  traffic->classes[0].effect = Effect::kSafe;
-  traffic->names = {"safe"};
-  return traffic;
+std::shared_ptr<const RoutingSnapshot> one_safe_class() {
+  auto snapshot = std::make_shared<RoutingSnapshot>();
+  snapshot->number = 1;
+  snapshot->classes.resize(1);
+  snapshot->classes[0].effect = Effect::kSafe;
+  snapshot->names = {"safe"};
+  return snapshot;
 }
 
 // Clients before a node whose requests all meet an exception.
--- a/tests/fleet_admissions_test.cpp
+++ b/tests/fleet_admissions_test.cpp
@@ -33,15 +33,15 @@
   Process(Loop& loop, bool beside) : gates(loop, beside, [](RequestId) {}) { follow(40); }
   // A reload, or the start.
   std::shared_ptr<FleetGate> follow(int burst) {
-    auto next = std::make_shared<Traffic>();
+    auto next = std::make_shared<RoutingSnapshot>();
     const Config config = config_of(burst);
-    next->gate = gates.make(config, traffic.get());
-    gates.go_by(traffic ? *traffic : *next, *next);
-    traffic = next;
+    next->gate = gates.make(config, snapshot.get());
+    gates.go_by(snapshot ? *snapshot : *next, *next);
+    snapshot = next;
     return next->gate;
   }
 
-  std::shared_ptr<Traffic> traffic;
+  std::shared_ptr<RoutingSnapshot> snapshot;
   FleetGates gates;
 };
 
@@ -58,11 +58,11 @@
 TEST(FleetGates, AReloadPassesTheReserveOn) {
   Loop loop;
   Process process(loop, false);
-  const auto first = process.traffic->gate;
+  const auto first = process.snapshot->gate;
   expect_one_has_it(*first, {});
   EXPECT_EQ(process.follow(40), first) << "nothing of it changed";
   // Made, and not yet in force.
-  const auto waits = process.gates.make(config_of(60), process.traffic.get());
+  const auto waits = process.gates.make(config_of(60), process.snapshot.get());
   expect_one_has_it(*first, {waits.get()});
   const auto second = process.follow(80);
   expect_one_has_it(*second, {first.get()});
@@ -72,18 +72,18 @@
   Loop loop;
   Process old(loop, false);
   Process next(loop, true);
-  expect_one_has_it(*old.traffic->gate, {next.traffic->gate.get()});
+  expect_one_has_it(*old.snapshot->gate, {next.snapshot->gate.get()});
   next.follow(60);  // a reload meanwhile
-  expect_one_has_it(*old.traffic->gate, {next.traffic->gate.get()});
+  expect_one_has_it(*old.snapshot->gate, {next.snapshot->gate.get()});
   EXPECT_EQ(old.gates.give_reserve(), 0) << "nothing at once";
-  EXPECT_FALSE(lets_in(*next.traffic->gate)) << "not told yet";
-  const auto before = old.traffic->gate;
+  EXPECT_FALSE(lets_in(*next.snapshot->gate)) << "not told yet";
+  const auto before = old.snapshot->gate;
   old.follow(60);
-  EXPECT_FALSE(lets_in(*old.traffic->gate) || lets_in(*before));
+  EXPECT_FALSE(lets_in(*old.snapshot->gate) || lets_in(*before));
   next.gates.take_reserve(0);
-  expect_one_has_it(*next.traffic->gate, {old.traffic->gate.get()});
+  expect_one_has_it(*next.snapshot->gate, {old.snapshot->gate.get()});
   // The successor is gone: the old one goes on with the gate that it has.
-  const auto kept = old.traffic->gate;
+  const auto kept = old.snapshot->gate;
   old.gates.take_reserve(0);
   expect_one_has_it(*kept, {});
 }
--- a/tests/front_case.h
+++ b/tests/front_case.h
@@ -15,12 +15,12 @@
 struct Clients {
   explicit Clients(const Front::Waits& waits = {}) : waits(waits) { front.open(); }
 
-  static std::shared_ptr<const Traffic> one_safe_class() {
-    auto traffic = std::make_shared<Traffic>();
-    traffic->classes.resize(1);
-    traffic->classes[0].effect = Effect::kSafe;
-    traffic->names = {"safe"};
-    return traffic;
+  static std::shared_ptr<const RoutingSnapshot> one_safe_class() {
+    auto snapshot = std::make_shared<RoutingSnapshot>();
+    snapshot->classes.resize(1);
+    snapshot->classes[0].effect = Effect::kSafe;
+    snapshot->names = {"safe"};
+    return snapshot;
   }
 
   Line ask(const std::string& path) {
