--- a/src/node/affinity_planner.h
+++ b/src/node/affinity_planner.h
@@ -12,18 +12,18 @@
 
 namespace shorelead::node {
 
-struct KeyPlannerCells {
+struct AffinityPlannerCells {
   fleet::Cell<std::uint64_t> closed, opened, returned, held, waiting;
 };
 
-class KeyPlanner : public fleet::PlanShaper {
+class AffinityPlanner : public fleet::PlanShaper {
  public:
-  explicit KeyPlanner(std::vector<affinity::Rule> rules)
+  explicit AffinityPlanner(std::vector<affinity::Rule> rules)
       : shaper_(std::move(rules), affinity::ShaperOptions()) {}
 
   // The traffic's thread.
   void put(std::vector<affinity::BoxSeen> boxes) { boxes_.put(std::move(boxes)); }
-  const KeyPlannerCells& cells() const { return cells_; }
+  const AffinityPlannerCells& cells() const { return cells_; }
 
   // The control's.
   void shape(fleet::Plan& next, const fleet::Plan* standing, const std::vector<fleet::Record>& records,
@@ -42,7 +42,7 @@
  private:
   fleet::Mailbox<std::vector<affinity::BoxSeen>> boxes_;
   affinity::Shaper shaper_;
-  KeyPlannerCells cells_;
+  AffinityPlannerCells cells_;
 };
 
 }  // namespace shorelead::node
--- a/src/node/affinity_router.cpp
+++ b/src/node/affinity_router.cpp
@@ -52,21 +52,21 @@
                                 : "its box cannot be told now, trying again is harmless";
 }
 
-KeyGate::KeyGate(Loop& loop, const FleetConfig& fleet, fleet::Port& port,
-                 std::function<void(RequestId)> again)
+AffinityRouter::AffinityRouter(Loop& loop, const FleetConfig& fleet, fleet::Port& port,
+                               std::function<void(RequestId)> again)
     : loop_(loop),
       port_(port),
       told_by_(loop.now() + kFirstPlan * fleet.sharing.lease),
       again_(std::move(again)),
       bindings_(fleet.affinity, kMostWaiting),
-      planner_(std::make_shared<KeyPlanner>(fleet.affinity)) {}
+      planner_(std::make_shared<AffinityPlanner>(fleet.affinity)) {}
 
-KeyGate::~KeyGate() {
+AffinityRouter::~AffinityRouter() {
   loop_.cancel(tick_);
   loop_.cancel(feed_);
 }
 
-void KeyGate::watch(const std::vector<std::shared_ptr<Pool>>& pools) {
+void AffinityRouter::watch(const std::vector<std::shared_ptr<Pool>>& pools) {
   pools_.assign(pools.begin(), pools.end());
   fed_at_ = 0;
   loop_.cancel(feed_);
@@ -75,7 +75,7 @@
 }
 
 // What the planner sees: all boxes of the list, once it is told. Who is out by hand is so at this node alone.
-void KeyGate::feed() {
+void AffinityRouter::feed() {
   feed_ = loop_.after(kFeedEvery, [this] { feed(); });
   std::uint64_t changes = 0;
   for (const auto& watched : pools_) {
@@ -108,7 +108,8 @@
   planner_->put(std::move(boxes));
 }
 
-KeyGate::Said KeyGate::answer(const affinity::Bindings::Said& said, const std::shared_ptr<Pool>& pool) {
+AffinityRouter::Said AffinityRouter::answer(const affinity::Bindings::Said& said,
+                                            const std::shared_ptr<Pool>& pool) {
   Said out{said.go, said.why, {}, said.place};
   if (said.unit != nullptr) {
     // It was seen a moment ago, on this thread.
@@ -125,8 +126,8 @@
   return out;
 }
 
-KeyGate::Said KeyGate::arrive(RequestId request, const affinity::Found& found,
-                              const std::shared_ptr<Pool>& pool, Millis due) {
+AffinityRouter::Said AffinityRouter::arrive(RequestId request, const affinity::Found& found,
+                                            const std::shared_ptr<Pool>& pool, Millis due) {
   const Millis now = fleet::boot_now();
   const affinity::Bindings::Look look = [&pool](To to, const std::string& unit) {
     return standing(*pool, to, unit);
@@ -134,7 +135,7 @@
   return answer(bindings_.arrive(request, found, valid(now), now + (due - loop_.now()), now, look), pool);
 }
 
-KeyGate::Said KeyGate::again(int place) {
+AffinityRouter::Said AffinityRouter::again(int place) {
   const Millis now = fleet::boot_now();
   const std::shared_ptr<Pool> pool = places_[static_cast<std::size_t>(place)].lock();
   const affinity::Bindings::Look look = [&pool](To to, const std::string& unit) {
@@ -143,26 +144,26 @@
   return answer(bindings_.again(place, valid(now), now, look), pool);
 }
 
-void KeyGate::leave(int place) {
+void AffinityRouter::leave(int place) {
   places_[static_cast<std::size_t>(place)].reset();
   bindings_.leave(place);
 }
 
-bool KeyGate::told() const { return port_.last() != nullptr || loop_.now() >= told_by_; }
+bool AffinityRouter::told() const { return port_.last() != nullptr || loop_.now() >= told_by_; }
 
-bool KeyGate::may_send(int place) { return bindings_.may_send(place, valid(fleet::boot_now())); }
+bool AffinityRouter::may_send(int place) { return bindings_.may_send(place, valid(fleet::boot_now())); }
 
-void KeyGate::over(int place) {
+void AffinityRouter::over(int place) {
   places_[static_cast<std::size_t>(place)].reset();
   bindings_.over(place);
   quiet();
 }
 
-void KeyGate::quiet() {
+void AffinityRouter::quiet() {
   if (bindings_.quiet() && port_.last() != nullptr) port_.slots_quiet();
 }
 
-void KeyGate::take_up() {
+void AffinityRouter::take_up() {
   bindings_.take_up(*port_.last(), fleet::boot_now());
   quiet();
   if (!bindings_.busy()) return;
@@ -171,7 +172,7 @@
   tick_ = loop_.after(0, [this] { look_after(); });
 }
 
-void KeyGate::look_after() {
+void AffinityRouter::look_after() {
   tick_ = bindings_.busy() ? loop_.after(kLookEvery, [this] { look_after(); }) : 0;
   const Millis now = fleet::boot_now();
   const auto anywhere = [this](To to, const std::string& unit) {
@@ -190,7 +191,7 @@
   for (const int place : waiting) again_(bindings_.request_of(place));
 }
 
-void KeyGate::log_counters() const {
+void AffinityRouter::log_counters() const {
   for (std::size_t n = 0; n < bindings_.rules().size(); ++n) {
     const affinity::Bindings::Counters& c = bindings_.counters(n);
     std::string by;
@@ -200,7 +201,7 @@
     spdlog::info("counters: affinity {}{} waited={} called_off={}", bindings_.rules()[n].name, by, c.waited,
                  c.called_off);
   }
-  const KeyPlannerCells& p = planner_->cells();
+  const AffinityPlannerCells& p = planner_->cells();
   spdlog::info("counters: affinity planner closed={} opened={} returned={} held={} waiting={}",
                p.closed.get(), p.opened.get(), p.returned.get(), p.held.get(), p.waiting.get());
 }
--- a/src/node/affinity_router.h
+++ b/src/node/affinity_router.h
@@ -22,15 +22,16 @@
 
 class Pool;
 
-class KeyGate : public Holder {
+class AffinityRouter : public Holder {
  public:
   // `again`: called for each request that waits, when it may be time to ask again().
-  KeyGate(Loop& loop, const FleetConfig& fleet, fleet::Port& port, std::function<void(RequestId)> again);
-  ~KeyGate() override;
-  KeyGate(const KeyGate&) = delete;
-  KeyGate& operator=(const KeyGate&) = delete;
+  AffinityRouter(Loop& loop, const FleetConfig& fleet, fleet::Port& port,
+                 std::function<void(RequestId)> again);
+  ~AffinityRouter() override;
+  AffinityRouter(const AffinityRouter&) = delete;
+  AffinityRouter& operator=(const AffinityRouter&) = delete;
 
-  const std::shared_ptr<KeyPlanner>& planner() const { return planner_; }
+  const std::shared_ptr<AffinityPlanner>& planner() const { return planner_; }
   void watch(
       const std::vector<std::shared_ptr<Pool>>& pools);  // whose boxes the planner goes by; none: no more
 
@@ -70,7 +71,7 @@
   const Millis told_by_;
   const std::function<void(RequestId)> again_;
   affinity::Bindings bindings_;
-  const std::shared_ptr<KeyPlanner> planner_;
+  const std::shared_ptr<AffinityPlanner> planner_;
   std::vector<std::weak_ptr<Pool>> pools_;   // watched
   std::vector<std::weak_ptr<Pool>> places_;  // the pool of each place, which lives for as long as it
   std::vector<affinity::BoxSeen> told_;      // to the planner
--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -38,8 +38,9 @@
 
 }  // namespace
 
-FleetGate::FleetGate(Loop& loop, const FleetConfig& fleet, const Config& config, const std::string& name,
-                     std::uint64_t seed, const std::function<void(RequestId)>& again)
+FleetAdmission::FleetAdmission(Loop& loop, const FleetConfig& fleet, const Config& config,
+                               const std::string& name, std::uint64_t seed,
+                               const std::function<void(RequestId)>& again)
     : loop_(loop),
       wall_(loop.now() - fleet::boot_now()),
       fleet_(fleet),
@@ -65,7 +66,7 @@
         std::make_shared<plans::CutOffShaper>(order_.ranks(), plans::CutOffSettings(), seed));
   }
   if (!fleet.affinity.empty()) {
-    keys_ = std::make_unique<KeyGate>(loop, fleet, port_, again);
+    keys_ = std::make_unique<AffinityRouter>(loop, fleet, port_, again);
     spec.shapers.push_back(keys_->planner());
   }
   cease_reserve();
@@ -79,7 +80,7 @@
   second_ = loop_.after(kSecond, [this] { each_second(); });
 }
 
-FleetGate::Names FleetGate::names_of(const Config& config) {
+FleetAdmission::Names FleetAdmission::names_of(const Config& config) {
   Names names(3);
   for (const PoolConfig& pool : config.pools) names[0].push_back(pool.name);
   if (config.routes) {
@@ -89,19 +90,19 @@
   return names;
 }
 
-FleetGate::~FleetGate() {
+FleetAdmission::~FleetAdmission() {
   loop_.cancel(second_);
   watch_.reset();
 }
 
-void FleetGate::follow() {
+void FleetAdmission::follow() {
   if (!port_.take_up()) return;
   // Slots are given up when nothing is under way in them; without rules of affinity nothing ever is.
   keys_ ? keys_->take_up() : port_.slots_quiet();
   if (const fleet::Snapshot* const now = port_.last()) spdlog::debug("fleet: epoch {} in force", now->epoch);
 }
 
-void FleetGate::each_second() {
+void FleetAdmission::each_second() {
   wall_ = loop_.to_wall(loop_.now()) - fleet::boot_now();
   second_ = loop_.after(kSecond, [this] { each_second(); });
   follow();
@@ -116,7 +117,7 @@
   cut_off_ = next;
 }
 
-FleetGate::Verdict FleetGate::admit(const Words& words, Millis aim) {
+FleetAdmission::Verdict FleetAdmission::admit(const Words& words, Millis aim) {
   Verdict verdict;
   const Millis now = fleet::boot_now();
   if (!keys_) follow();  // maps are made ready by the bell, not on a request's path
@@ -163,7 +164,7 @@
   return verdict;
 }
 
-void FleetGate::ended(const Ticket& ticket, End end) {
+void FleetAdmission::ended(const Ticket& ticket, End end) {
   const Millis now = fleet::boot_now();
   for (std::uint64_t left = ticket.at_once; left != 0; left &= left - 1) {
     port_.end(static_cast<std::size_t>(std::countr_zero(left)), now);
@@ -177,7 +178,7 @@
   }
 }
 
-double FleetGate::attempts_left(int pool) {
+double FleetAdmission::attempts_left(int pool) {
   follow();
   const Millis now = fleet::boot_now();
   double least = std::numeric_limits<double>::infinity();
@@ -187,22 +188,22 @@
   return least;
 }
 
-void FleetGate::attempt_made(int pool) {
+void FleetAdmission::attempt_made(int pool) {
   const Millis now = fleet::boot_now();
   for (std::uint64_t left = rules_.attempts_of(pool); left != 0; left &= left - 1) {
     port_.spend(static_cast<std::size_t>(std::countr_zero(left)), now);
   }
 }
 
-Millis FleetGate::longest_hold() const {
+Millis FleetAdmission::longest_hold() const {
   Millis longest = 0;
   for (const fleet::Budget& budget : fleet_.budgets) longest = std::max(longest, budget.hold);
   return longest;
 }
 
-void FleetGate::leave() { control_->leave(); }
+void FleetAdmission::leave() { control_->leave(); }
 
-void FleetGate::log_counters() const {
+void FleetAdmission::log_counters() const {
   const fleet::ControlCells& c = channel_->control;
   spdlog::info(
       "counters: fleet epoch={} planner={} joined={} ended={} lapsed={} epochs={} histories={} name_taken={} "
--- a/src/node/fleet_admission.h
+++ b/src/node/fleet_admission.h
@@ -25,7 +25,7 @@
 
 namespace shorelead::node {
 
-class FleetGate {
+class FleetAdmission {
  public:
   // What one request has of the fleet, until it is over.
   struct Ticket {
@@ -48,11 +48,11 @@
   using Names = std::vector<std::vector<std::string>>;
   static Names names_of(const Config& config);
 
-  FleetGate(Loop& loop, const FleetConfig& fleet, const Config& config, const std::string& name,
-            std::uint64_t seed, const std::function<void(RequestId)>& again);
-  ~FleetGate();
-  FleetGate(const FleetGate&) = delete;
-  FleetGate& operator=(const FleetGate&) = delete;
+  FleetAdmission(Loop& loop, const FleetConfig& fleet, const Config& config, const std::string& name,
+                 std::uint64_t seed, const std::function<void(RequestId)>& again);
+  ~FleetAdmission();
+  FleetAdmission(const FleetAdmission&) = delete;
+  FleetAdmission& operator=(const FleetAdmission&) = delete;
 
   const FleetConfig& config() const { return fleet_; }
   bool serves(const FleetConfig& fleet, const Names& names) const {
@@ -81,7 +81,7 @@
   }
 
   // Rules of affinity; null where there are none.
-  KeyGate* keys() { return keys_.get(); }
+  AffinityRouter* keys() { return keys_.get(); }
   const std::string& plan_of(std::string_view tenant) const {
     return order_.plans()[static_cast<std::size_t>(order_.plan_of(tenant))].name;
   }
@@ -89,8 +89,8 @@
   void room(double share) { port_.room(share); }  // of the boxes' capacity, that is unused
   bool told() const { return !keys_ || keys_->told(); }
   bool bound() const { return keys_ && keys_->busy(); }  // requests have places, which end with it
-  // A node has one reserve, whichever of its gates, generations and processes alike, serves. A gate begins
-  // without it. `before`: what another began with it is over after so long.
+  // A node has one reserve, whichever of its fleet admissions, generations and processes alike, serves. A
+  // fleet admission begins without it. `before`: what another began with it is over after so long.
   void begin_reserve(Millis before) { port_.begin_reserve(fleet::boot_now(), before); }
   void cease_reserve() { port_.cease_reserve(fleet::boot_now()); }
   Millis longest_hold() const;  // of what is at once
@@ -116,7 +116,7 @@
   plans::LocalShedder shedder_;
   fleet::CutOff cut_off_;
   RankCounts counted_;  // at the last second
-  std::unique_ptr<KeyGate> keys_;
+  std::unique_ptr<AffinityRouter> keys_;
   std::unique_ptr<fleet::Control> control_;
   std::unique_ptr<net::Descriptor> bell_;
   std::unique_ptr<net::Watch::Handler> on_bell_;
--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-Generations::Generations(Loop& loop, FleetGates& gates, Host host)
-    : loop_(loop), gates_(gates), host_(std::move(host)) {}
+Generations::Generations(Loop& loop, FleetAdmissions& admissions, Host host)
+    : loop_(loop), admissions_(admissions), host_(std::move(host)) {}
 
 Generations::~Generations() {
   loop_.cancel(look_);
@@ -102,7 +102,7 @@
     snapshot->class_in_pool.push_back(told.classes);
     snapshot->fallbacks.push_back(told.fallback);
   }
-  snapshot->gate = gates_.make(config, snapshot_.get());
+  snapshot->admission = admissions_.make(config, snapshot_.get());
   made.snapshot = std::move(snapshot);
   made.until = loop_.now() + kListWait;
   return made;
@@ -114,8 +114,8 @@
   const std::shared_ptr<RoutingSnapshot> next = pending_->snapshot;
   const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->told(); };
   const auto late = std::find_if(next->pools.begin(), next->pools.end(), waits);
-  // Keys have no box by a gate that has no plan yet.
-  const bool planless = next->gate && !next->gate->told();
+  // Keys have no box by a fleet admission that has no plan yet.
+  const bool planless = next->admission && !next->admission->told();
   if ((late != next->pools.end() || planless) && loop_.now() < pending_->until) {
     look_ = loop_.after(kLookEvery, [this] { put_in_force(); });
     return;
@@ -128,7 +128,7 @@
     next->pools[n]->follow(told[n]);
     next->pools[n]->rejoin();
   }
-  gates_.go_by(*snapshot_, *next);
+  admissions_.go_by(*snapshot_, *next);
   snapshot_ = next;
   host_.in_force(next);
   for (const auto& pool : pools_) {
--- a/src/node/generations.h
+++ b/src/node/generations.h
@@ -24,7 +24,7 @@
     std::function<void(std::shared_ptr<const RoutingSnapshot>)> in_force;
   };
 
-  Generations(Loop& loop, FleetGates& gates, Host host);
+  Generations(Loop& loop, FleetAdmissions& admissions, Host host);
   ~Generations();
   Generations(const Generations&) = delete;
   Generations& operator=(const Generations&) = delete;
@@ -53,7 +53,7 @@
   void sweep_pools();
 
   Loop& loop_;
-  FleetGates& gates_;
+  FleetAdmissions& admissions_;
   const Host host_;
   std::vector<std::shared_ptr<Pool>> pools_;
   std::shared_ptr<const RoutingSnapshot> snapshot_;
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -9,8 +9,8 @@
 
 namespace shorelead::node {
 
-bool Readiness::gate_suffices(const RoutingSnapshot& snapshot) const {
-  return snapshot.number != 1 || !snapshot.gate || snapshot.gate->told();
+bool Readiness::admission_suffices(const RoutingSnapshot& snapshot) const {
+  return snapshot.number != 1 || !snapshot.admission || snapshot.admission->told();
 }
 
 // Lists of earlier will do if discovery takes its time.
--- a/src/node/readiness.h
+++ b/src/node/readiness.h
@@ -1,5 +1,6 @@
 // Whether this process knows its backends well enough to take clients, and by what. Owns when it began and
-// whether it has said so; it must never ask for a list, nor look at anything but what pools and gates say.
+// whether it has said so; it must never ask for a list, nor look at anything but what pools and fleet
+// admissions say.
 #pragma once
 
 #include "node/net.h"
@@ -25,7 +26,7 @@
 
   // `beside`: another process of this node serves meanwhile.
   bool lists_suffice(const RoutingSnapshot& snapshot, bool beside) const;
-  bool gate_suffices(const RoutingSnapshot& snapshot) const;
+  bool admission_suffices(const RoutingSnapshot& snapshot) const;
   // Says in the log, once, by which lists this process began to take clients.
   void log_first(const RoutingSnapshot& snapshot);
 
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -6,7 +6,7 @@
 namespace shorelead::node {
 namespace {
 
-std::optional<affinity::Found> rule_of(const FleetGate& gate, const KeyGate& keys,
+std::optional<affinity::Found> rule_of(const FleetAdmission& admission, const AffinityRouter& keys,
                                        const RequestRoute& request_route, const Message& message) {
   const Head& head = message.head();
   const std::function<std::string_view(std::string_view)> field = [&message](std::string_view name) {
@@ -21,7 +21,7 @@
   request.request_class =
       request_route.snapshot->names[static_cast<std::size_t>(request_route.request_class)];
   request.tenant = message.value("x-tenant-id");
-  request.plan = gate.plan_of(request.tenant);
+  request.plan = admission.plan_of(request.tenant);
   request.method = head.method.in(message.raw);
   request.path = head.target.in(message.raw);
   request.field = &field;
@@ -33,9 +33,9 @@
 void RequestTable::take(RequestId request, RequestInfo info, const RequestRoute& request_route,
                         std::shared_ptr<const Message> message) {
   const RoutingSnapshot& snapshot = *request_route.snapshot;
-  FleetGate* const gate = snapshot.gate.get();
-  KeyGate* const keys = gate == nullptr ? nullptr : gate->keys();
-  const auto found = keys == nullptr ? std::nullopt : rule_of(*gate, *keys, request_route, *message);
+  FleetAdmission* const admission = snapshot.admission.get();
+  AffinityRouter* const keys = admission == nullptr ? nullptr : admission->keys();
+  const auto found = keys == nullptr ? std::nullopt : rule_of(*admission, *keys, request_route, *message);
   // A client's repeat of a keyed request stays where its key may be known; and what has a box of its own has
   // none in another pool.
   const auto& request_class = snapshot.classes[static_cast<std::size_t>(request_route.request_class)];
@@ -47,13 +47,13 @@
                          });
   if (to != request_route.pool) ++stood_in_;
   const auto n = static_cast<std::size_t>(to);
-  FleetGate::Ticket ticket;
-  if (gate != nullptr) {
-    gate->room(snapshot.pools[n]->room());
+  FleetAdmission::Ticket ticket;
+  if (admission != nullptr) {
+    admission->room(snapshot.pools[n]->room());
     const auto said =
-        gate->admit({to, request_route.route, request_route.request_class, message->value("x-tenant-id"),
-                     gate->client_of(*message), snapshot.pools[n]->most_advice()},
-                    request_class.aim);
+        admission->admit({to, request_route.route, request_route.request_class, message->value("x-tenant-id"),
+                          admission->client_of(*message), snapshot.pools[n]->most_advice()},
+                         request_class.aim);
     if (said.refused != 0) {
       return refuse_(request, {said.refused, said.cause, said.why, said.come_back});
     }
@@ -61,12 +61,12 @@
   }
   info.request_class = snapshot.class_in_pool[n][static_cast<std::size_t>(request_route.request_class)];
   const std::shared_ptr<Pool> pool = snapshot.pools[n];
-  with_[request] = {pool, snapshot.gate, ticket};
+  with_[request] = {pool, snapshot.admission, ticket};
   if (!found) return pool->request(request, info, std::move(message));
   go(request, keys->arrive(request, *found, pool, info.due), info, std::move(message));
 }
 
-void RequestTable::go(RequestId request, const KeyGate::Said& said, RequestInfo info,
+void RequestTable::go(RequestId request, const AffinityRouter::Said& said, RequestInfo info,
                       std::shared_ptr<const Message> message) {
   With& with = with_.at(request);
   switch (said.go) {
@@ -76,12 +76,12 @@
       return;
     case affinity::Go::kRefuse: {
       const Millis come_back = with.pool->most_advice();
-      close(request, FleetGate::End::kFailed);
+      close(request, FleetAdmission::End::kFailed);
       return refuse_(request, {503, cause_of(said.why), kWhyKey, come_back});
     }
     case affinity::Go::kOnly:
       // Both live for as long as anything of it is out.
-      info.affinity_hold = {std::shared_ptr<Holder>(with.gate, with.gate->keys()), said.place};
+      info.affinity_hold = {std::shared_ptr<Holder>(with.admission, with.admission->keys()), said.place};
       [[fallthrough]];
     case affinity::Go::kPrefer:
       info.home = said.home;
@@ -98,7 +98,7 @@
   const auto it = with_.find(request);
   if (it == with_.end() || !it->second.waits) return;
   Waits& waits = *it->second.waits;
-  const KeyGate::Said said = it->second.gate->keys()->again(waits.place);
+  const AffinityRouter::Said said = it->second.admission->keys()->again(waits.place);
   if (said.go == affinity::Go::kWait) return;
   waits.place = -1;
   go(request, said, std::move(waits.info), std::move(waits.message));
@@ -116,17 +116,17 @@
   const auto it = with_.find(request);
   if (it == with_.end()) return;
   const std::shared_ptr<Pool> pool = it->second.waits ? nullptr : it->second.pool;
-  close(request, FleetGate::End::kGone);
+  close(request, FleetAdmission::End::kGone);
   if (pool) pool->gone(request);
 }
 
-void RequestTable::close(RequestId request, FleetGate::End end) {
+void RequestTable::close(RequestId request, FleetAdmission::End end) {
   const auto it = with_.find(request);
   if (it == with_.end()) return;
   const With with = std::move(it->second);
   with_.erase(it);
-  if (with.waits && with.waits->place >= 0) with.gate->keys()->leave(with.waits->place);
-  if (with.gate) with.gate->ended(with.ticket, end);
+  if (with.waits && with.waits->place >= 0) with.admission->keys()->leave(with.waits->place);
+  if (with.admission) with.admission->ended(with.ticket, end);
 }
 
 }  // namespace shorelead::node
--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -1,5 +1,5 @@
 // Where each open request is: with a pool, or waiting for its key's box; and what it has of the fleet. Owns
-// that book, and the order in which a request meets stand-ins, the fleet's gate and rules of affinity. It
+// that book, and the order in which a request meets stand-ins, the fleet admission and rules of affinity. It
 // must never choose a box, nor let go of what a request has of the fleet before it is over.
 #pragma once
 
@@ -29,7 +29,7 @@
   void body_whole(RequestId request, Millis due);
   void gone(RequestId request);  // its client is
   // It has its answer; what it has of the fleet is given back.
-  void close(RequestId request, FleetGate::End end);
+  void close(RequestId request, FleetAdmission::End end);
   std::uint64_t stood_in() const { return stood_in_; }  // requests taken by a pool that stands in for another
 
  private:
@@ -40,13 +40,13 @@
   };
   struct With {
     std::shared_ptr<Pool> pool;
-    std::shared_ptr<FleetGate> gate;
-    FleetGate::Ticket ticket;
+    std::shared_ptr<FleetAdmission> admission;
+    FleetAdmission::Ticket ticket;
     std::unique_ptr<Waits> waits{};
   };
 
   // As a rule of affinity says.
-  void go(RequestId request, const KeyGate::Said& said, RequestInfo info,
+  void go(RequestId request, const AffinityRouter::Said& said, RequestInfo info,
           std::shared_ptr<const Message> message);
 
   const Refuse refuse_;
--- a/src/node/routing_snapshot.h
+++ b/src/node/routing_snapshot.h
@@ -14,7 +14,7 @@
 namespace shorelead::node {
 
 class Pool;
-class FleetGate;
+class FleetAdmission;
 
 struct RoutingSnapshot {
   std::uint64_t number = 1;
@@ -25,7 +25,7 @@
   std::vector<std::shared_ptr<Pool>> pools;
   std::vector<std::vector<int>> class_in_pool;  // by pool and class; -1 = it never comes there
   std::vector<int> fallbacks;                   // by pool; -1 = none
-  std::shared_ptr<FleetGate> gate;              // none: nothing is shared with other processes
+  std::shared_ptr<FleetAdmission> admission;    // none: nothing is shared with other processes
 
   Millis longest_deadline() const {
     Millis longest = 0;
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -27,8 +27,9 @@
       waits_(waits),
       reloads_(loop, {[this]() -> const Shape& { return shape_; },
                       [this](Config fresh) { take_up(std::move(fresh)); }}),
-      gates_(loop, place.legacy.has_value(), [this](RequestId request) { request_table_.again(request); }),
-      generations_(loop, gates_,
+      admissions_(loop, place.legacy.has_value(),
+                  [this](RequestId request) { request_table_.again(request); }),
+      generations_(loop, admissions_,
                    {[this](const PoolConfig& one, const Config& whole) { return make_pool(one, whole); },
                     [this](Pool& pool) {
                       pool.ban(bans_->bans());
@@ -42,15 +43,15 @@
       request_table_([this](RequestId request, const Refusal& words) { front_->refuse(request, words); }),
       departure_(loop, waits.accept_on,
                  {[this]() -> Front& { return *front_; }, [this] { return open_requests(); },
-                  [this] { return gates_.give_back(snapshot()); }}),
-      succession_(
-          loop, place,
-          {[this] { return could_serve(); }, [this](bool held) { front_->hold(held); },
-           [this] { return front_->listening(); },
-           [this] { return generations_.pools().front()->list_text(); },
-           [this] { return departure_.leaving(); }, [this] { flows_->state(flow_bytes()); },
-           [this] { trim(); }, [this] { departure_.replaced(); }, [this] { return departure_.resume(); },
-           [this] { return gates_.give_reserve(); }, [this](Millis before) { gates_.take_reserve(before); }}),
+                  [this] { return admissions_.give_back(snapshot()); }}),
+      succession_(loop, place,
+                  {[this] { return could_serve(); }, [this](bool held) { front_->hold(held); },
+                   [this] { return front_->listening(); },
+                   [this] { return generations_.pools().front()->list_text(); },
+                   [this] { return departure_.leaving(); }, [this] { flows_->state(flow_bytes()); },
+                   [this] { trim(); }, [this] { departure_.replaced(); },
+                   [this] { return departure_.resume(); }, [this] { return admissions_.give_reserve(); },
+                   [this](Millis before) { admissions_.take_reserve(before); }}),
       readiness_(loop, {.list = waits.list, .pushed_list = waits.pushed_list}) {
   limits_.sockets = allowed_descriptors(limits_.sockets);
   flows_ = std::make_shared<net::FlowBudget>(flow_bytes());
@@ -85,7 +86,7 @@
           [this](RequestId request, Millis due) { request_table_.body_whole(request, due); }, flows_,
           &recorder_});
   if (!succession_.alone()) bans_->share(place.bans());
-  gates_.go_by(snapshot(), snapshot());
+  admissions_.go_by(snapshot(), snapshot());
   for (const auto& pool : generations_.pools()) pool->start();
   succession_.begin();
   if (config.door) {
@@ -97,15 +98,15 @@
 std::shared_ptr<Pool> Server::make_pool(const PoolConfig& config, const Config& whole) {
   Pool::Host host;
   host.serve = [this](RequestId request, const Message& answer, const std::shared_ptr<net::Flow>& flow) {
-    request_table_.close(request, FleetGate::End::kServed);
+    request_table_.close(request, FleetAdmission::End::kServed);
     front_->serve(request, answer, flow);
   };
   host.refuse = [this](RequestId request, Millis wait) {
-    request_table_.close(request, FleetGate::End::kFailed);
-    front_->refuse(request, {.why = snapshot().gate ? kWhyNoRoom : "", .wait = wait});
+    request_table_.close(request, FleetAdmission::End::kFailed);
+    front_->refuse(request, {.why = snapshot().admission ? kWhyNoRoom : "", .wait = wait});
   };
   host.fail = [this](RequestId request, int status) {
-    request_table_.close(request, FleetGate::End::kFailed);
+    request_table_.close(request, FleetAdmission::End::kFailed);
     front_->fail(request, status);
   };
   host.make_room = [this](limits::Purpose purpose) { return room_.make(purpose, *front_); };
@@ -125,7 +126,7 @@
 }
 
 bool Server::could_serve() const {
-  if (!readiness_.gate_suffices(snapshot())) return false;
+  if (!readiness_.admission_suffices(snapshot())) return false;
   if (!bans_->known() && readiness_.running() < kBansWait) return false;
   return readiness_.lists_suffice(snapshot(), succession_.beside());
 }
@@ -224,7 +225,7 @@
   spdlog::info("counters: answers {}",
                listed(front.by_status, [](int code) { return std::to_string(code); }));
   recorder_.log_counters();
-  if (snapshot().gate) snapshot().gate->log_counters();
+  if (snapshot().admission) snapshot().admission->log_counters();
   for (const auto& pool : generations_.pools()) {
     pool->log_counters(generations_.pools().size() > 1 ? "pool " + pool->name() + ": " : std::string());
   }
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -82,7 +82,7 @@
   const Waits waits_;
   Reloads reloads_;
   std::shared_ptr<net::FlowBudget> flows_;  // memory for bodies that are not kept whole
-  FleetGates gates_;
+  FleetAdmissions admissions_;
   Generations generations_;
   DescriptorRoom room_;
   RequestTable request_table_;
--- a/tests/fleet_admissions_test.cpp
+++ b/tests/fleet_admissions_test.cpp
@@ -1,5 +1,5 @@
-// One node has one reserve: through reloads that make another gate, and through processes that replace one
-// another, however these end. The store is away throughout, so that the reserve is all there is.
+// One node has one reserve: through reloads that make another fleet admission, and through processes that
+// replace one another, however these end. The store is away throughout, so that the reserve is all there is.
 #include "node/fleet_admissions.h"
 
 #include <gtest/gtest.h>
@@ -30,61 +30,61 @@
 }
 
 struct Process {
-  Process(Loop& loop, bool beside) : gates(loop, beside, [](RequestId) {}) { follow(40); }
+  Process(Loop& loop, bool beside) : admissions(loop, beside, [](RequestId) {}) { follow(40); }
   // A reload, or the start.
-  std::shared_ptr<FleetGate> follow(int burst) {
+  std::shared_ptr<FleetAdmission> follow(int burst) {
     auto next = std::make_shared<RoutingSnapshot>();
     const Config config = config_of(burst);
-    next->gate = gates.make(config, snapshot.get());
-    gates.go_by(snapshot ? *snapshot : *next, *next);
+    next->admission = admissions.make(config, snapshot.get());
+    admissions.go_by(snapshot ? *snapshot : *next, *next);
     snapshot = next;
-    return next->gate;
+    return next->admission;
   }
 
   std::shared_ptr<RoutingSnapshot> snapshot;
-  FleetGates gates;
+  FleetAdmissions admissions;
 };
 
-bool lets_in(FleetGate& gate) { return gate.admit({}, 1000).refused == 0; }
+bool lets_in(FleetAdmission& admission) { return admission.admit({}, 1000).refused == 0; }
 
 // Some time is given, as a bucket that begins has nothing yet; the harness ends what never comes.
-void expect_one_has_it(FleetGate& has, const std::vector<FleetGate*>& others) {
+void expect_one_has_it(FleetAdmission& has, const std::vector<FleetAdmission*>& others) {
   while (!lets_in(has)) std::this_thread::yield();
   for (int n = 0; n < 100; ++n) {
-    for (FleetGate* other : others) ASSERT_FALSE(lets_in(*other));
+    for (FleetAdmission* other : others) ASSERT_FALSE(lets_in(*other));
   }
 }
 
-TEST(FleetGates, AReloadPassesTheReserveOn) {
+TEST(FleetAdmissions, AReloadPassesTheReserveOn) {
   Loop loop;
   Process process(loop, false);
-  const auto first = process.snapshot->gate;
+  const auto first = process.snapshot->admission;
   expect_one_has_it(*first, {});
   EXPECT_EQ(process.follow(40), first) << "nothing of it changed";
   // Made, and not yet in force.
-  const auto waits = process.gates.make(config_of(60), process.snapshot.get());
+  const auto waits = process.admissions.make(config_of(60), process.snapshot.get());
   expect_one_has_it(*first, {waits.get()});
   const auto second = process.follow(80);
   expect_one_has_it(*second, {first.get()});
 }
 
-TEST(FleetGates, ASuccessorHasTheReserveOnceTheOneBeforeCededItOrEnded) {
+TEST(FleetAdmissions, ASuccessorHasTheReserveOnceTheOneBeforeCededItOrEnded) {
   Loop loop;
   Process old(loop, false);
   Process next(loop, true);
-  expect_one_has_it(*old.snapshot->gate, {next.snapshot->gate.get()});
+  expect_one_has_it(*old.snapshot->admission, {next.snapshot->admission.get()});
   next.follow(60);  // a reload meanwhile
-  expect_one_has_it(*old.snapshot->gate, {next.snapshot->gate.get()});
-  EXPECT_EQ(old.gates.give_reserve(), 0) << "nothing at once";
-  EXPECT_FALSE(lets_in(*next.snapshot->gate)) << "not told yet";
-  const auto before = old.snapshot->gate;
+  expect_one_has_it(*old.snapshot->admission, {next.snapshot->admission.get()});
+  EXPECT_EQ(old.admissions.give_reserve(), 0) << "nothing at once";
+  EXPECT_FALSE(lets_in(*next.snapshot->admission)) << "not told yet";
+  const auto before = old.snapshot->admission;
   old.follow(60);
-  EXPECT_FALSE(lets_in(*old.snapshot->gate) || lets_in(*before));
-  next.gates.take_reserve(0);
-  expect_one_has_it(*next.snapshot->gate, {old.snapshot->gate.get()});
-  // The successor is gone: the old one goes on with the gate that it has.
-  const auto kept = old.snapshot->gate;
-  old.gates.take_reserve(0);
+  EXPECT_FALSE(lets_in(*old.snapshot->admission) || lets_in(*before));
+  next.admissions.take_reserve(0);
+  expect_one_has_it(*next.snapshot->admission, {old.snapshot->admission.get()});
+  // The successor is gone: the old one goes on with the fleet admission that it has.
+  const auto kept = old.snapshot->admission;
+  old.admissions.take_reserve(0);
   expect_one_has_it(*kept, {});
 }
 
--- a/tests/keys_node_test.cpp
+++ b/tests/keys_node_test.cpp
@@ -190,7 +190,7 @@
   EXPECT_EQ(whole_map(two), moved);
 }
 
-// The next gate has its plan before requests go by it, and the one before keeps what is under way.
+// The next fleet admission has its plan before requests go by it, and the one before keeps what is under way.
 TEST(KeysNode, AReloadOfWhatIsSharedRefusesNoKeyAndMovesNone) {
   Fleet fleet;
   Node one(fleet, "one");
