--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-std::optional<Legacy> ask(const std::string& path, Millis wait) {
+std::optional<InheritedState> ask(const std::string& path, Millis wait) {
   const sockaddr_un address = address_of(path);
   net::Descriptor socket(checked(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0), "socket"));
   timeval limit{};
@@ -86,12 +86,12 @@
     whole = end + 1 + size;
   }
   if (listener < 0) return std::nullopt;
-  Legacy legacy;
-  legacy.listener = listener;
-  legacy.list = text.substr(text.find('\n') + 1, whole);
-  legacy.channel = ::fcntl(socket.fd(), F_DUPFD_CLOEXEC, 3);
-  if (legacy.channel < 0) return drop();
-  return legacy;
+  InheritedState inherited;
+  inherited.listener = listener;
+  inherited.list = text.substr(text.find('\n') + 1, whole);
+  inherited.channel = ::fcntl(socket.fd(), F_DUPFD_CLOEXEC, 3);
+  if (inherited.channel < 0) return drop();
+  return inherited;
 }
 
 // A successor, from its coming to its end.
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -15,7 +15,7 @@
 namespace shorelead::handover {
 
 // What a predecessor gave.
-struct Legacy {
+struct InheritedState {
   int listener = -1;  // the clients' listening socket
   int channel = -1;   // the connection to the predecessor, for Successor
   std::string list;   // backends as it last had them, in discovery's form; may be empty
@@ -23,7 +23,7 @@
 
 // Asks at `path` before there is a loop; waits for `wait` milliseconds at most. None where nobody is there or
 // no whole answer came. Throws std::runtime_error with the reason where a predecessor refuses.
-std::optional<Legacy> ask(const std::string& path, Millis wait);
+std::optional<InheritedState> ask(const std::string& path, Millis wait);
 
 // The old process's side.
 class Predecessor : public net::Watch::Handler {
@@ -32,7 +32,7 @@
     std::function<int()> listener;           // the clients' listening socket; -1 = none to give
     std::function<std::string()> list;       // to be handed over
     std::function<std::string()> refusal;    // why none is let in now; empty = let in
-    std::function<void()> successor_came;    // and has its legacy
+    std::function<void()> successor_came;    // and has its inherited state
     std::function<void()> successor_serves;  // from now on
     std::function<void()> successor_gone;
   };
--- a/src/node/acceptor.cpp
+++ b/src/node/acceptor.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Intake::Intake(Loop& loop, const Entry& entry, Host host) : loop_(loop), host_(std::move(host)) {
+Acceptor::Acceptor(Loop& loop, const Entry& entry, Host host) : loop_(loop), host_(std::move(host)) {
   if (entry.listening >= 0) {
     socket_ = std::make_unique<net::Descriptor>(entry.listening);
   } else {
@@ -31,7 +31,7 @@
   socket_->setBlocking(false);
 }
 
-void Intake::open() {
+void Acceptor::open() {
   if (!socket_ || closing_ || opened_) return;
   if (::listen(listening(), kBacklog) != 0) throw std::system_error(errno, std::generic_category(), "listen");
   opened_ = true;
@@ -39,9 +39,9 @@
   watch_ = std::make_unique<Watch>(loop_, *socket_, *this, !held_, false);
 }
 
-Intake::~Intake() { loop_.cancel(resume_); }
+Acceptor::~Acceptor() { loop_.cancel(resume_); }
 
-void Intake::accept_all() {
+void Acceptor::accept_all() {
   int failures = 0;
   while (socket_ && guard::may_accept({.held = held_})) {
     const int fd = ::accept4(socket_->impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -61,11 +61,11 @@
 }
 
 // Clients may wait in the backlog from the moment of listening on, whatever this process is busy with.
-void Intake::log_first() {
+void Acceptor::log_first() {
   spdlog::info("first client accepted {:.0f} ms after listening", loop_.now() - listening_since_);
 }
 
-void Intake::pause() {
+void Acceptor::pause() {
   if (paused_ || !socket_) return;
   paused_ = true;
   ++pauses_;
@@ -73,7 +73,7 @@
   resume_ = loop_.after(kPause, [this] { look_for_room(); });
 }
 
-void Intake::look_for_room() {
+void Acceptor::look_for_room() {
   loop_.cancel(resume_);
   if (!paused_ || !socket_) return;
   if (!host_.make_room()) {
@@ -85,14 +85,14 @@
   accept_all();
 }
 
-void Intake::hold(bool held) {
+void Acceptor::hold(bool held) {
   held_ = held;
   if (!watch_ || paused_) return;
   watch_->want_read(!held);
   accept_all();
 }
 
-void Intake::close() {
+void Acceptor::close() {
   closing_ = true;
   watch_.reset();
   if (!opened_) return socket_.reset();
--- a/src/node/acceptor.h
+++ b/src/node/acceptor.h
@@ -22,7 +22,7 @@
   int listening = -1;
 };
 
-class Intake : public Watch::Handler {
+class Acceptor : public Watch::Handler {
  public:
   struct Host {
     std::function<void(int fd)> take;    // somebody connected
@@ -32,8 +32,8 @@
 
   // Takes the address, on which clients are turned down until open(). Throws Poco::Exception where it cannot
   // be had.
-  Intake(Loop& loop, const Entry& entry, Host host);
-  ~Intake() override;
+  Acceptor(Loop& loop, const Entry& entry, Host host);
+  ~Acceptor() override;
 
   // Listens, and takes in who comes. From then on the system accepts connections, and each request on one is
   // owed an answer: to be called once nothing else is left of a start. Throws std::system_error where it
--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -20,13 +20,13 @@
       listener_(std::move(listener)),
       recorder_(loop, listener_.recorder),
       waits_(waits),
-      intake_(loop, entry,
-              {[this](int fd) {
-                 const auto client = std::make_shared<Client>(loop_, static_cast<Client::Host&>(*this), fd);
-                 clients_.emplace(client.get(), client);
-                 recorder_->client_opened(client->stream);
-               },
-               [this] { return listener_.make_room(); }, [this] { return evict_idle(); }}) {
+      acceptor_(loop, entry,
+                {[this](int fd) {
+                   const auto client = std::make_shared<Client>(loop_, static_cast<Client::Host&>(*this), fd);
+                   clients_.emplace(client.get(), client);
+                   recorder_->client_opened(client->stream);
+                 },
+                 [this] { return listener_.make_room(); }, [this] { return evict_idle(); }}) {
   for (const std::string& name : readings_.in_force().names) ledger_.name_class(name);
   sweep();
 }
@@ -171,7 +171,7 @@
 
 bool Front::empty() {
   part_idle(false);
-  return clients_.empty() && intake_.listening() < 0;
+  return clients_.empty() && acceptor_.listening() < 0;
 }
 
 void Front::give_up() {
@@ -199,7 +199,7 @@
   if (it == clients_.end()) return;
   loop_.later([hold = it->second] {});
   clients_.erase(it);
-  if (intake_.paused()) loop_.later([this] { intake_.look_for_room(); });
+  if (acceptor_.paused()) loop_.later([this] { acceptor_.look_for_room(); });
 }
 
 // Where room is short, a client that is told so makes room without harm, while closing on one that is idle
@@ -207,7 +207,7 @@
 // that ask once and stay would soon hold all that they may, and leave none to those who come and go.
 bool Front::ends_with(const Client& client) const {
   const bool stays = !client.answered_before && listener_.many_unused(unused_);
-  return drain_ != manage::DrainState::kServing || intake_.paused() || stays || listener_.crowded();
+  return drain_ != manage::DrainState::kServing || acceptor_.paused() || stays || listener_.crowded();
 }
 
 void Front::answered(int status) {
@@ -216,7 +216,7 @@
 }
 
 void Front::free_again() {
-  if (intake_.paused()) loop_.later([this] { intake_.look_for_room(); });
+  if (acceptor_.paused()) loop_.later([this] { acceptor_.look_for_room(); });
 }
 
 // Guards against clients that hold a connection and ask for nothing, or never for all of it.
--- a/src/node/front.h
+++ b/src/node/front.h
@@ -71,18 +71,18 @@
   // window, by the one before: there its key is known, and elsewhere it would run again.
   void go_by(std::shared_ptr<const RoutingSnapshot> snapshot);
 
-  // Clients can connect from now on; see Intake::open().
-  void open() { intake_.open(); }
+  // Clients can connect from now on; see Acceptor::open().
+  void open() { acceptor_.open(); }
   // Whether to take in who connects: while held, whoever comes is left to the other process.
-  void hold(bool held) { intake_.hold(held); }
-  bool held() const { return intake_.held(); }
-  int listening() const { return intake_.listening(); }
+  void hold(bool held) { acceptor_.hold(held); }
+  bool held() const { return acceptor_.held(); }
+  int listening() const { return acceptor_.listening(); }
 
   bool evict_idle();  // closes the connection that was unused for longest
   // Lets go of clients, or takes them again, as the drain's state says: from draining on it is not ready and
   // every answer is the last on its connection; once drained, unused connections are closed.
   void follow(manage::DrainState state);
-  void close_listener() { intake_.close(); }
+  void close_listener() { acceptor_.close(); }
   // Ends connections that have no request under way; true when none is left, or
   // waits to be taken in.
   bool empty();
@@ -90,8 +90,8 @@
   // sent by then, or comes from now on, is refused.
   void give_up();
 
-  unsigned short port() const { return intake_.port(); }
-  const Intake& intake() const { return intake_; }
+  unsigned short port() const { return acceptor_.port(); }
+  const Acceptor& acceptor() const { return acceptor_; }
   std::size_t clients() const { return clients_.size(); }
   const FrontCounters& counters() const { return counters_; }
   const manage::Ledger& ledger() const { return ledger_; }
@@ -136,7 +136,7 @@
   manage::Ledger ledger_;
   Loop::TimerId sweep_ = 0;
   FrontCounters counters_;
-  Intake intake_;
+  Acceptor acceptor_;
 };
 
 }  // namespace shorelead::node
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -15,23 +15,23 @@
 
 }  // namespace
 
-void Departure::drain() {
+void GracefulShutdown::drain() {
   drain_.drain(loop_.now());
   let_go();
 }
 
-bool Departure::resume() {
+bool GracefulShutdown::resume() {
   if (!drain_.resume()) return false;
   let_go();
   return true;
 }
 
-void Departure::replaced() {
+void GracefulShutdown::replaced() {
   drain_.replaced(loop_.now());
   let_go();
 }
 
-void Departure::shut_down(Millis longest, bool replaced) {
+void GracefulShutdown::shut_down(Millis longest, bool replaced) {
   if (drain_.leaving()) return;
   spdlog::info("shutting down, {} requests under way", host_.open_requests());
   drain_.leave(loop_.now());
@@ -48,7 +48,7 @@
   });
 }
 
-void Departure::let_go() {
+void GracefulShutdown::let_go() {
   loop_.cancel(drain_at_);
   const manage::DrainState state = drain_.state(loop_.now());
   host_.front().follow(state);
@@ -58,7 +58,7 @@
     drain_at_ = loop_.at(drain_.until(), [this] { let_go(); });
 }
 
-void Departure::leave_when_empty(Millis until) {
+void GracefulShutdown::leave_when_empty(Millis until) {
   if (host_.front().empty()) return end(loop_.now() + kGiveBack);
   if (loop_.now() < until) {
     loop_.after(kLeaveEvery, [this, until] { leave_when_empty(until); });
@@ -73,7 +73,7 @@
   });
 }
 
-void Departure::end(Millis until) {
+void GracefulShutdown::end(Millis until) {
   if (!host_.give_back() && loop_.now() < until) {
     loop_.after(kLeaveEvery, [this, until] { end(until); });
     return;
--- a/src/node/graceful_shutdown.h
+++ b/src/node/graceful_shutdown.h
@@ -11,7 +11,7 @@
 
 namespace shorelead::node {
 
-class Departure {
+class GracefulShutdown {
  public:
   struct Host {
     std::function<Front&()> front;
@@ -21,11 +21,11 @@
   };
 
   // `accept_on`: after the word to end clients go on coming for so long.
-  Departure(Loop& loop, Millis accept_on, Host host)
+  GracefulShutdown(Loop& loop, Millis accept_on, Host host)
       : loop_(loop), accept_on_(accept_on), host_(std::move(host)) {}
-  ~Departure() { loop_.cancel(drain_at_); }
-  Departure(const Departure&) = delete;
-  Departure& operator=(const Departure&) = delete;
+  ~GracefulShutdown() { loop_.cancel(drain_at_); }
+  GracefulShutdown(const GracefulShutdown&) = delete;
+  GracefulShutdown& operator=(const GracefulShutdown&) = delete;
 
   bool serving() const { return drain_.serving(); }
   bool leaving() const { return drain_.leaving(); }
--- a/src/node/hot_restart.cpp
+++ b/src/node/hot_restart.cpp
@@ -11,29 +11,29 @@
 
 }  // namespace
 
-Succession::Succession(Loop& loop, Place place, Host host)
+HotRestart::HotRestart(Loop& loop, Place place, Host host)
     : loop_(loop), place_(std::move(place)), host_(std::move(host)) {}
 
-Succession::~Succession() { loop_.cancel(look_); }
+HotRestart::~HotRestart() { loop_.cancel(look_); }
 
-void Succession::begin() {
-  if (!place_.legacy) return wait_for_successor();
+void HotRestart::begin() {
+  if (!place_.inherited) return wait_for_successor();
   const auto ceded = [this](bool ended, Millis still) {
     host_.take_reserve(still);
     if (!ended) return;
     spdlog::info("the process before this one has ended");
     host_.two_or_one();
   };
-  predecessor_ = std::make_unique<handover::Successor>(loop_, place_.legacy->channel, ceded);
+  predecessor_ = std::make_unique<handover::Successor>(loop_, place_.inherited->channel, ceded);
   host_.hold(true);
   look_if_it_could_serve();
 }
 
-bool Succession::two_run() const {
+bool HotRestart::two_run() const {
   return (successors_ && successors_->has_successor()) || (predecessor_ && predecessor_->predecessor_lives());
 }
 
-void Succession::look_if_it_could_serve() {
+void HotRestart::look_if_it_could_serve() {
   if (!host_.could_serve()) {
     look_ = loop_.after(kLookEvery, [this] { look_if_it_could_serve(); });
     return;
@@ -44,7 +44,7 @@
   wait_for_successor();
 }
 
-void Succession::wait_for_successor() {
+void HotRestart::wait_for_successor() {
   if (alone()) return;
   handover::Predecessor::Listener listener;
   listener.listener = host_.listener;
@@ -66,7 +66,7 @@
   }
 }
 
-void Succession::successor_serves() {
+void HotRestart::successor_serves() {
   if (std::exchange(replaced_, true)) return;
   spdlog::info("the successor takes clients from now on");
   successors_->cede(host_.give_reserve());
@@ -74,7 +74,7 @@
   host_.replaced();
 }
 
-void Succession::successor_gone() {
+void HotRestart::successor_gone() {
   spdlog::warn("the successor has ended{}",
                replaced_ ? ", this process takes clients again" : " before it served");
   host_.two_or_one();
--- a/src/node/hot_restart.h
+++ b/src/node/hot_restart.h
@@ -13,13 +13,13 @@
 
 namespace shorelead::node {
 
-class Succession {
+class HotRestart {
  public:
   // What a process shares with others of its node: a folder, and what the one before handed over. Without a
   // folder it is alone.
   struct Place {
     std::string folder;
-    std::optional<handover::Legacy> legacy;
+    std::optional<handover::InheritedState> inherited;
 
     std::string socket() const { return folder + "/shorelead.sock"; }
     std::string bans() const { return folder + "/shorelead.bans"; }
@@ -40,10 +40,10 @@
     std::function<void(Millis before)> take_reserve;
   };
 
-  Succession(Loop& loop, Place place, Host host);
-  ~Succession();
-  Succession(const Succession&) = delete;
-  Succession& operator=(const Succession&) = delete;
+  HotRestart(Loop& loop, Place place, Host host);
+  ~HotRestart();
+  HotRestart(const HotRestart&) = delete;
+  HotRestart& operator=(const HotRestart&) = delete;
 
   void begin();
   bool alone() const { return place_.folder.empty(); }
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -61,14 +61,14 @@
   place.folder = variable("TMPDIR");
   if (place.folder.empty()) return place;
   try {
-    place.legacy = handover::ask(place.socket(), kWait);
+    place.inherited = handover::ask(place.socket(), kWait);
   } catch (const std::system_error& error) {
     spdlog::warn("no other process can be asked: {}", error.what());
   }
-  if (!place.legacy) return place;
+  if (!place.inherited) return place;
   spdlog::info("a process that serves has handed over its listening socket");
   try {
-    const auto list = read_list(place.legacy->list);
+    const auto list = read_list(place.inherited->list);
     if (!list.backends.empty()) config.known = list;
   } catch (const std::exception& error) {
     spdlog::warn("its list is of no use, the configuration's stands: {}", error.what());
@@ -105,7 +105,7 @@
   if (config.door) place = take_place(config);
   const auto make_server = [&] { return std::make_unique<Server>(*loop, config, Server::Waits(), place); };
   // What was handed over can be used once.
-  const std::unique_ptr<Server> owned = place.legacy ? make_server() : tried_again(make_server);
+  const std::unique_ptr<Server> owned = place.inherited ? make_server() : tried_again(make_server);
   Server& server = *owned;
   server.recorder().write_at_crash();
   tried_again([&] {
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -27,7 +27,7 @@
       waits_(waits),
       reloads_(loop, {[this]() -> const Shape& { return shape_; },
                       [this](Config fresh) { take_up(std::move(fresh)); }}),
-      admissions_(loop, place.legacy.has_value(),
+      admissions_(loop, place.inherited.has_value(),
                   [this](RequestId request) { request_table_.again(request); }),
       generations_(loop, admissions_,
                    {[this](const PoolConfig& one, const Config& whole) { return make_pool(one, whole); },
@@ -41,17 +41,17 @@
                     }}),
       room_(generations_.pools(), [this] { return most_streams(); }),
       request_table_([this](RequestId request, const Refusal& words) { front_->refuse(request, words); }),
-      departure_(loop, waits.accept_on,
-                 {[this]() -> Front& { return *front_; }, [this] { return open_requests(); },
-                  [this] { return admissions_.give_back(snapshot()); }}),
-      succession_(loop, place,
-                  {[this] { return could_serve(); }, [this](bool held) { front_->hold(held); },
-                   [this] { return front_->listening(); },
-                   [this] { return generations_.pools().front()->list_text(); },
-                   [this] { return departure_.leaving(); }, [this] { flows_->state(flow_bytes()); },
-                   [this] { trim(); }, [this] { departure_.replaced(); },
-                   [this] { return departure_.resume(); }, [this] { return admissions_.give_reserve(); },
-                   [this](Millis before) { admissions_.take_reserve(before); }}),
+      shutdown_(loop, waits.accept_on,
+                {[this]() -> Front& { return *front_; }, [this] { return open_requests(); },
+                 [this] { return admissions_.give_back(snapshot()); }}),
+      hot_restart_(loop, place,
+                   {[this] { return could_serve(); }, [this](bool held) { front_->hold(held); },
+                    [this] { return front_->listening(); },
+                    [this] { return generations_.pools().front()->list_text(); },
+                    [this] { return shutdown_.leaving(); }, [this] { flows_->state(flow_bytes()); },
+                    [this] { trim(); }, [this] { shutdown_.replaced(); },
+                    [this] { return shutdown_.resume(); }, [this] { return admissions_.give_reserve(); },
+                    [this](Millis before) { admissions_.take_reserve(before); }}),
       readiness_(loop, {.list = waits.list, .pushed_list = waits.pushed_list}) {
   limits_.sockets = allowed_descriptors(limits_.sockets);
   flows_ = std::make_shared<net::FlowBudget>(flow_bytes());
@@ -64,8 +64,8 @@
   });
   generations_.begin(config);
   Front::Entry entry(config.listen);
-  entry.shared = !succession_.alone();
-  if (place.legacy) entry.listening = place.legacy->listener;
+  entry.shared = !hot_restart_.alone();
+  if (place.inherited) entry.listening = place.inherited->listener;
   front_ = std::make_unique<Front>(
       loop_, entry, generations_.snapshot(),
       Front::Listener{
@@ -85,10 +85,10 @@
           [this] { return room_.make(limits::Purpose::kClient, *front_); },
           [this](RequestId request, Millis due) { request_table_.body_whole(request, due); }, flows_,
           &recorder_});
-  if (!succession_.alone()) bans_->share(place.bans());
+  if (!hot_restart_.alone()) bans_->share(place.bans());
   admissions_.go_by(snapshot(), snapshot());
   for (const auto& pool : generations_.pools()) pool->start();
-  succession_.begin();
+  hot_restart_.begin();
   if (config.door) {
     door_ =
         std::make_unique<Door>(loop_, *config.door, [this](const manage::Call& told) { return call(told); });
@@ -120,25 +120,25 @@
 
 // The node's, not this process's alone: replaced, it speaks for the one that serves.
 bool Server::ready() const {
-  if (succession_.replaced()) return true;
+  if (hot_restart_.replaced()) return true;
   return bool(guard::may_report_ready(
-      {.held = front_->held(), .draining = !departure_.serving(), .list_known = could_serve()}));
+      {.held = front_->held(), .draining = !shutdown_.serving(), .list_known = could_serve()}));
 }
 
 bool Server::could_serve() const {
   if (!readiness_.admission_suffices(snapshot())) return false;
   if (!bans_->known() && readiness_.running() < kBansWait) return false;
-  return readiness_.lists_suffice(snapshot(), succession_.beside());
+  return readiness_.lists_suffice(snapshot(), hot_restart_.beside());
 }
 
 int Server::most_streams() const {
-  const int all = succession_.two_run() ? limits_.sockets / 2 : limits_.sockets;
+  const int all = hot_restart_.two_run() ? limits_.sockets / 2 : limits_.sockets;
   return all - kOwnDescriptors - (config_.door ? Door::kDescriptors : 0);
 }
 
 std::size_t Server::flow_bytes() const {
   const double mb = limits_.memory_mb > 0 ? limits_.memory_mb : kMemoryUntold;
-  return static_cast<std::size_t>(mb * 1048576 * kFlowShare / (succession_.two_run() ? 2 : 1));
+  return static_cast<std::size_t>(mb * 1048576 * kFlowShare / (hot_restart_.two_run() ? 2 : 1));
 }
 
 // Down to what it may hold from now on, as far as connections stand unused.
@@ -159,20 +159,20 @@
   const bool of_this_process = call.kind == manage::CallKind::kReady ||
                                call.kind == manage::CallKind::kDrain ||
                                call.kind == manage::CallKind::kResume;
-  if (succession_.replaced() && of_this_process) return manage::no("replaced: another process serves");
+  if (hot_restart_.replaced() && of_this_process) return manage::no("replaced: another process serves");
   switch (call.kind) {
     case manage::CallKind::kReady:
-      return ready() ? manage::yes("ready") : manage::no(departure_.serving() ? "not ready yet" : "draining");
+      return ready() ? manage::yes("ready") : manage::no(shutdown_.serving() ? "not ready yet" : "draining");
     case manage::CallKind::kShowStat:
       return manage::listing(figures());
     case manage::CallKind::kDisable:
     case manage::CallKind::kEnable:
       return bans_->change(call);
     case manage::CallKind::kDrain:
-      departure_.drain();
+      shutdown_.drain();
       return manage::yes("draining");
     case manage::CallKind::kResume:
-      if (!departure_.resume()) return manage::no("this process is about to end");
+      if (!shutdown_.resume()) return manage::no("this process is about to end");
       return manage::yes("serving");
   }
   return manage::no("unknown call");
@@ -194,7 +194,7 @@
 
 void Server::shut_down() {
   recorder_.phase(guard::ProcessPhase::kLeaving);
-  departure_.shut_down(std::min(snapshot().longest_deadline(), waits_.deadline), succession_.replaced());
+  shutdown_.shut_down(std::min(snapshot().longest_deadline(), waits_.deadline), hot_restart_.replaced());
 }
 
 void Server::take_up(Config fresh) {
@@ -231,8 +231,8 @@
   }
   spdlog::info(
       "counters: sockets open={} most={} clients={} accepted={} silent={} unused={} evicted={} paused={}",
-      Stream::open_count(), room_.most_seen(), front_->clients(), front_->intake().accepted(), front.silent,
-      front.idle, front.evicted, front_->intake().pauses());
+      Stream::open_count(), room_.most_seen(), front_->clients(), front_->acceptor().accepted(), front.silent,
+      front.idle, front.evicted, front_->acceptor().pauses());
   spdlog::info("counters: descriptors state={} most={} backends_budget={} probing={}",
                limits::name_of(room_.rules().state(room_.counts())), most_streams(),
                room_.rules().backends_budget(), room_.counts().probing);
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -36,7 +36,7 @@
     Millis pushed_list = Readiness::Waits().pushed_list;
   };
 
-  using Place = Succession::Place;
+  using Place = HotRestart::Place;
 
   Server(Loop& loop, const Config& config) : Server(loop, config, Waits()) {}
   Server(Loop& loop, const Config& config, const Waits& waits) : Server(loop, config, waits, Place()) {}
@@ -88,8 +88,8 @@
   RequestTable request_table_;
   std::unique_ptr<Front> front_;
   std::unique_ptr<BanKeeper> bans_;
-  Departure departure_;
-  Succession succession_;
+  GracefulShutdown shutdown_;
+  HotRestart hot_restart_;
   std::unique_ptr<Door> door_;  // only where the configuration names one
   Readiness readiness_;
 };
--- a/tests/faults/accept_test.cpp
+++ b/tests/faults/accept_test.cpp
@@ -19,28 +19,28 @@
 using faults::fail_next;
 
 struct Entrance {
-  Entrance() { intake.open(); }
+  Entrance() { acceptor.open(); }
   ~Entrance() {
     for (const int fd : taken) ::close(fd);
     faults::clear();
   }
   // Or for as long as a test that hangs may.
   void run_until_closed() {
-    if (intake.listening() < 0) return;
+    if (acceptor.listening() < 0) return;
     loop.after(1000.0 * kHangSeconds, [this] { loop.stop(); });
     look();
     loop.run();
   }
   void look() {
-    loop.after(1, [this] { intake.listening() < 0 ? loop.stop() : look(); });
+    loop.after(1, [this] { acceptor.listening() < 0 ? loop.stop() : look(); });
   }
 
   const faults::StrikeThisThread strike;
   Loop loop;
   std::vector<int> taken;
-  Intake intake{loop,
-                Poco::Net::SocketAddress("127.0.0.1", 0),
-                {[this](int fd) { taken.push_back(fd); }, [] { return true; }, [] { return false; }}};
+  Acceptor acceptor{loop,
+                    Poco::Net::SocketAddress("127.0.0.1", 0),
+                    {[this](int fd) { taken.push_back(fd); }, [] { return true; }, [] { return false; }}};
 };
 
 TEST(Accept, WhoWaitsAtTheEndIsTakenInWhateverAcceptSays) {
@@ -48,32 +48,32 @@
                           EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     for (const int times : {1, 3}) {
       Entrance door;
-      const Line one = Line::connect(door.intake.port());
-      const Line two = Line::connect(door.intake.port());
+      const Line one = Line::connect(door.acceptor.port());
+      const Line two = Line::connect(door.acceptor.port());
       fail_next(Call::kAccept, error, times, 1);
-      door.intake.close();
+      door.acceptor.close();
       door.run_until_closed();
       EXPECT_EQ(door.taken.size(), 2U) << error << " " << times << " times";
-      EXPECT_LT(door.intake.listening(), 0) << "closed once all are in";
+      EXPECT_LT(door.acceptor.listening(), 0) << "closed once all are in";
     }
   }
 }
 
 TEST(Accept, AnEndBeforeTheStartIsDoneLeavesNobodyInTheBacklog) {
   Loop loop;
-  Intake intake(loop, Poco::Net::SocketAddress("127.0.0.1", 0),
-                {[](int fd) { ::close(fd); }, [] { return true; }, [] { return false; }});
+  Acceptor acceptor(loop, Poco::Net::SocketAddress("127.0.0.1", 0),
+                    {[](int fd) { ::close(fd); }, [] { return true; }, [] { return false; }});
   const net::Descriptor client(::socket(AF_INET, SOCK_STREAM, 0));
   sockaddr_in to{};
   to.sin_family = AF_INET;
-  to.sin_port = htons(intake.port());
+  to.sin_port = htons(acceptor.port());
   to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   EXPECT_EQ(::connect(client.fd(), reinterpret_cast<sockaddr*>(&to), sizeof to), -1)
       << "it does not listen yet";
   EXPECT_EQ(errno, ECONNREFUSED);
-  intake.close();
-  intake.open();
-  EXPECT_LT(intake.listening(), 0);
+  acceptor.close();
+  acceptor.open();
+  EXPECT_LT(acceptor.listening(), 0);
 }
 
 // A caller at the operators' door waits while there is no descriptor: the loop does not spin meanwhile.
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -70,17 +70,17 @@
   Old old;
   node::Line waits = node::Line::connect(old.clients.port());
   waits.write("x");
-  const auto legacy = ask(old.folder.at("s"), 5000);
-  ASSERT_TRUE(legacy);
-  EXPECT_EQ(legacy->list, R"({"a":"list"})");
+  const auto inherited = ask(old.folder.at("s"), 5000);
+  ASSERT_TRUE(inherited);
+  EXPECT_EQ(inherited->list, R"({"a":"list"})");
   old.came.get_future().wait();
   old.clients.close();  // the old process lets go
-  node::Line taken(::accept(legacy->listener, nullptr, nullptr));
+  node::Line taken(::accept(inherited->listener, nullptr, nullptr));
   EXPECT_EQ(taken.some(), "x");
-  node::Line later = node::Line::connect(node::port_of(legacy->listener));
-  ::close(legacy->listener);
+  node::Line later = node::Line::connect(node::port_of(inherited->listener));
+  ::close(inherited->listener);
   net::Loop loop;
-  Successor successor(loop, legacy->channel, [](bool, Millis) {});
+  Successor successor(loop, inherited->channel, [](bool, Millis) {});
   successor.say_serving();
   old.serves.get_future().wait();
 }
@@ -92,12 +92,12 @@
   for (const auto& [said, heard] : cases) {
     Old old;
     old.still = said;
-    const auto legacy = ask(old.folder.at("s"), 5000);
-    ASSERT_TRUE(legacy);
-    ::close(legacy->listener);
+    const auto inherited = ask(old.folder.at("s"), 5000);
+    ASSERT_TRUE(inherited);
+    ::close(inherited->listener);
     net::Loop loop;
     std::optional<Millis> ceded;
-    Successor successor(loop, legacy->channel, [&](bool ended, Millis still) {
+    Successor successor(loop, inherited->channel, [&](bool ended, Millis still) {
       if (!ended) ceded = still;
       loop.stop();
     });
