--- a/fuzz/registry_fuzz.cpp
+++ b/fuzz/registry_fuzz.cpp
@@ -83,7 +83,7 @@
       break;
     }
     case 3: {
-      const auto list = read_kept(text, cause);
+      const auto list = read_saved_list(text, cause);
       must(list || !cause.empty());
       const auto bytes = registry::from_base64(text);
       must(!bytes || registry::from_base64(registry::base64(*bytes)) == bytes);
--- a/src/membership/saved_list.cpp
+++ b/src/membership/saved_list.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::string kept_text(const std::vector<Member>& members, Millis now) {
+std::string saved_list_text(const std::vector<Member>& members, Millis now) {
   std::string body;
   // The host goes first, apart from the rest: a name may hold anything but the end of a line.
   for (const Member& member : members) {
@@ -41,7 +41,7 @@
   return text.append(body);
 }
 
-std::optional<KeptList> read_kept(const std::string& text, std::string& cause) {
+std::optional<SavedList> read_saved_list(const std::string& text, std::string& cause) {
   if (text.compare(0, kForm.size(), kForm) != 0) return cause = "it is no kept list", std::nullopt;
   const std::size_t end = text.find('\n');
   if (end == std::string::npos) return cause = "it is torn", std::nullopt;
@@ -59,7 +59,7 @@
            std::nullopt;
   }
   if (checksum(body) != sum) return cause = "its checksum is wrong", std::nullopt;
-  KeptList list;
+  SavedList list;
   list.written = static_cast<Millis>(written);
   for (std::size_t from = 0; from < body.size();) {
     const std::size_t line_end = std::min(body.find('\n', from), body.size());
@@ -75,36 +75,36 @@
   return list;
 }
 
-std::optional<KeptList> load_kept(const std::string& path, std::string& cause) {
+std::optional<SavedList> load_saved_list(const std::string& path, std::string& cause) {
   files::ReadResult file = files::read_whole(path);
   if (file.status == files::ReadStatus::kAbsent) return std::nullopt;
   if (file.status == files::ReadStatus::kFailed) return cause = file.cause, std::nullopt;
   if (file.text.size() > kMostFile) return cause = "it is over 256 MiB", std::nullopt;
-  return read_kept(file.text, cause);
+  return read_saved_list(file.text, cause);
 }
 
-std::optional<std::string> store_kept(const std::string& path, const std::string& text) {
+std::optional<std::string> store_saved_list(const std::string& path, const std::string& text) {
   files::ReplaceResult result = files::replace_whole(path, text);
   return result.trouble.empty() ? std::nullopt : std::optional(std::move(result.trouble));
 }
 
-Keeper::~Keeper() {
+SavedListWriter::~SavedListWriter() {
   if (thread_.joinable()) thread_.join();
 }
 
-bool Keeper::busy() const {
+bool SavedListWriter::busy() const {
   const std::lock_guard lock(mutex_);
   return busy_;
 }
 
-void Keeper::keep(std::string text) {
+void SavedListWriter::keep(std::string text) {
   if (thread_.joinable()) thread_.join();
   {
     const std::lock_guard lock(mutex_);
     busy_ = true;
   }
   thread_ = std::thread([this, text = std::move(text)] {
-    auto trouble = store_kept(path_, text);
+    auto trouble = store_saved_list(path_, text);
     const std::lock_guard lock(mutex_);
     written_ += trouble ? 0 : 1;
     trouble_ = std::move(trouble);
@@ -112,12 +112,12 @@
   });
 }
 
-std::optional<std::string> Keeper::trouble() {
+std::optional<std::string> SavedListWriter::trouble() {
   const std::lock_guard lock(mutex_);
   return std::exchange(trouble_, std::nullopt);
 }
 
-std::uint64_t Keeper::written() const {
+std::uint64_t SavedListWriter::written() const {
   const std::lock_guard lock(mutex_);
   return written_;
 }
--- a/src/membership/saved_list.h
+++ b/src/membership/saved_list.h
@@ -17,25 +17,25 @@
 
 namespace shorelead::membership {
 
-struct KeptList {
+struct SavedList {
   std::vector<Member> members;
   Millis written = 0;
 };
 
 // The text of a file; and what it holds, or nothing and the cause.
-std::string kept_text(const std::vector<Member>& members, Millis now);
-std::optional<KeptList> read_kept(const std::string& text, std::string& cause);
+std::string saved_list_text(const std::vector<Member>& members, Millis now);
+std::optional<SavedList> read_saved_list(const std::string& text, std::string& cause);
 
 // From the disk. A file that is not there is no list and no cause.
-std::optional<KeptList> load_kept(const std::string& path, std::string& cause);
+std::optional<SavedList> load_saved_list(const std::string& path, std::string& cause);
 // Blocks until it is on the disk; the cause where it is not, and the old file is as it was.
-std::optional<std::string> store_kept(const std::string& path, const std::string& text);
+std::optional<std::string> store_saved_list(const std::string& path, const std::string& text);
 
 // Writes in a thread of its own, one list at a time; the newest wins.
-class Keeper {
+class SavedListWriter {
  public:
-  explicit Keeper(std::string path) : path_(std::move(path)) {}
-  ~Keeper();
+  explicit SavedListWriter(std::string path) : path_(std::move(path)) {}
+  ~SavedListWriter();
 
   bool busy() const;
   void keep(std::string text);           // not while busy
--- a/src/node/backend_source.cpp
+++ b/src/node/backend_source.cpp
@@ -17,11 +17,11 @@
     : loop_(loop),
       config_(config),
       listener_(std::move(listener)),
-      births_([this](Millis label) { return loop_.from_wall(label); }),
+      start_times_([this](Millis label) { return loop_.from_wall(label); }),
       jitter_(seed) {
   if (config.view) view_ = std::make_unique<membership::View>(*config.view);
   if (view_ && !config.keep.empty())
-    kept_copy_ = std::make_unique<KeptCopy>(loop, config.keep, config.name, *view_);
+    saved_list_copy_ = std::make_unique<SavedListCopy>(loop, config.keep, config.name, *view_);
   if (config.registry) {
     registry_ = std::make_unique<membership::registry::Client>(
         loop_, *config.registry, *view_, 0, seed,
@@ -63,14 +63,17 @@
   take_terms();
   // A list of which the module was told nothing may be old by any time; whatever is wrong with it the source
   // will tell, and until then attempts and probes do.
-  if (const auto kept = kept_copy_ ? kept_copy_->load() : std::nullopt) hand_on(*kept, ListSource::kStored);
+  if (const auto kept = saved_list_copy_ ? saved_list_copy_->load() : std::nullopt)
+    hand_on(*kept, ListSource::kStored);
   if (view_) tick_view();
   if (registry_) return registry_->start();
   if (!discovery_) return take_boxes();
   if (!config_.settings.list_on_request) discovery_->watch();
 }
 
-void BoxSource::hand_on(const List& list, ListSource from) { listener_.list(births_.resolve(list), from); }
+void BoxSource::hand_on(const List& list, ListSource from) {
+  listener_.list(start_times_.resolve(list), from);
+}
 
 void BoxSource::watch() {
   if (discovery_) discovery_->watch();
@@ -87,7 +90,7 @@
   }
   const bool waited = rewatch_ != 0;
   loop_.cancel(rewatch_);
-  watch_waits_.reset();
+  watch_backoff_.reset();
   take_terms();
   if (config.discovery != before) lease_->moved();
   discovery_->move(*config.discovery);
@@ -141,7 +144,7 @@
     spdlog::warn("pool {}: {} boxes vanished at once and are held to be there until the source says so again",
                  config_.name, view_->held());
   }
-  if (kept_copy_ && !update.changes.empty()) kept_copy_->changed();
+  if (saved_list_copy_ && !update.changes.empty()) saved_list_copy_->changed();
 }
 
 // What the view holds or makes wait, and whether its source has gone quiet.
@@ -166,7 +169,7 @@
 }
 
 void BoxSource::list_changed(const List& list) {
-  watch_waits_.told();
+  watch_backoff_.told();
   std::size_t ready = 0;
   std::size_t draining = 0;
   for (const ListedBackend& backend : list.backends) {
@@ -192,7 +195,7 @@
   unreached_ = !in_words;
   const double random = std::uniform_real_distribution<double>(0, 1)(jitter_);
   const auto wait =
-      watch_waits_.ended(ending, config_.settings.list_on_request, config_.settings.instances, random);
+      watch_backoff_.ended(ending, config_.settings.list_on_request, config_.settings.instances, random);
   if (!wait) return listener_.watch_ended();
   loop_.cancel(rewatch_);  // one that the module's own call has overtaken
   rewatch_ = loop_.after(*wait, [this] {
--- a/src/node/backend_source.h
+++ b/src/node/backend_source.h
@@ -42,12 +42,12 @@
   void adopt(const Settings& settings);
 
   // The list that was known before the start, with births by the loop's clock.
-  List known() { return births_.resolve(config_.known); }
+  List known() { return start_times_.resolve(config_.known); }
   bool told() const;  // has its list of now
   // No call since the start has found anyone there: nothing can have been told.
   bool unreached() const { return unreached_ && discovery_->last_told() == 0; }
   // Whether discovery tells by itself, and no list was kept for a time without it.
-  bool pushed() const { return discovery_ && !config_.settings.list_on_request && !kept_copy_; }
+  bool pushed() const { return discovery_ && !config_.settings.list_on_request && !saved_list_copy_; }
   // Whether its list has to be confirmed once it is old.
   bool expires() const { return lease_ && !view_ && config_.settings.drain_grace.has_value(); }
   void log_counters(const std::string& before) const;
@@ -65,12 +65,12 @@
   Loop& loop_;
   PoolConfig config_;
   const Listener listener_;
-  BirthTimes births_;
+  StartTimes start_times_;
   std::unique_ptr<membership::View> view_;
   std::unique_ptr<DiscoveryLease> lease_;  // with discovery
   std::unique_ptr<Discovery> discovery_;   // without it and a registry the list stands in the configuration
   std::unique_ptr<membership::registry::Client> registry_;
-  std::unique_ptr<KeptCopy> kept_copy_;
+  std::unique_ptr<SavedListCopy> saved_list_copy_;
   bool stale_ = false;
   bool unreached_ = false;
   std::uint64_t unreadable_ = 0;   // told of in the log
@@ -78,7 +78,7 @@
   std::uint64_t list_number_ = 0;  // of what was told to the module, where there is no version
   Loop::TimerId view_tick_ = 0;
   Loop::TimerId rewatch_ = 0;
-  WatchWaits watch_waits_;
+  WatchBackoff watch_backoff_;
   std::mt19937_64 jitter_;
   std::map<Ending, std::uint64_t> watch_endings_;
 };
--- a/src/node/ban_list.cpp
+++ b/src/node/ban_list.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void BanKeeper::share(const std::string& path) {
+void BanList::share(const std::string& path) {
   handover::LabelledTimes times;
   times.from_wall = [this](Millis label) { return loop_.from_wall(label); };
   times.to_wall = [this](Millis at) { return loop_.to_wall(at); };
@@ -20,7 +20,7 @@
   look();
 }
 
-void BanKeeper::look() {
+void BanList::look() {
   look_ = loop_.after(kLookAtBansEvery, [this] { look(); });
   std::string cause;
   auto fresh = file_->read_if_new(cause);
@@ -35,7 +35,7 @@
   put_in_force(*fresh);
 }
 
-void BanKeeper::keep_what_is_not_kept() {
+void BanList::keep_what_is_not_kept() {
   keep_at_ = loop_.now() + kKeepEvery;
   const auto kept = file_->change(bans_, [this](manage::BanSet& bans) {
     for (const std::string& id : not_kept_) bans.disable(id, loop_.now());
@@ -47,12 +47,12 @@
 }
 
 // A backend that is out stays known, whatever became of it in the list: else the call back would be refused.
-std::string BanKeeper::change(const manage::Call& call) {
+std::string BanList::change(const manage::Call& call) {
   if (!listed_(call.id) && !bans_.knows(call.id)) return manage::no("no backend " + call.id + " in the list");
   return call.kind == manage::CallKind::kDisable ? disable(call.id) : enable(call.id);
 }
 
-handover::BanFile::Changed BanKeeper::apply(const std::function<void(manage::BanSet&)>& change) {
+handover::BanFile::Changed BanList::apply(const std::function<void(manage::BanSet&)>& change) {
   if (file_) {
     handover::BanFile::Changed changed = file_->change(bans_, change);
     if (!changed.trouble.empty()) spdlog::error("{}", changed.trouble);
@@ -65,7 +65,7 @@
 
 // Where it cannot be kept it holds in this process, which is what an operator needs first; but the answer is
 // no, as the next one would not know.
-std::string BanKeeper::disable(const std::string& id) {
+std::string BanList::disable(const std::string& id) {
   bool changed = false;
   const auto next = apply([&](manage::BanSet& bans) { changed = bans.disable(id, loop_.now()); });
   if (changed) spdlog::info("backend {} taken out by hand", id);
@@ -79,7 +79,7 @@
 }
 
 // It stays out where that cannot be kept: the next process would have it out again.
-std::string BanKeeper::enable(const std::string& id) {
+std::string BanList::enable(const std::string& id) {
   bool changed = false;
   const auto next = apply([&](manage::BanSet& bans) {
     if (not_kept_.count(id) > 0) bans.disable(id, loop_.now());
@@ -92,7 +92,7 @@
   return manage::yes(id + (changed ? " is back" : " was in already"));
 }
 
-void BanKeeper::put_in_force(const manage::BanSet& bans) {
+void BanList::put_in_force(const manage::BanSet& bans) {
   if (bans == bans_) return;
   bans_ = bans;
   changed_();
--- a/src/node/ban_list.h
+++ b/src/node/ban_list.h
@@ -15,14 +15,14 @@
 
 namespace shorelead::node {
 
-class BanKeeper {
+class BanList {
  public:
   // `listed`: whether a list names this backend now; `changed`: called when the set is another.
-  BanKeeper(Loop& loop, std::function<bool(const std::string&)> listed, std::function<void()> changed)
+  BanList(Loop& loop, std::function<bool(const std::string&)> listed, std::function<void()> changed)
       : loop_(loop), listed_(std::move(listed)), changed_(std::move(changed)) {}
-  ~BanKeeper() { loop_.cancel(look_); }
-  BanKeeper(const BanKeeper&) = delete;
-  BanKeeper& operator=(const BanKeeper&) = delete;
+  ~BanList() { loop_.cancel(look_); }
+  BanList(const BanList&) = delete;
+  BanList& operator=(const BanList&) = delete;
 
   void share(const std::string& path);  // with other processes, by this file
   const manage::BanSet& bans() const { return bans_; }
--- a/src/node/endpoint_list.cpp
+++ b/src/node/endpoint_list.cpp
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-Roster::Roster(const HostSettings& host, const FleetOptions& fleet) : zones_(host.zones) {
+EndpointList::EndpointList(const HostSettings& host, const FleetOptions& fleet) : zones_(host.zones) {
   if (!fleet.subset) return;
   part_.emplace(*fleet.subset, fleet.place,
-                DrawnPart::Roster{
+                SubsetSelection::EndpointLookup{
                     [this](const std::string& zone) { return zone_number(zone); },
                     [this](const ListedBackend& one) { return state_with_bans(one) == BackendState::kReady; },
                     [this](const std::string& name) { return numbers_.count(name) > 0; }});
 }
 
-std::optional<Roster::Told> Roster::take(const List& list, ListKind kind, Millis now) {
+std::optional<EndpointList::Told> EndpointList::take(const List& list, ListKind kind, Millis now) {
   give_back_numbers();
   if (!part_) return told(list.backends, kind);
   const std::vector<ListedBackend> entries = part_->take(list.backends, kind != ListKind::kDelta);
@@ -31,7 +31,7 @@
   return told(drawn.value_or(std::vector<ListedBackend>()), kind);
 }
 
-Roster::Told Roster::told(const std::vector<ListedBackend>& entries, ListKind kind) {
+EndpointList::Told EndpointList::told(const std::vector<ListedBackend>& entries, ListKind kind) {
   Told told;
   ListUpdate& update = told.update;
   update.kind = kind;
@@ -73,12 +73,12 @@
 
 // What is out by hand is to the module as one that drains: nothing new, no probes, and fresh beliefs once it
 // is back.
-BackendState Roster::state_with_bans(const ListedBackend& listed) const {
+BackendState EndpointList::state_with_bans(const ListedBackend& listed) const {
   const BackendState state = state_of(listed.health);
   return state == BackendState::kReady && bans_.out(listed.host) ? BackendState::kDraining : state;
 }
 
-std::optional<Roster::Told> Roster::take(const manage::BanSet& bans) {
+std::optional<EndpointList::Told> EndpointList::take(const manage::BanSet& bans) {
   const manage::BanSet before = std::exchange(bans_, bans);
   const auto changed = [&](const ListedBackend& listed) {
     return before.out(listed.host) != bans.out(listed.host) ||
@@ -97,7 +97,7 @@
   return told(entries, ListKind::kDelta);
 }
 
-std::vector<ListedBackend> Roster::all() const {
+std::vector<ListedBackend> EndpointList::all() const {
   std::vector<ListedBackend> all;
   if (part_) {
     for (const auto& [host, listed] : part_->fleet()) all.push_back(listed);
@@ -111,28 +111,28 @@
   return all;
 }
 
-std::string Roster::text() const { return list_text(all()); }
+std::string EndpointList::text() const { return list_text(all()); }
 
-bool Roster::lists(const std::string& host) const {
+bool EndpointList::lists(const std::string& host) const {
   if (part_) return part_->fleet().count(host) > 0;
   const auto it = numbers_.find(host);
   return it != numbers_.end() && !backends_[it->second].gone;
 }
 
-std::size_t Roster::listed() const {
+std::size_t EndpointList::listed() const {
   if (part_) return part_->fleet().size();
   return static_cast<std::size_t>(std::count_if(backends_.begin(), backends_.end(),
                                                 [](const Known& k) { return !k.host.empty() && !k.gone; }));
 }
 
-std::size_t Roster::out() const {
+std::size_t EndpointList::out() const {
   if (!part_) return listed() - ready_;
   std::size_t count = 0;
   for (const auto& [host, listed] : part_->fleet()) count += state_with_bans(listed) != BackendState::kReady;
   return count;
 }
 
-std::optional<Seen> Roster::see(Unit::Kind kind, const std::string& name) {
+std::optional<Seen> EndpointList::see(Unit::Kind kind, const std::string& name) {
   if (kind != Unit::Kind::kBackend) {
     if (std::exchange(units_of_, changes_) != changes_) {
       units_.clear();
@@ -155,19 +155,19 @@
 }
 
 // Says whether it was ready before.
-bool Roster::set_ready(Known& known, bool ready) {
+bool EndpointList::set_ready(Known& known, bool ready) {
   const bool was = std::exchange(known.ready, ready);
   if (ready != was) ready ? ++ready_ : --ready_;
   return was;
 }
 
-void Roster::leave(BackendId number) {
+void EndpointList::leave(BackendId number) {
   Known& known = backends_[number];
   known.gone = true;
   if (!std::exchange(known.leaving, true)) leaving_.push_back(number);
 }
 
-std::optional<Roster::Told> Roster::draw(Millis now) {
+std::optional<EndpointList::Told> EndpointList::draw(Millis now) {
   const auto drawn = part_->draw(now);
   if (!drawn) return std::nullopt;
   give_back_numbers();
@@ -175,7 +175,7 @@
 }
 
 // Whether a member answers, for the subset's count of its capacity. Any word from it will do.
-void Roster::heard(BackendId backend, Outcome outcome) {
+void EndpointList::heard(BackendId backend, Outcome outcome) {
   if (!part_ || outcome == Outcome::kCalledOff || outcome == Outcome::kNotSent) return;
   Known& known = backends_[backend];
   const bool silent = outcome == Outcome::kNoAnswer || outcome == Outcome::kNoConnection;
@@ -185,7 +185,7 @@
 }
 
 // The number by which the module knows this backend; none for one that is gone and was never known.
-std::optional<BackendId> Roster::number_of(const ListedBackend& listed) {
+std::optional<BackendId> EndpointList::number_of(const ListedBackend& listed) {
   const auto it = numbers_.find(listed.host);
   if (it != numbers_.end()) return it->second;
   if (state_of(listed.health) == BackendState::kGone) return std::nullopt;
@@ -202,7 +202,7 @@
 // Guards against growing with every backend that ever was: where each replaced one comes back under a new id,
 // the numbers of those that are gone go to others, once no request and no probe is left that names them. Only
 // with the next list, so that whoever keeps connections by number has dropped them by then.
-void Roster::give_back_numbers() {
+void EndpointList::give_back_numbers() {
   std::erase_if(leaving_, [this](BackendId number) {
     Known& known = backends_[number];
     if (known.gone && known.uses > 0) return false;
@@ -215,7 +215,7 @@
   });
 }
 
-int Roster::zone_number(const std::string& name) {
+int EndpointList::zone_number(const std::string& name) {
   const auto it = std::find(zones_.begin(), zones_.end(), name);
   if (it != zones_.end()) return static_cast<int>(it - zones_.begin());
   zones_.push_back(name);
--- a/src/node/endpoint_list.h
+++ b/src/node/endpoint_list.h
@@ -35,11 +35,11 @@
   bool operator==(const FleetOptions&) const = default;
 };
 
-class Roster {
+class EndpointList {
  public:
-  Roster(const HostSettings& host, const FleetOptions& fleet);
-  Roster(const Roster&) = delete;
-  Roster& operator=(const Roster&) = delete;
+  EndpointList(const HostSettings& host, const FleetOptions& fleet);
+  EndpointList(const EndpointList&) = delete;
+  EndpointList& operator=(const EndpointList&) = delete;
 
   // What is to be told to the module, and who is unwanted from then on: nothing new may go there that might
   // have gone there before.
@@ -113,7 +113,7 @@
   Units units_;
   std::uint64_t units_of_ = ~std::uint64_t{0};  // the list that these are of
   std::uint64_t changes_ = 0;
-  std::optional<DrawnPart> part_;  // where the module sees not all
+  std::optional<SubsetSelection> part_;  // where the module sees not all
 };
 
 // A list in discovery's form, whole, with the number that makes discovery tell its own.
--- a/src/node/open_requests.cpp
+++ b/src/node/open_requests.cpp
@@ -11,7 +11,7 @@
 
 void OpenRequests::begin(RequestId request, Open open) {
   deadlines_.emplace(open.due + kAfterDue, request);
-  if (open.home.kind == Unit::Kind::kBackend) roster_.use(open.home.backend);
+  if (open.home.kind == Unit::Kind::kBackend) endpoints_.use(open.home.backend);
   requests_[request] = std::move(open);
 }
 
@@ -67,8 +67,8 @@
 
 void OpenRequests::forget(RequestId request, Open& open) {
   deadlines_.erase({open.due + kAfterDue, request});
-  for (const BackendId backend : open.attempts) roster_.release(backend);
-  if (open.home.kind == Unit::Kind::kBackend) roster_.release(open.home.backend);
+  for (const BackendId backend : open.attempts) endpoints_.release(backend);
+  if (open.home.kind == Unit::Kind::kBackend) endpoints_.release(open.home.backend);
   const AffinityHold affinity_hold = std::move(open.affinity_hold);
   requests_.erase(request);
   affinity_hold.over();
--- a/src/node/open_requests.h
+++ b/src/node/open_requests.h
@@ -37,7 +37,7 @@
     }
   };
 
-  explicit OpenRequests(Roster& roster) : roster_(roster) {}
+  explicit OpenRequests(EndpointList& endpoints) : endpoints_(endpoints) {}
 
   void begin(RequestId request, Open open);
   Open* find(RequestId request);
@@ -54,7 +54,7 @@
  private:
   void forget(RequestId request, Open& open);
 
-  Roster& roster_;
+  EndpointList& endpoints_;
   std::unordered_map<RequestId, Open> requests_;
   std::set<std::pair<Millis, RequestId>> deadlines_;
 };
--- a/src/node/policy_host.cpp
+++ b/src/node/policy_host.cpp
@@ -20,8 +20,8 @@
                        const FleetOptions& fleet)
     : classes_(settings, host),
       policy_(classes_.settings(), seed),
-      roster_(host, fleet),
-      requests_(roster_) {}
+      endpoints_(host, fleet),
+      requests_(endpoints_) {}
 
 void PolicyHost::start(const List& known, Millis now) {
   feed(Started{}, now);
@@ -61,7 +61,7 @@
   const bool pass = event.outcome == Outcome::kServed && guard::may_forward({.answered = open.over});
   open.over = open.over || pass;
   event.request_over = open.over;
-  roster_.heard(event.backend, event.outcome);
+  endpoints_.heard(event.backend, event.outcome);
   room_.ended(event.outcome == Outcome::kTurnedAway);
   if (load != nullptr) room_.reported(load->busy);
   requests_.ended(request, open);
@@ -71,13 +71,13 @@
 
 void PolicyHost::report_probe(BackendId backend, Ending ending, Millis elapsed, const LoadReport* load,
                               Millis now) {
-  roster_.release(backend);
+  endpoints_.release(backend);
   ProbeEnded event;
   event.backend = backend;
   event.outcome = outcome_of(ending);
   event.elapsed = elapsed;
   take_report(load, event);
-  roster_.heard(backend, event.outcome);
+  endpoints_.heard(backend, event.outcome);
   feed(event, now);
 }
 
@@ -85,14 +85,14 @@
   const ListKind kind = source == ListSource::kStored ? ListKind::kStored
                         : list.whole                  ? ListKind::kFull
                                                       : ListKind::kDelta;
-  const auto told = roster_.take(list, kind, now);
+  const auto told = endpoints_.take(list, kind, now);
   if (told) feed(told->update, now);
   if (wake_) wake_();  // a part may have to be drawn
   return told ? told->unwanted : std::vector<BackendId>();
 }
 
 std::vector<BackendId> PolicyHost::report_bans(const manage::BanSet& bans, Millis now) {
-  const auto told = roster_.take(bans);
+  const auto told = endpoints_.take(bans);
   if (told) feed(told->update, now);
   return told ? told->unwanted : std::vector<BackendId>();
 }
@@ -136,8 +136,8 @@
     answer(*request, {Choice::Kind::kFail, *request});
     feed(RequestGone{*request}, now);
   }
-  if (roster_.draw_at() > 0 && now >= roster_.draw_at()) {
-    if (const auto told = roster_.draw(now)) {
+  if (endpoints_.draw_at() > 0 && now >= endpoints_.draw_at()) {
+    if (const auto told = endpoints_.draw(now)) {
       feed(told->update, now);
       deferred_actions_.unwanted.insert(deferred_actions_.unwanted.end(), told->unwanted.begin(),
                                         told->unwanted.end());
@@ -146,7 +146,7 @@
   drop_unwanted(now);
   DeferredActions due = std::exchange(deferred_actions_, {});
   Millis timer = timers_.empty() ? 0 : timers_.begin()->first;
-  for (const Millis other : {roster_.draw_at(), requests_.next()}) {
+  for (const Millis other : {endpoints_.draw_at(), requests_.next()}) {
     if (other > 0) timer = timer > 0 ? std::min(timer, other) : other;
   }
   due.next = timer;
@@ -157,7 +157,7 @@
 // it long after. The module hears that it was not sent, and decides anew.
 void PolicyHost::drop_unwanted(Millis now) {
   const auto [sends, probes] =
-      deferred_actions_.take_unwanted([this](BackendId i) { return roster_.wanted(i); });
+      deferred_actions_.take_unwanted([this](BackendId i) { return endpoints_.wanted(i); });
   for (const Choice& send : sends) {
     const Choice next = report(send.request, send.attempt, Ending::kNotSent, 0, nullptr, now);
     if (next.kind != Choice::Kind::kHold && next.kind != Choice::Kind::kOver)
@@ -200,7 +200,7 @@
   } else if (const auto* fail = std::get_if<Fail>(&action)) {
     answer(fail->request, {Choice::Kind::kFail, fail->request});
   } else if (const auto* probe = std::get_if<SendProbe>(&action)) {
-    roster_.use(probe->backend);
+    endpoints_.use(probe->backend);
     deferred_actions_.probes.push_back(probe->backend);
   } else if (std::holds_alternative<SubscribeList>(action)) {
     deferred_actions_.watch = true;
@@ -226,7 +226,7 @@
   choice.until = send.stop_at > 0 ? std::min(send.stop_at, open.due) : open.due;
   choice.begin_by = send.begin_by;
   open.attempts.push_back(send.backend);
-  roster_.use(send.backend);
+  endpoints_.use(send.backend);
   if (open.over || choice.until <= now || choice.attempt >= open.rules.most_attempts ||
       !open.affinity_hold.may_send()) {
     unsent_.emplace_back(AttemptEnded{
--- a/src/node/policy_host.h
+++ b/src/node/policy_host.h
@@ -1,5 +1,5 @@
 // The decision module as the network code sees it: one asks for a pick, reports how things ended and calls
-// tick() when it is time. It owns the module, its timers, the roster and the requests that are open.
+// tick() when it is time. It owns the module, its timers, the endpoint list and the requests that are open.
 // It must never do I/O, read a clock or decide; and the module's events and actions stay behind it.
 #pragma once
 
@@ -58,7 +58,7 @@
   // What is out by hand counts from now on, whatever the list says. Says who is unwanted, as report_list()
   // does.
   std::vector<BackendId> report_bans(const manage::BanSet& bans, Millis now);
-  std::vector<Roster::Restarted> take_restarted() { return roster_.take_restarted(); }
+  std::vector<EndpointList::Restarted> take_restarted() { return endpoints_.take_restarted(); }
   void report_watch_ended(Millis now);
   // For how long the list may be acted on.
   void report_validity(const ListValidity& validity, Millis now) { feed(validity, now); }
@@ -67,7 +67,7 @@
   void describe(RequestId request, BackendId backend, Millis now, guard::RequestState& state,
                 guard::BackendState& there) const {
     requests_.describe(request, state);
-    there.wanted = roster_.wanted(backend);
+    there.wanted = endpoints_.wanted(backend);
     there.confirmed = policy_.confirmed(backend, now);
   }
   void report_client_gone(RequestId request, Millis now);
@@ -84,17 +84,17 @@
   // Set by the host: called when something for tick() came up outside of it.
   void on_deferred_action(std::function<void()> wake) { wake_ = std::move(wake); }
 
-  std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return roster_.see(kind, unit); }
-  const Roster& roster() const { return roster_; }
+  std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return endpoints_.see(kind, unit); }
+  const EndpointList& endpoints() const { return endpoints_; }
   const Settings& settings() const { return classes_.settings(); }  // with the numbers of classes here
-  const std::string& dial(BackendId backend) const { return roster_.dial(backend); }
-  const std::string& host(BackendId backend) const { return roster_.host(backend); }
-  bool wanted(BackendId backend) const { return roster_.wanted(backend); }
-  std::size_t ready() const { return roster_.ready(); }
-  std::size_t backends() const { return roster_.backends(); }
-  std::optional<SubsetCounters> subset_counters() const { return roster_.subset_counters(); }
+  const std::string& dial(BackendId backend) const { return endpoints_.dial(backend); }
+  const std::string& host(BackendId backend) const { return endpoints_.host(backend); }
+  bool wanted(BackendId backend) const { return endpoints_.wanted(backend); }
+  std::size_t ready() const { return endpoints_.ready(); }
+  std::size_t backends() const { return endpoints_.backends(); }
+  std::optional<SubsetCounters> subset_counters() const { return endpoints_.subset_counters(); }
   // Of those listed, how many are avoided now: out by hand, draining, or passed over by the module's choice.
-  std::size_t skipped(Millis now) const { return policy_.avoided(now) + roster_.out(); }
+  std::size_t skipped(Millis now) const { return policy_.avoided(now) + endpoints_.out(); }
   std::size_t open_requests() const { return requests_.size(); }
 
  private:
@@ -107,7 +107,7 @@
 
   ClassNumbers classes_;
   Policy policy_;
-  Roster roster_;
+  EndpointList endpoints_;
   OpenRequests requests_;
   std::multimap<Millis, std::uint64_t> timers_;
   RetryAllowanceBound retry_allowance_;
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -48,8 +48,8 @@
   void call_off(RequestId request);
   // A box, cell or zone of this pool, as it stands now.
   std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return policy_host_.see(kind, unit); }
-  std::uint64_t list_changes() const { return policy_host_.roster().changes(); }
-  std::vector<ListedBackend> boxes() const { return policy_host_.roster().all(); }
+  std::uint64_t list_changes() const { return policy_host_.endpoints().changes(); }
+  std::vector<ListedBackend> boxes() const { return policy_host_.endpoints().all(); }
   // The body of one that came by parts is whole now; its client waits until `due`.
   void body_whole(RequestId request, Millis due);
 
@@ -82,8 +82,8 @@
   // What is out by hand from now on; nothing that is not yet written goes there any more.
   void ban(const manage::BanSet& bans);
   std::string list_text() const;  // in discovery's form, births labelled by the wall clock
-  bool lists(const std::string& host) const { return policy_host_.roster().lists(host); }
-  std::size_t in_list() const { return policy_host_.roster().listed(); }
+  bool lists(const std::string& host) const { return policy_host_.endpoints().lists(host); }
+  std::size_t in_list() const { return policy_host_.endpoints().listed(); }
   std::size_t skipped() const { return policy_host_.skipped(loop_.now()); }
   std::uint64_t written() const { return upstream_->written(); }
   std::size_t backends() const { return policy_host_.backends(); }
--- a/src/node/saved_list_copy.cpp
+++ b/src/node/saved_list_copy.cpp
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-KeptCopy::KeptCopy(Loop& loop, std::string path, std::string pool, const membership::View& view)
-    : loop_(loop), path_(std::move(path)), pool_(std::move(pool)), view_(view), keeper_(path_) {}
+SavedListCopy::SavedListCopy(Loop& loop, std::string path, std::string pool, const membership::View& view)
+    : loop_(loop), path_(std::move(path)), pool_(std::move(pool)), view_(view), writer_(path_) {}
 
-KeptCopy::~KeptCopy() { loop_.cancel(write_at_); }
+SavedListCopy::~SavedListCopy() { loop_.cancel(write_at_); }
 
-std::optional<List> KeptCopy::load() const {
+std::optional<List> SavedListCopy::load() const {
   std::string cause;
-  const auto kept = membership::load_kept(path_, cause);
+  const auto kept = membership::load_saved_list(path_, cause);
   if (!kept) {
     if (!cause.empty()) spdlog::error("pool {}: {} is not used: {}", pool_, path_, cause);
     return std::nullopt;
@@ -31,23 +31,23 @@
   return list;
 }
 
-void KeptCopy::changed() {
+void SavedListCopy::changed() {
   changed_ = true;
   write_later();
 }
 
 // Not for each change: the disk is slow, and a list some seconds old will do.
-void KeptCopy::write_later() {
+void SavedListCopy::write_later() {
   if (write_at_ != 0) return;
   write_at_ = loop_.after(kKeepEvery, [this] {
     write_at_ = 0;
-    if (const auto trouble = keeper_.trouble())
+    if (const auto trouble = writer_.trouble())
       spdlog::error("pool {}: the list is not kept: {}", pool_, *trouble);
     if (!std::exchange(changed_, false)) return;
-    if (keeper_.busy()) {
+    if (writer_.busy()) {
       changed_ = true;
     } else {
-      keeper_.keep(membership::kept_text(view_.members(), loop_.to_wall(loop_.now())));
+      writer_.keep(membership::saved_list_text(view_.members(), loop_.to_wall(loop_.now())));
     }
     write_later();
   });
--- a/src/node/saved_list_copy.h
+++ b/src/node/saved_list_copy.h
@@ -14,13 +14,13 @@
 
 namespace shorelead::node {
 
-class KeptCopy {
+class SavedListCopy {
  public:
   // `view`: what is kept, and outlives this.
-  KeptCopy(Loop& loop, std::string path, std::string pool, const membership::View& view);
-  ~KeptCopy();
-  KeptCopy(const KeptCopy&) = delete;
-  KeptCopy& operator=(const KeptCopy&) = delete;
+  SavedListCopy(Loop& loop, std::string path, std::string pool, const membership::View& view);
+  ~SavedListCopy();
+  SavedListCopy(const SavedListCopy&) = delete;
+  SavedListCopy& operator=(const SavedListCopy&) = delete;
 
   std::optional<List> load() const;  // whole; none where there is none, or it cannot be used
   void changed();                    // the view has: it is written soon
@@ -32,7 +32,7 @@
   const std::string path_;
   const std::string pool_;  // its name, for the log
   const membership::View& view_;
-  membership::Keeper keeper_;
+  membership::SavedListWriter writer_;
   bool changed_ = false;
   Loop::TimerId write_at_ = 0;
 };
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -59,7 +59,7 @@
     return std::any_of(generations_.pools().begin(), generations_.pools().end(),
                        [&id](const auto& pool) { return pool->lists(id); });
   };
-  bans_ = std::make_unique<BanKeeper>(loop_, listed, [this] {
+  bans_ = std::make_unique<BanList>(loop_, listed, [this] {
     for (const auto& pool : generations_.pools()) pool->ban(bans_->bans());
   });
   generations_.begin(config);
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -87,7 +87,7 @@
   DescriptorRoom room_;
   RequestTable request_table_;
   std::unique_ptr<Front> front_;
-  std::unique_ptr<BanKeeper> bans_;
+  std::unique_ptr<BanList> bans_;
   GracefulShutdown shutdown_;
   HotRestart hot_restart_;
   std::unique_ptr<Door> door_;  // only where the configuration names one
--- a/src/node/start_times.h
+++ b/src/node/start_times.h
@@ -13,38 +13,38 @@
 
 namespace shorelead::node {
 
-class BirthTimes {
+class StartTimes {
  public:
   // `from_wall`: the loop's time of what the wall clock labelled so, as far as can be told now.
-  explicit BirthTimes(std::function<Millis(Millis label)> from_wall) : from_wall_(std::move(from_wall)) {}
+  explicit StartTimes(std::function<Millis(Millis label)> from_wall) : from_wall_(std::move(from_wall)) {}
 
   // The same list with births by the loop's clock.
   List resolve(List list) {
-    std::unordered_map<std::string, Birth> before;
-    if (list.whole) before.swap(births_);
+    std::unordered_map<std::string, StartTime> before;
+    if (list.whole) before.swap(start_times_);
     for (ListedBackend& backend : list.backends) {
       const Millis label = backend.born;
       if (label <= 0) continue;  // long past
-      const auto& known = list.whole ? before : births_;
+      const auto& known = list.whole ? before : start_times_;
       const auto found = known.find(backend.host);
       const bool same = found != known.end() && found->second.label == label;
       backend.born = same ? found->second.at : from_wall_(label);
-      births_[backend.host] = {label, backend.born};
+      start_times_[backend.host] = {label, backend.born};
     }
     for (const ListedBackend& backend : list.backends) {
-      if (backend.health == "gone") births_.erase(backend.host);
+      if (backend.health == "gone") start_times_.erase(backend.host);
     }
     return list;
   }
 
  private:
-  struct Birth {
+  struct StartTime {
     Millis label = 0;  // by the wall clock
     Millis at = 0;
   };
 
   const std::function<Millis(Millis)> from_wall_;
-  std::unordered_map<std::string, Birth> births_;  // of those listed
+  std::unordered_map<std::string, StartTime> start_times_;  // of those listed
 };
 
 }  // namespace shorelead::node
--- a/src/node/subset_selection.cpp
+++ b/src/node/subset_selection.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-std::vector<DrawnPart::Listed> DrawnPart::take(const std::vector<Listed>& list, bool whole) {
+std::vector<SubsetSelection::Listed> SubsetSelection::take(const std::vector<Listed>& list, bool whole) {
   std::vector<Listed> entries;
   std::vector<Listed> missing;
   if (whole) {
@@ -32,7 +32,7 @@
   const auto take_in = [this, &entries](const Listed& listed) {
     const auto known_as = fleet_.find(listed.host);
     if (known_as != fleet_.end() && known_as->second == listed) return;  // as it was
-    if (roster_.known(listed.host)) entries.push_back(listed);
+    if (endpoints_.known(listed.host)) entries.push_back(listed);
     put(listed);
   };
   for (const Listed& listed : missing) take_in(listed);
@@ -44,32 +44,32 @@
   return entries;
 }
 
-void DrawnPart::put(const Listed& listed) {
+void SubsetSelection::put(const Listed& listed) {
   if (state_of(listed.health) == BackendState::kGone) {
     subset_.remove(listed.host);
     fleet_.erase(listed.host);
     return;
   }
-  subset_.put({listed.host, roster_.zone_number(listed.site), listed.size, roster_.ready(listed)});
+  subset_.put({listed.host, endpoints_.zone_number(listed.site), listed.size, endpoints_.ready(listed)});
   Listed& known = fleet_[listed.host];
   const std::string dial = listed.dial.empty() ? known.dial : listed.dial;
   known = listed;
   known.dial = dial;
 }
 
-void DrawnPart::changed(const Listed& listed) {
-  subset_.put({listed.host, roster_.zone_number(listed.site), listed.size, roster_.ready(listed)});
+void SubsetSelection::changed(const Listed& listed) {
+  subset_.put({listed.host, endpoints_.zone_number(listed.site), listed.size, endpoints_.ready(listed)});
   unsettled_ = true;
 }
 
-void DrawnPart::heard(const std::string& host, bool answers) {
+void SubsetSelection::heard(const std::string& host, bool answers) {
   subset_.set_answering(host, answers);
   unsettled_ = true;
 }
 
-Millis DrawnPart::draw_at() const { return unsettled_ ? drawn_at_ + kDrawEvery : 0; }
+Millis SubsetSelection::draw_at() const { return unsettled_ ? drawn_at_ + kDrawEvery : 0; }
 
-std::optional<std::vector<DrawnPart::Listed>> DrawnPart::draw(Millis now) {
+std::optional<std::vector<SubsetSelection::Listed>> SubsetSelection::draw(Millis now) {
   unsettled_ = false;
   drawn_at_ = now;
   ++counters_.drawings;
@@ -80,7 +80,7 @@
   for (const std::string& host : change.removed) {
     // To the module one that is no longer a member is gone; what is under way there goes on.
     const auto it = fleet_.find(host);
-    if (!roster_.known(host) || (it != fleet_.end() && it->second.health != "ready")) continue;
+    if (!endpoints_.known(host) || (it != fleet_.end() && it->second.health != "ready")) continue;
     entries.emplace_back();
     entries.back().host = host;
     entries.back().health = "gone";
@@ -89,7 +89,7 @@
   return entries;
 }
 
-SubsetCounters DrawnPart::counters() const {
+SubsetCounters SubsetSelection::counters() const {
   SubsetCounters counters = counters_;
   counters.fleet = subset_.fleet();
   counters.members = subset_.size();
--- a/src/node/subset_selection.h
+++ b/src/node/subset_selection.h
@@ -24,18 +24,18 @@
   std::uint64_t changes = 0;  // members taken in or given up
 };
 
-class DrawnPart {
+class SubsetSelection {
  public:
   using Listed = membership::Member;
-  // What the roster knows beside.
-  struct Roster {
+  // What the endpoint list knows beside.
+  struct EndpointLookup {
     std::function<int(const std::string& zone)> zone_number;
     std::function<bool(const Listed&)> ready;            // by the list, and not out by hand
     std::function<bool(const std::string& host)> known;  // to the module
   };
 
-  DrawnPart(const subset::Options& options, const subset::Place& place, Roster roster)
-      : roster_(std::move(roster)), place_(place), subset_(options, place) {}
+  SubsetSelection(const subset::Options& options, const subset::Place& place, EndpointLookup endpoints)
+      : endpoints_(std::move(endpoints)), place_(place), subset_(options, place) {}
 
   // Takes a list in; says what of it concerns members as they are, without waiting for a drawing.
   std::vector<Listed> take(const std::vector<Listed>& list, bool whole);
@@ -53,7 +53,7 @@
  private:
   void put(const Listed& listed);
 
-  const Roster roster_;
+  const EndpointLookup endpoints_;
   const subset::Place place_;
   subset::Subset subset_;
   std::unordered_map<std::string, Listed> fleet_;
--- a/src/node/watch_backoff.h
+++ b/src/node/watch_backoff.h
@@ -11,7 +11,7 @@
 
 namespace shorelead::node {
 
-class WatchWaits {
+class WatchBackoff {
  public:
   // Pushed lists: the host alone asks. What is there counts from the first moment, so it asks soon where
   // nobody is there to be kept busy, and ever later where calls are turned away.
@@ -25,8 +25,8 @@
   static constexpr Millis kLocalFailure = 20;
   static constexpr double kUnconnected = 3;  // times as long where no connection came up, known after 1 s
 
-  void told() { wait_ = 0; }              // a list came
-  void reset() { *this = WatchWaits(); }  // discovery is another
+  void told() { wait_ = 0; }                // a list came
+  void reset() { *this = WatchBackoff(); }  // discovery is another
 
   // In how long the host is to open it anew; none: the module says when. `asked`: lists are to be asked for;
   // `nodes`: that do so; `random` is of [0, 1).
--- a/tests/crossings/lists_fleet.h
+++ b/tests/crossings/lists_fleet.h
@@ -55,7 +55,7 @@
     settings.instances = a_.processes;
     settings.max_attempts = 1;
     for (int n = 0; n < a_.processes; ++n) {
-      processes_.push_back({Policy(settings, random_.next()), WatchWaits(), 0});
+      processes_.push_back({Policy(settings, random_.next()), WatchBackoff(), 0});
       feed(processes_.back(), Started{});
     }
   }
@@ -82,7 +82,7 @@
   static constexpr Millis kTrouble = 60000;
   struct Process {
     Policy policy;
-    WatchWaits waits;
+    WatchBackoff waits;
     Millis listed;
   };
 
--- a/tests/faults/bans_test.cpp
+++ b/tests/faults/bans_test.cpp
@@ -17,7 +17,7 @@
 
 // A node's folder, and the process that keeps its bans there.
 struct Kept {
-  Kept() { keeper.share(path); }
+  Kept() { bans.share(path); }
   ~Kept() {
     faults::clear();
     std::system(("rm -rf " + folder).c_str());
@@ -26,13 +26,13 @@
     manage::Call call;
     call.kind = kind;
     call.id = id;
-    return keeper.change(call);
+    return bans.change(call);
   }
   std::string disable(const std::string& id) { return call(manage::CallKind::kDisable, id); }
   // As the process that comes after this one finds it.
   bool next_knows(const std::string& id) const {
     Loop other;
-    BanKeeper next(
+    BanList next(
         other, [](const std::string&) { return true; }, [] {});
     next.share(path);
     return next.bans().out(id);
@@ -45,7 +45,7 @@
   }();
   const std::string path = folder + "/bans";
   Loop loop;
-  BanKeeper keeper{loop, [](const std::string&) { return true; }, [] {}};
+  BanList bans{loop, [](const std::string&) { return true; }, [] {}};
 };
 
 bool done(const std::string& answer) { return answer.compare(0, 3, "OK ") == 0; }
@@ -76,7 +76,7 @@
   for (const int times : {1, 1000}) {
     Kept kept;
     Kept other;
-    other.keeper.share(kept.path);
+    other.bans.share(kept.path);
     fail_next(Call::kReadFile, EIO, times);
     kept.disable("s-1");
     other.disable("s-2");
@@ -94,7 +94,7 @@
 TEST(Bans, AStartThatCannotReadThemDoesNotKnowThem) {
   Kept kept;
   ASSERT_TRUE(done(kept.disable("s-1")));
-  BanKeeper next(
+  BanList next(
       kept.loop, [](const std::string&) { return true; }, [] {});
   fail_next(Call::kReadFile, EIO, 10);
   next.share(kept.path);
@@ -110,7 +110,7 @@
   Kept kept;
   fail_next(Call::kWriteFile, ENOSPC, 1000);
   EXPECT_FALSE(done(kept.disable("s-1")));
-  EXPECT_TRUE(kept.keeper.bans().out("s-1"));
+  EXPECT_TRUE(kept.bans.bans().out("s-1"));
   faults::clear();
   kept.loop.after(1200, [&kept] { kept.loop.stop(); });
   kept.loop.run();
@@ -124,7 +124,7 @@
   ASSERT_TRUE(done(kept.disable("s-1")));
   fail_next(Call::kRename, EIO, 1000);
   EXPECT_FALSE(done(kept.call(manage::CallKind::kEnable, "s-1")));
-  EXPECT_TRUE(kept.keeper.bans().out("s-1"));
+  EXPECT_TRUE(kept.bans.bans().out("s-1"));
   faults::clear();
   EXPECT_TRUE(kept.next_knows("s-1"));
   EXPECT_TRUE(done(kept.call(manage::CallKind::kEnable, "s-1")));
--- a/tests/membership/saved_list_test.cpp
+++ b/tests/membership/saved_list_test.cpp
@@ -35,16 +35,16 @@
   std::string path;
 };
 
-TEST(KeptList, ComesBackAsItWasWritten) {
+TEST(SavedList, ComesBackAsItWasWritten) {
   const Folder folder;
   std::string cause;
-  EXPECT_FALSE(load_kept(folder.file(), cause));
+  EXPECT_FALSE(load_saved_list(folder.file(), cause));
   EXPECT_EQ(cause, "");  // none was ever kept
   {
-    Keeper keeper(folder.file());
-    keeper.keep(kept_text(three(), 123456));
+    SavedListWriter writer(folder.file());
+    writer.keep(saved_list_text(three(), 123456));
   }
-  const auto list = load_kept(folder.file(), cause);
+  const auto list = load_saved_list(folder.file(), cause);
   ASSERT_TRUE(list) << cause;
   EXPECT_EQ(list->members, three());
   EXPECT_EQ(list->written, 123456);
@@ -52,12 +52,12 @@
 }
 
 // A file cut at any byte, or with any byte changed, is refused; never a list with something missing.
-TEST(KeptList, TornAnywhereOrDamagedAnywhereIsRefused) {
-  const std::string text = kept_text(three(), 123456);
+TEST(SavedList, TornAnywhereOrDamagedAnywhereIsRefused) {
+  const std::string text = saved_list_text(three(), 123456);
   const std::size_t body = text.find('\n') + 1;
   for (std::size_t size = 0; size < text.size(); ++size) {
     std::string cause;
-    EXPECT_FALSE(read_kept(text.substr(0, size), cause)) << size;
+    EXPECT_FALSE(read_saved_list(text.substr(0, size), cause)) << size;
     EXPECT_FALSE(cause.empty()) << size;
   }
   for (std::size_t at = 0; at < text.size(); ++at) {
@@ -65,37 +65,37 @@
       std::string hurt = text;
       hurt[at] = static_cast<char>(hurt[at] ^ bit);
       std::string cause;
-      const auto list = read_kept(hurt, cause);
+      const auto list = read_saved_list(hurt, cause);
       // The age alone stands outside of the checksum.
       EXPECT_TRUE(!list || (at < body && list->members == three())) << at;
     }
   }
 }
 
-TEST(KeptList, OtherFormsAreNamed) {
+TEST(SavedList, OtherFormsAreNamed) {
   const std::pair<std::string, const char*> cases[] = {
       {"", "no kept list"},
       {"{\"seq\":1}\n", "no kept list"},
       {"shorelead-list 2 0 0 0\n", "form is 2, this node knows 1"},
       {"shorelead-list 1 x\n", "first line is damaged"},
-      {kept_text(three(), 1) + "more", "torn"}};
+      {saved_list_text(three(), 1) + "more", "torn"}};
   for (const auto& [text, words] : cases) {
     std::string cause;
-    EXPECT_FALSE(read_kept(text, cause));
+    EXPECT_FALSE(read_saved_list(text, cause));
     EXPECT_NE(cause.find(words), std::string::npos) << cause;
   }
 }
 
 // A disk that takes nothing leaves the old file as it was, and says why.
-TEST(KeptList, WhatCannotBeWrittenLeavesTheOldOne) {
+TEST(SavedList, WhatCannotBeWrittenLeavesTheOldOne) {
   const Folder folder;
-  ASSERT_FALSE(store_kept(folder.file(), kept_text(three(), 1)));
+  ASSERT_FALSE(store_saved_list(folder.file(), saved_list_text(three(), 1)));
   std::filesystem::create_directory(folder.beside());  // in the way
-  const auto cause = store_kept(folder.file(), kept_text({}, 2));
+  const auto cause = store_saved_list(folder.file(), saved_list_text({}, 2));
   ASSERT_TRUE(cause);
   EXPECT_NE(cause->find("cannot be opened"), std::string::npos);
   std::string none;
-  EXPECT_EQ(load_kept(folder.file(), none)->members.size(), 3U);
+  EXPECT_EQ(load_saved_list(folder.file(), none)->members.size(), 3U);
 }
 
 }  // namespace
--- a/tests/pools_test.cpp
+++ b/tests/pools_test.cpp
@@ -336,7 +336,7 @@
   kept.host = "s-1";
   kept.dial = a.dial();
   kept.health = "ready";
-  ASSERT_FALSE(membership::store_kept(path, membership::kept_text({kept}, 1000)));
+  ASSERT_FALSE(membership::store_saved_list(path, membership::saved_list_text({kept}, 1000)));
   Node node(kHead + pool("a", "registry { endpoints " + away + "; prefix \"/b/\" }; keep \"" + path + "\"") +
             route("look", "pool a"));
   Line client = node.client();
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -147,7 +147,7 @@
   std::multimap<Millis, Millis> calls;  // when, and the module's wait should it fail
   const auto module = [&random](Millis wait) { return wait * (0.5 + random.unit()); };
   for (int node = 0; node < silent; ++node) {
-    WatchWaits waits;
+    WatchBackoff waits;
     waits.told();
     const Millis noticed = how == Ending::kSilent ? 3000 - 2000 * random.unit() : Discovery::Waits().first;
     const auto wait = waits.ended(how, true, kNodes, random.unit());
@@ -178,7 +178,7 @@
   EXPECT_GT(fall_silent(300, false).told_in_time, 1.5 * fall_silent(300, true).told_in_time);
   // A small fleet, or a node alone, has nobody to wait for.
   for (const double random : {0.0, 0.99}) {
-    WatchWaits waits;
+    WatchBackoff waits;
     EXPECT_LE(waits.ended(Ending::kSilent, true, 3, random).value_or(1e9), 150);
     // Silent again with nothing between: as broken as before, and so is a call that came to no connection.
     EXPECT_LE(waits.ended(Ending::kSilent, true, 3, random).value_or(1e9), 150);
