--- a/src/node/backend_connection.cpp
+++ b/src/node/backend_connection.cpp
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-Upstream::Link::Link(Upstream& owner, BackendId backend, std::string dial,
-                     const std::optional<Poco::Net::SocketAddress>& address)
+Upstream::Connection::Connection(Upstream& owner, BackendId backend, std::string dial,
+                                 const std::optional<Poco::Net::SocketAddress>& address)
     : owner(owner),
       backend(backend),
       dial(std::move(dial)),
@@ -28,7 +28,7 @@
 
 // What was decided in time may have waited for its connection since. The client is looked at last: between
 // that and the write no clock is read, behind which this process may be held up. So is the connection.
-guard::Verdict Upstream::Link::may_write(Millis now) const {
+guard::Verdict Upstream::Connection::may_write(Millis now) const {
   if (job->probe) return {};
   guard::RequestState request;
   guard::BackendState there;
@@ -46,13 +46,13 @@
 }
 
 // Not from within the caller, who is still busy with what it had decided.
-void Upstream::Link::end_unsent(Ending ending) {
+void Upstream::Connection::end_unsent(Ending ending) {
   owner.loop_.later([hold = shared_from_this(), serial = job->serial, ending] {
     if (hold->job && hold->job->serial == serial) hold->owner.finish(*hold, ending, nullptr, false);
   });
 }
 
-Millis Upstream::Link::limit() const {
+Millis Upstream::Connection::limit() const {
   if (!stream.connected()) return std::min({job->until, job->begin_by, job->connect_by, job->connect_again});
   if (sending_body()) return std::min(std::max(job->until, owner.loop_.now() + kLookAtBody), job->begin_by);
   if (!written()) return std::min(job->until, job->begin_by);
@@ -61,7 +61,7 @@
   return job->begun ? job->started + kHoldBegun * (job->until - job->started) : job->until;
 }
 
-void Upstream::Link::write_request(Ending if_not_quiet) {
+void Upstream::Connection::write_request(Ending if_not_quiet) {
   const Millis now = owner.loop_.now();
   const Millis left = job->until - now;
   answer = Message(Parser::Kind::kResponse, net::kAnyLength);
@@ -99,7 +99,7 @@
 
 // ---- a request's body that comes by parts ----
 
-void Upstream::Link::begin_body() {
+void Upstream::Connection::begin_body() {
   body = job->message->flow;
   stream.bound_send_buffer();
   body->set_sink({[this] { send_body(); },
@@ -111,7 +111,7 @@
   send_body();
 }
 
-void Upstream::Link::send_body() {
+void Upstream::Connection::send_body() {
   if (!job || !body || body_sent || !stream.open() || !stream.flushed()) return;
   const std::string part = body->take();
   const bool last = body->ended() && body->empty();
@@ -128,27 +128,27 @@
   if (last) owner.watch(*this);
 }
 
-void Upstream::Link::leave_body() {
+void Upstream::Connection::leave_body() {
   if (body) body->clear_sink();
   body.reset();
   body_sent = false;
 }
 
 // Counts the attempt at hand once its last byte is written.
-void Upstream::Link::note_written() {
+void Upstream::Connection::note_written() {
   if (!job || job->probe || job->counted || !written()) return;
   job->counted = true;
   ++owner.written_;
 }
 
-void Upstream::Link::on_flushed(Stream&) {
+void Upstream::Connection::on_flushed(Stream&) {
   if (sending_body()) return send_body();
   if (!job) return;
   note_written();
   owner.watch(*this);
 }
 
-void Upstream::Link::on_connected(Stream&) {
+void Upstream::Connection::on_connected(Stream&) {
   if (!job) return;
   owner.connecting_->came_up(*this);
   write_request(Ending::kBrokenUnsent);
@@ -158,8 +158,8 @@
 // ---- an answer that goes on coming while it is passed on ----
 
 // Whether more is to come, or it has ended; tells the flow.
-void Upstream::Link::flow_on() {
-  const std::shared_ptr<Link> hold = shared_from_this();
+void Upstream::Connection::flow_on() {
+  const std::shared_ptr<Connection> hold = shared_from_this();
   moved_at = owner.loop_.now();
   answer.raw += std::exchange(stream.input(), {});
   const Parser::State state = answer.parser.advance(answer.raw);
@@ -171,11 +171,11 @@
   if (flow->full()) stream.want_input(false);
 }
 
-void Upstream::Link::end_flow(bool whole) {
-  const std::shared_ptr<Link> hold = shared_from_this();
+void Upstream::Connection::end_flow(bool whole) {
+  const std::shared_ptr<Connection> hold = shared_from_this();
   const std::shared_ptr<net::Flow> flow = std::exchange(answer_flow, nullptr);
   flow->set_source({});
-  owner.long_answers_->ended(*this);
+  owner.streamed_responses_->ended(*this);
   const bool keep = whole && answer.head().keep_alive && answer.raw.size() == answer.parser.size() && clean &&
                     !withdrawn && stream.open() && owner.listener_.keep(false);
   if (keep) {
@@ -187,7 +187,7 @@
   whole ? flow->end() : flow->cut();
 }
 
-void Upstream::Link::on_input(Stream&) {
+void Upstream::Connection::on_input(Stream&) {
   if (answer_flow) return flow_on();
   if (!job) return owner.connections_->forget(*this, Ending::kUnasked);  // never to be used again
   answer.raw = std::exchange(stream.input(), {});
@@ -219,7 +219,7 @@
   owner.finish(*this, judge(status), &answer, keep);
 }
 
-void Upstream::Link::on_end(Stream&, Ending ending) {
+void Upstream::Connection::on_end(Stream&, Ending ending) {
   if (answer_flow) {
     return end_flow(ending == Ending::kPeerClosed && answer.parser.finish() == Parser::State::kDone);
   }
@@ -231,7 +231,7 @@
   owner.finish(*this, broken(ending), nullptr, false);
 }
 
-Ending Upstream::Link::judge(int status) const {
+Ending Upstream::Connection::judge(int status) const {
   if (status == 200) return Ending::kServed;
   const bool away =
       job->probe ? status == 503 : (status == 503 || status == 504) && answer.value("x-not-processed") == "1";
@@ -239,7 +239,7 @@
 }
 
 // The stream is closed by now, so what was written is as it was before.
-Ending Upstream::Link::broken(Ending ending) const {
+Ending Upstream::Connection::broken(Ending ending) const {
   if (ending == Ending::kRefused || ending == Ending::kNoDescriptor) return ending;
   return written() ? Ending::kBroken : Ending::kBrokenUnsent;
 }
--- a/src/node/backend_connection.h
+++ b/src/node/backend_connection.h
@@ -36,13 +36,13 @@
 };
 
 // One connection to a backend, with the job that it carries, if any, and its answer as far as it has come.
-class Upstream::Link : public Stream::Handler, public std::enable_shared_from_this<Link> {
+class Upstream::Connection : public Stream::Handler, public std::enable_shared_from_this<Connection> {
  public:
-  Link(Upstream& owner, BackendId backend, std::string dial,
-       const std::optional<Poco::Net::SocketAddress>& address);
+  Connection(Upstream& owner, BackendId backend, std::string dial,
+             const std::optional<Poco::Net::SocketAddress>& address);
 
   bool idle() const { return stream.open() && job == nullptr && answer_flow == nullptr; }
-  // Whether the backend can have begun what this link carries.
+  // Whether the backend can have begun what this connection carries.
   bool written() const { return asked && stream.flushed() && !sending_body(); }
 
   // Writes it, unless it may not be, or something lies there unread: then the attempt ends as `if_not_quiet`.
@@ -77,9 +77,9 @@
   bool withdrawn = false;  // not to be kept: its backend was withdrawn, and its number may go to another
   Message answer{Parser::Kind::kResponse};
   Millis unused_since = 0;
-  Millis settled_at = 0;                             // till then a second answer to its last attempt may come
-  std::optional<std::list<Link*>::iterator> unused;  // its place among them
-  Millis age = 0;                                    // for how long it had stood unused before this job
+  Millis settled_at = 0;  // till then a second answer to its last attempt may come
+  std::optional<std::list<Connection*>::iterator> unused;  // its place among them
+  Millis age = 0;                                          // for how long it had stood unused before this job
 
  private:
   guard::Verdict may_write(Millis now) const;
--- a/src/node/client.cpp
+++ b/src/node/client.cpp
@@ -18,12 +18,12 @@
 void Client::take_input() {
   if (state == State::kClosing) {
     const std::size_t size = std::exchange(stream.input(), {}).size();
-    if (!lingering.drop(size, loop_.now())) host_.forget(*this, Ending::kDone);
+    if (!lingering_close.drop(size, loop_.now())) host_.forget(*this, Ending::kDone);
     return;
   }
   input_at = loop_.now() - stream.waited();
   if (state == State::kReading) return read();
-  if (uploading()) return take_upload();
+  if (forwarding_request_body()) return take_request_body();
   if (stream.input().size() > kMostAhead) stream.want_input(false);
 }
 
@@ -41,7 +41,7 @@
       const std::array<std::string_view, 1> pieces = {"HTTP/1.1 100 Continue\r\n\r\n"};
       stream.send(pieces);
     }
-    if (parsed == Parser::State::kBody && message->parser.large()) begin_upload();
+    if (parsed == Parser::State::kBody && message->parser.large()) begin_request_body();
     return;
   }
   if (left_while_unread()) return;
@@ -82,7 +82,7 @@
 
 // ---- a request's body that comes by parts ----
 
-void Client::begin_upload() {
+void Client::begin_request_body() {
   if (left_while_unread()) return;
   used = true;
   stand_unused(false);
@@ -97,13 +97,13 @@
   keep_alive_ = message->head().keep_alive;
   message->flow = std::make_shared<net::Flow>(flows, message->parser.length());
   message->flow->put(std::move(first));
-  upload = std::make_shared<Upload>(loop_, stream, message->flow);
+  request_body = std::make_shared<RequestBodyForwarder>(loop_, stream, message->flow);
   host_.begin(*this);
 }
 
-void Client::take_upload() {
+void Client::take_request_body() {
   const std::shared_ptr<Client> hold = shared_from_this();
-  const std::shared_ptr<Upload> taking = upload;
+  const std::shared_ptr<RequestBodyForwarder> taking = request_body;
   message->raw += std::exchange(stream.input(), {});
   const Parser::State parsed = message->parser.advance(message->raw);
   if (parsed == Parser::State::kBad) {
@@ -123,23 +123,23 @@
 
 void Client::pass_on(const Message& answer, std::shared_ptr<net::Flow> flow) {
   host_.answered(200);
-  passing = std::make_shared<Passing>(std::move(flow), message->head().minor, last());
-  state = State::kPassing;
-  passing->begin(
+  response_forwarder = std::make_shared<ResponseForwarder>(std::move(flow), message->head().minor, last());
+  state = State::kForwarding;
+  response_forwarder->begin(
       stream, answer, [this] { pump(); }, loop_.now());
   pump();
 }
 
 void Client::pump() {
-  if (state != State::kPassing || !stream.open() || !stream.flushed()) return;
-  const std::shared_ptr<Passing> hold = passing;
+  if (state != State::kForwarding || !stream.open() || !stream.flushed()) return;
+  const std::shared_ptr<ResponseForwarder> hold = response_forwarder;
   switch (hold->pump(stream, loop_.now())) {
-    case Passing::Step::kGoesOn:
+    case ResponseForwarder::Step::kGoesOn:
       return;
-    case Passing::Step::kWhole:
+    case ResponseForwarder::Step::kWhole:
       host_.release(*this, manage::End::kPassed);
       return answered(hold->last());
-    case Passing::Step::kCut:
+    case ResponseForwarder::Step::kCut:
       // The client must see that it is not whole: an end of the connection alone may be one of the body.
       host_.release(*this, manage::End::kBadGateway);
       if (hold->ends_with_connection()) stream.reset_on_close();
@@ -148,13 +148,13 @@
 }
 
 void Client::leave_bodies() {
-  if (upload) {
-    upload->leave();
-    upload.reset();
+  if (request_body) {
+    request_body->leave();
+    request_body.reset();
   }
-  if (passing) {
-    passing->leave();
-    passing.reset();
+  if (response_forwarder) {
+    response_forwarder->leave();
+    response_forwarder.reset();
   }
 }
 
@@ -179,7 +179,7 @@
 // Guards against letting go of a request that has come already behind this one: it was taken, and whoever
 // sent it waits for its answer.
 bool Client::last() const {
-  return !keep_alive_ || uploading() || (host_.ends_with(*this) && stream.quiet());
+  return !keep_alive_ || forwarding_request_body() || (host_.ends_with(*this) && stream.quiet());
 }
 
 void Client::stand_unused(bool unused) {
@@ -211,7 +211,7 @@
 // By halves: with bytes unread, a close would reset the connection and take the answer along.
 void Client::end_sending() {
   state = State::kClosing;
-  lingering.begin(loop_.now(), cut_short);
+  lingering_close.begin(loop_.now(), cut_short);
   stream.want_input(true);
   if (stream.flushed()) stream.close_sending();
 }
@@ -232,14 +232,14 @@
 }
 
 void Client::on_flushed(Stream&) {
-  if (state == State::kPassing) return guarded(&Client::pump);
+  if (state == State::kForwarding) return guarded(&Client::pump);
   if (state == State::kClosing) stream.close_sending();
 }
 
 void Client::on_end(Stream&, Ending ending) {
   const RequestId gone = state == State::kWaiting ? request : 0;
   if (gone != 0) host_.left_unanswered(*this, ending);
-  if (state == State::kWaiting || state == State::kPassing) host_.release(*this, manage::End::kLeft);
+  if (state == State::kWaiting || state == State::kForwarding) host_.release(*this, manage::End::kLeft);
   host_.forget(*this, ending);
   if (gone != 0) host_.gone(gone);
 }
--- a/src/node/client.h
+++ b/src/node/client.h
@@ -20,7 +20,7 @@
 
 class Client : public Stream::Handler, public std::enable_shared_from_this<Client> {
  public:
-  enum class State { kReading, kWaiting, kPassing, kClosing };
+  enum class State { kReading, kWaiting, kForwarding, kClosing };
 
   // Who took it in.
   class Host {
@@ -50,7 +50,7 @@
   bool idle() const { return state == State::kReading && begun_at == 0; }
   // Since when part of a request has lain here; 0: none does.
   Millis partial_since() const { return state == State::kReading ? begun_at : 0; }
-  bool uploading() const { return upload != nullptr && !upload->ended(); }
+  bool forwarding_request_body() const { return request_body != nullptr && !request_body->ended(); }
 
   void answer(const Refusal& words, bool end);
   void answer(int status, const char* words, Millis wait, bool end) {
@@ -80,12 +80,12 @@
   Millis begun_at = 0;  // when the request at hand began to come in; 0 = none has
   Millis input_at = 0;  // when the system took in what was read last
   Millis last_used = 0;
-  bool taken = false;                // the request is in the ledger
-  Millis wait = 0;                   // that its client named
-  std::shared_ptr<Upload> upload;    // its body, where that comes by parts
-  std::shared_ptr<Passing> passing;  // the answer's
-  bool cut_short = false;            // its body comes, or came, by parts: it may be answered in the middle
-  Lingering lingering;               // once it is closing
+  bool taken = false;                                     // the request is in the ledger
+  Millis wait = 0;                                        // that its client named
+  std::shared_ptr<RequestBodyForwarder> request_body;     // its body, where that comes by parts
+  std::shared_ptr<ResponseForwarder> response_forwarder;  // the answer's
+  bool cut_short = false;          // its body comes, or came, by parts: it may be answered in the middle
+  LingeringClose lingering_close;  // once it is closing
 
  private:
   void on_input(Stream&) override { guarded(&Client::take_input); }
@@ -100,8 +100,8 @@
   }
   void take_input();
   void read();
-  void begin_upload();
-  void take_upload();
+  void begin_request_body();
+  void take_request_body();
   void pump();
   bool last() const;
   bool left_while_unread();
--- a/src/node/client_timeouts.cpp
+++ b/src/node/client_timeouts.cpp
@@ -10,33 +10,33 @@
 
 }  // namespace
 
-bool ClientWaits::dispensable(const Client& client, Millis now) const {
+bool ClientTimeouts::dispensable(const Client& client, Millis now) const {
   if (!client.stream.flushed()) return false;
   if (client.state == Client::State::kClosing) return true;
   return client.idle() && (client.used || now - client.last_used >= speak);
 }
 
-bool ClientWaits::stopped(const Client& client, Millis now) const {
-  const Millis resumed = client.upload ? client.upload->resumed_at() : 0;
+bool ClientTimeouts::stopped(const Client& client, Millis now) const {
+  const Millis resumed = client.request_body ? client.request_body->resumed_at() : 0;
   return now - std::max({client.input_at, client.last_used, resumed}) >= request;
 }
 
-bool ClientWaits::slow(const Client& client, Millis now) const {
-  const auto& upload = client.upload;
-  if (upload && upload->holds_back()) return false;
+bool ClientTimeouts::slow(const Client& client, Millis now) const {
+  const auto& request_body = client.request_body;
+  if (request_body && request_body->holds_back()) return false;
   if (stopped(client, now)) return true;
-  const auto come = static_cast<double>(upload ? upload->passed() : client.stream.held());
-  return now - client.begun_at - (upload ? upload->held() : 0) >= request + come / kLeastRate;
+  const auto come = static_cast<double>(request_body ? request_body->passed() : client.stream.held());
+  return now - client.begun_at - (request_body ? request_body->held() : 0) >= request + come / kLeastRate;
 }
 
-bool ClientWaits::overdue(const Client& client, Millis now, manage::DrainState drain, bool roomy) const {
+bool ClientTimeouts::overdue(const Client& client, Millis now, manage::DrainState drain, bool roomy) const {
   switch (client.state) {
     case Client::State::kWaiting:
-      return client.uploading() && slow(client, now);
-    case Client::State::kPassing:
-      return !client.stream.flushed() && now - client.passing->moved_at() >= kStandstill;
+      return client.forwarding_request_body() && slow(client, now);
+    case Client::State::kForwarding:
+      return !client.stream.flushed() && now - client.response_forwarder->moved_at() >= kStandstill;
     case Client::State::kClosing:
-      return client.lingering.over(now);
+      return client.lingering_close.over(now);
     case Client::State::kReading:
       break;
   }
--- a/src/node/client_timeouts.h
+++ b/src/node/client_timeouts.h
@@ -7,7 +7,7 @@
 
 namespace shorelead::node {
 
-struct ClientWaits {
+struct ClientTimeouts {
   // For the first request on a connection, for the head of one that has begun, and for the next bytes of one:
   // who has stopped is owed an error within 3 s. A body has as much longer as it takes at the least rate.
   // Slower clients than those of two seconds for a head are taken for dead.
--- a/src/node/connecting.h
+++ b/src/node/connecting.h
@@ -13,18 +13,18 @@
   explicit Connecting(Upstream& owner) : owner_(owner), wait_(kUntold) {}
 
   void adopt(Millis connect_timeout) { wait_.state(connect_timeout > 0 ? connect_timeout : kUntold); }
-  // A link whose connection was begun just now, or could not be.
-  void start(Link& link);
+  // A connection whose connection was begun just now, or could not be.
+  void start(Connection& connection);
   // One whose time for that, or for another try, has come.
-  void look_after(Link& link);
-  void came_up(const Link& link);
+  void look_after(Connection& connection);
+  void came_up(const Connection& connection);
   // Nothing is known of this backend any more; its number may go to another.
   void forget(BackendId backend);
 
  private:
-  void on_its_way(Link& link);
-  void not_begun(Link& link);
-  void try_again(Link& link);
+  void on_its_way(Connection& connection);
+  void not_begun(Connection& connection);
+  void try_again(Connection& connection);
 
   static constexpr Millis kUntold = 1000;  // where the settings do not tell how long to wait for a connection
 
--- a/src/node/connections.h
+++ b/src/node/connections.h
@@ -18,32 +18,33 @@
   Connections(Loop& loop, Recorder* recorder) : loop_(loop), recorder_(recorder) {}
   void adopt(Millis idle_timeout, Millis settle);
 
-  void add(const std::shared_ptr<Link>& link);
-  std::shared_ptr<Link> take_idle(BackendId backend, const std::string& dial, bool probe);
-  void rest(Link& link, bool settles);  // it stands unused from now on
-  void use(Link& link);                 // and no longer
-  void forget(Link& link, Ending why);
+  void add(const std::shared_ptr<Connection>& connection);
+  std::shared_ptr<Connection> take_idle(BackendId backend, const std::string& dial, bool probe);
+  void rest(Connection& connection, bool settles);  // it stands unused from now on
+  void use(Connection& connection);                 // and no longer
+  void forget(Connection& connection, Ending why);
   // What became of a request on one that had stood unused for `age`.
   void note(Millis age, bool broke) { kept_.note(age, broke, loop_.now()); }
   bool evict_idle();
   Millis unused_since() const;
   void sweep();
 
-  std::vector<std::shared_ptr<Link>> of(const std::vector<BackendId>& backends) const;
-  std::vector<std::shared_ptr<Link>> all() const;
+  std::vector<std::shared_ptr<Connection>> of(const std::vector<BackendId>& backends) const;
+  std::vector<std::shared_ptr<Connection>> all() const;
   std::size_t count() const { return count_; }
   std::size_t idle() const { return unused_.size(); }
 
  private:
-  std::shared_ptr<Link> best_idle(const std::vector<std::shared_ptr<Link>>& pool, bool probe) const;
+  std::shared_ptr<Connection> best_idle(const std::vector<std::shared_ptr<Connection>>& pool,
+                                        bool probe) const;
 
   Loop& loop_;
   Recorder* const recorder_;
   Millis most_idle_ = 0;
   Millis settle_ = 0;
   // No event walks all connections: they are found by backend and by age.
-  std::unordered_map<BackendId, std::vector<std::shared_ptr<Link>>> pools_;
-  std::list<Link*> unused_;  // the longest unused first
+  std::unordered_map<BackendId, std::vector<std::shared_ptr<Connection>>> pools_;
+  std::list<Connection*> unused_;  // the longest unused first
   std::size_t count_ = 0;
   KeptRecord kept_;
 };
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -180,7 +180,7 @@
   listed_ = true;
 }
 
-// Passing over one list would leave the list wrong for good; a new watch brings what is missing.
+// ResponseForwarder over one list would leave the list wrong for good; a new watch brings what is missing.
 void Discovery::refuse(const FieldError& error) {
   spdlog::error("discovery: list refused: {}", error.what());
   end(Ending::kMalformed);
--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -54,13 +54,13 @@
   // From its last byte, which came with what was read last.
   client.wait = wait - std::min(kTransit, kTransitShare * wait);
   info.due = client.input_at + client.wait;
-  info.body_comes = client.uploading();
+  info.body_comes = client.forwarding_request_body();
   client.request = ++last_request_;
   waiting_[client.request] = &client;
   client.class_name = request_route.snapshot->names[static_cast<std::size_t>(request_route.request_class)];
   client.taken = false;
   recorder_->taken(client.request, message.value("x-request-id"), client.input_at, info.due);
-  if (!client.uploading()) take(client);
+  if (!client.forwarding_request_body()) take(client);
   if (giving_up_) return refuse(client.request, {});  // it was sent nowhere
   listener_.request(client.request, info, request_route, client.message);
 }
@@ -98,8 +98,8 @@
   const RequestId gone = client.request;
   if (end == manage::End::kBadGateway) recorder_->handler_threw(gone);
   release(client, end);
-  if (client.upload) client.upload->cut();
-  if (client.state == Client::State::kPassing) {
+  if (client.request_body) client.request_body->cut();
+  if (client.state == Client::State::kForwarding) {
     // It cannot have another answer: it has to see that this one is not whole.
     client.stream.reset_on_close();
     forget(client, Ending::kBroken);
@@ -182,7 +182,7 @@
   const auto open = waiting_;
   for (const auto& [request, client] : open) {
     // What has begun to go on cannot have another answer: its end shows that it is not whole.
-    if (waiting(request) == nullptr || client->state == Client::State::kPassing) continue;
+    if (waiting(request) == nullptr || client->state == Client::State::kForwarding) continue;
     fail(request, 504);
     listener_.gone(request);
   }
@@ -234,7 +234,7 @@
     }
   }
   for (const auto& client : found) {
-    if (client->state == Client::State::kClosing || client->state == Client::State::kPassing) {
+    if (client->state == Client::State::kClosing || client->state == Client::State::kForwarding) {
       release(*client, manage::End::kLeft);
       forget(*client, Ending::kTimeout);
     } else if (client->state == Client::State::kWaiting) {
--- a/src/node/front.h
+++ b/src/node/front.h
@@ -50,7 +50,7 @@
     Recorder* recorder = nullptr;                      // outlives the front; none: nothing is written down
   };
 
-  using Waits = ClientWaits;
+  using Waits = ClientTimeouts;
   using Entry = node::Entry;
 
   // Throws Poco::Exception where the address cannot be had.
--- a/src/node/lingering_close.h
+++ b/src/node/lingering_close.h
@@ -10,7 +10,7 @@
 
 namespace shorelead::node {
 
-class Lingering {
+class LingeringClose {
  public:
   // `cut_short`: answered in the middle of a body, so it may have to send for a while before it reads.
   void begin(Millis now, bool cut_short) {
--- a/src/node/request_body_forwarder.cpp
+++ b/src/node/request_body_forwarder.cpp
@@ -4,7 +4,7 @@
 
 namespace shorelead::node {
 
-Upload::Upload(Loop& loop, Stream& stream, std::shared_ptr<net::Flow> flow)
+RequestBodyForwarder::RequestBodyForwarder(Loop& loop, Stream& stream, std::shared_ptr<net::Flow> flow)
     : loop_(loop), stream_(stream), flow_(std::move(flow)) {
   flow_->set_source({[this] {
                        resumed_at_ = loop_.now();
@@ -15,19 +15,19 @@
 }
 
 // What takes the part may end the request, and this with it; whoever calls holds it.
-void Upload::put(std::string part) {
+void RequestBodyForwarder::put(std::string part) {
   flow_->put(std::move(part));
   if (!flow_->full() || flow_->ended() || left_) return;
   held_at_ = loop_.now();
   stream_.want_input(false);
 }
 
-void Upload::end(std::string last) {
+void RequestBodyForwarder::end(std::string last) {
   flow_->put(std::move(last));
   flow_->end();
 }
 
-void Upload::leave() {
+void RequestBodyForwarder::leave() {
   left_ = true;
   flow_->set_source({});
   flow_->cut();
--- a/src/node/request_body_forwarder.h
+++ b/src/node/request_body_forwarder.h
@@ -11,9 +11,9 @@
 
 namespace shorelead::node {
 
-class Upload {
+class RequestBodyForwarder {
  public:
-  Upload(Loop& loop, Stream& stream, std::shared_ptr<net::Flow> flow);
+  RequestBodyForwarder(Loop& loop, Stream& stream, std::shared_ptr<net::Flow> flow);
 
   void put(std::string part);
   void end(std::string last);
--- a/src/node/response_forwarder.cpp
+++ b/src/node/response_forwarder.cpp
@@ -23,7 +23,8 @@
   stream.send(pieces);
 }
 
-void Passing::begin(Stream& stream, const Message& answer, const std::function<void()>& pump, Millis now) {
+void ResponseForwarder::begin(Stream& stream, const Message& answer, const std::function<void()>& pump,
+                              Millis now) {
   std::vector<std::string_view> pieces = {"HTTP/1.1 200 OK\r\n"};
   pass_fields(answer.head(), answer.raw, pieces);
   std::optional<std::size_t> length;
@@ -36,7 +37,7 @@
   flow_->set_sink({pump, pump});
 }
 
-Passing::Step Passing::pump(Stream& stream, Millis now) {
+ResponseForwarder::Step ResponseForwarder::pump(Stream& stream, Millis now) {
   const std::string part = flow_->take();
   const bool last_part = flow_->ended() && flow_->empty();
   if (!part.empty() || last_part) {
@@ -47,7 +48,7 @@
   return flow_->was_cut() && stream.flushed() ? Step::kCut : Step::kGoesOn;
 }
 
-void Passing::leave() {
+void ResponseForwarder::leave() {
   flow_->clear_sink();
   flow_->leave();
 }
--- a/src/node/response_forwarder.h
+++ b/src/node/response_forwarder.h
@@ -14,12 +14,12 @@
 // One that is there whole, in one write; `headed`: only its head was asked for.
 void pass_whole(Stream& stream, const Message& answer, bool headed, bool last);
 
-class Passing {
+class ResponseForwarder {
  public:
   enum class Step { kGoesOn, kWhole, kCut };
 
   // `minor`: of the client's HTTP/1. Begun where the connection takes nothing after this answer if `last`.
-  Passing(std::shared_ptr<net::Flow> flow, int minor, bool last)
+  ResponseForwarder(std::shared_ptr<net::Flow> flow, int minor, bool last)
       : flow_(std::move(flow)),
         chunked_(!flow_->length() && minor == 1),
         last_(last || (!flow_->length() && !chunked_)) {}
--- a/src/node/streamed_responses.h
+++ b/src/node/streamed_responses.h
@@ -9,19 +9,20 @@
 
 namespace shorelead::node {
 
-class Upstream::LongAnswers {
+class Upstream::StreamedResponses {
  public:
-  LongAnswers(Loop& loop, std::shared_ptr<net::FlowBudget> flows) : loop_(loop), flows_(std::move(flows)) {}
+  StreamedResponses(Loop& loop, std::shared_ptr<net::FlowBudget> flows)
+      : loop_(loop), flows_(std::move(flows)) {}
 
   // The answer that has begun on this connection; false: there is no memory for one more.
-  bool begin(Link& link);
-  void ended(Link& link) { links_.erase(&link); }
+  bool begin(Connection& connection);
+  void ended(Connection& connection) { connections_.erase(&connection); }
   void sweep();
 
  private:
   Loop& loop_;
   const std::shared_ptr<net::FlowBudget> flows_;
-  std::unordered_set<Link*> links_;
+  std::unordered_set<Connection*> connections_;
 };
 
 }  // namespace shorelead::node
--- a/src/node/upstream.h
+++ b/src/node/upstream.h
@@ -84,26 +84,27 @@
 
  private:
   struct Job;
-  class Link;
+  class Connection;
   class Connecting;
   class Connections;
-  class LongAnswers;
+  class StreamedResponses;
 
   void begin(BackendId backend, const std::string& dial, std::unique_ptr<Job> job);
-  bool over_by_now(Link& link);
-  int others_out(const Link& link) const;  // attempts at the same request that were written and are out
-  void watch(Link& link);
-  void limit(Link& link);
-  void pass_on(Link& link);
-  void finish(Link& link, Ending ending, const Message* answer, bool keep);
+  bool over_by_now(Connection& connection);
+  int others_out(
+      const Connection& connection) const;  // attempts at the same request that were written and are out
+  void watch(Connection& connection);
+  void limit(Connection& connection);
+  void pass_on(Connection& connection);
+  void finish(Connection& connection, Ending ending, const Message* answer, bool keep);
   void sweep();
 
   Loop& loop_;
   Listener listener_;
   const std::unique_ptr<Connections> connections_;
   const std::unique_ptr<Connecting> connecting_;
-  const std::unique_ptr<LongAnswers> long_answers_;
-  std::unordered_multimap<RequestId, Link*> working_;  // connections that carry an attempt, by request
+  const std::unique_ptr<StreamedResponses> streamed_responses_;
+  std::unordered_multimap<RequestId, Connection*> working_;  // connections that carry an attempt, by request
   std::size_t probing_ = 0;
   Loop::TimerId sweep_ = 0;
   std::uint64_t last_serial_ = 0;
