--- a/src/manage/calls.h
+++ b/src/manage/calls.h
@@ -1,4 +1,4 @@
-// The words of the operators' door: one line in, one answer out. Pure: bytes in, a call or a cause out. It
+// The words of the admin server: one line in, one answer out. Pure: bytes in, a call or a cause out. It
 // must never do what it reads, and nothing else in the daemon may know these words.
 #pragma once
 
--- a/src/manage/drain.h
+++ b/src/manage/drain.h
@@ -1,6 +1,6 @@
-// How a node lets go of its clients: one machine for the door's call, for SIGTERM and for a successor that
-// took over. Pure: calls with the time in, and what is to be done with a connection out. It must never close
-// anything itself, and never end a request that was taken.
+// How a node lets go of its clients: one machine for the admin server's call, for SIGTERM and for a successor
+// that took over. Pure: calls with the time in, and what is to be done with a connection out. It must never
+// close anything itself, and never end a request that was taken.
 #pragma once
 
 #include "base/millis.h"
--- a/src/manage/metrics.cpp
+++ b/src/manage/metrics.cpp
@@ -4,26 +4,26 @@
 
 namespace shorelead::manage {
 
-void Ledger::ended(const std::string& name, End end) {
+void RequestCounters::ended(const std::string& name, RequestEnd end) {
   Counts& counts = classes_[name];
   --counts.in_progress;
   switch (end) {
-    case End::kPassed:
+    case RequestEnd::kPassed:
       ++counts.passed;
       break;
-    case End::kDropped:
+    case RequestEnd::kDropped:
       ++counts.dropped;
       break;
-    case End::kBadGateway:
+    case RequestEnd::kBadGateway:
       ++counts.bad_gateway;
       break;
-    case End::kLeft:
+    case RequestEnd::kLeft:
       ++counts.left;
       break;
   }
 }
 
-Ledger::Counts Ledger::all() const {
+RequestCounters::Counts RequestCounters::all() const {
   Counts sum;
   for (const auto& [name, counts] : classes_) {
     sum.passed += counts.passed;
@@ -35,7 +35,7 @@
   return sum;
 }
 
-std::string figures_text(const Ledger& ledger, const Gauges& gauges) {
+std::string metrics_text(const RequestCounters& counters, const Gauges& gauges) {
   std::string text;
   const auto line = [&text](const std::string& name, std::uint64_t value, const char* kind) {
     text.append("node.")
@@ -46,7 +46,7 @@
         .append(kind)
         .append("\n");
   };
-  for (const auto& [name, counts] : ledger.classes()) {
+  for (const auto& [name, counts] : counters.classes()) {
     line("handled." + name + ".passed", counts.passed, "c");
     line("handled." + name + ".dropped", counts.dropped, "c");
     line("handled." + name + ".bad_gateway", counts.bad_gateway, "c");
@@ -55,7 +55,7 @@
   line("loads", gauges.loads, "c");
   line("load_errors", gauges.load_errors, "c");
   line("rule_violations", gauges.rule_violations, "c");
-  line("in_progress", ledger.all().in_progress, "g");
+  line("in_progress", counters.all().in_progress, "g");
   line("known_backends", gauges.known_backends, "g");
   line("skipped_backends", gauges.skipped_backends, "g");
   return text;
--- a/src/manage/metrics.h
+++ b/src/manage/metrics.h
@@ -1,5 +1,5 @@
-// The figures that the door shows. Pure: it owns the ledger of requests, where each is in exactly one state
-// at any moment, and the text of the figures. It must never be told of one ending twice, nor count what
+// The metrics that the admin server shows. Pure: it owns the request counters, where each is in exactly one
+// state at any moment, and the text of the metrics. It must never be told of one ending twice, nor count what
 // others count already: gauges are handed in when they are read.
 #pragma once
 
@@ -9,9 +9,9 @@
 
 namespace shorelead::manage {
 
-enum class End { kPassed, kDropped, kBadGateway, kLeft };  // kLeft: its client had gone
+enum class RequestEnd { kPassed, kDropped, kBadGateway, kLeft };  // kLeft: its client had gone
 
-class Ledger {
+class RequestCounters {
  public:
   struct Counts {
     std::uint64_t passed = 0;
@@ -26,7 +26,7 @@
   // A class appears with the configuration that names it, and keeps its counts when one drops it.
   void name_class(const std::string& name) { classes_[name]; }
   void taken(const std::string& name) { ++classes_[name].in_progress; }
-  void ended(const std::string& name, End end);
+  void ended(const std::string& name, RequestEnd end);
 
   const std::map<std::string, Counts>& classes() const { return classes_; }
   Counts all() const;
@@ -44,6 +44,6 @@
   std::uint64_t rule_violations = 0;  // counted by the checker of the rules
 };
 
-std::string figures_text(const Ledger& ledger, const Gauges& gauges);
+std::string metrics_text(const RequestCounters& counters, const Gauges& gauges);
 
 }  // namespace shorelead::manage
--- a/src/node/admin_server.cpp
+++ b/src/node/admin_server.cpp
@@ -23,9 +23,9 @@
 
 // One caller. Not a Stream: whoever has closed its half still gets its answer, and the node's count of
 // descriptors is for clients and backends.
-class Door::Caller : public Watch::Handler {
+class AdminServer::Caller : public Watch::Handler {
  public:
-  Caller(Door& owner, int fd)
+  Caller(AdminServer& owner, int fd)
       : owner(owner), since(owner.loop_.now()), socket(fd), watch(owner.loop_, socket, *this, true, false) {}
 
   void on_readable() override {
@@ -78,7 +78,7 @@
     }
   }
 
-  Door& owner;
+  AdminServer& owner;
   const Millis since;
   net::Descriptor socket;
   Watch watch;
@@ -88,7 +88,7 @@
   std::string output;
 };
 
-Door::Door(Loop& loop, const Poco::Net::SocketAddress& address, Answer answer)
+AdminServer::AdminServer(Loop& loop, const Poco::Net::SocketAddress& address, Answer answer)
     : loop_(loop), answer_(std::move(answer)) {
   socket_.bind(address, true, false);
   socket_.listen(kBacklog);
@@ -97,12 +97,12 @@
   sweep();
 }
 
-Door::~Door() {
+AdminServer::~AdminServer() {
   loop_.cancel(sweep_);
   loop_.cancel(resume_);
 }
 
-void Door::on_readable() {
+void AdminServer::on_readable() {
   for (int n = 0; n < kMostAccepts; ++n) {
     const int fd = ::accept4(socket_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
@@ -123,7 +123,7 @@
 }
 
 // Who had its answer goes first, then whoever has held its connection for longest without a whole call.
-void Door::make_room() {
+void AdminServer::make_room() {
   if (callers_.size() < kMostCallers) return;
   const auto done = std::find_if(callers_.begin(), callers_.end(),
                                  [](const auto& one) { return one->answered && one->output.empty(); });
@@ -132,7 +132,7 @@
 }
 
 // Freed once the handler at hand, which may be its own, is done; but its descriptor is free from now on.
-void Door::forget(Caller& caller) {
+void AdminServer::forget(Caller& caller) {
   const auto it = std::find_if(callers_.begin(), callers_.end(),
                                [&caller](const auto& one) { return one.get() == &caller; });
   if (it == callers_.end()) return;
@@ -141,7 +141,7 @@
   callers_.erase(it);
 }
 
-void Door::sweep() {
+void AdminServer::sweep() {
   const Millis now = loop_.now();
   while (!callers_.empty() && now - callers_.front()->since >= kMostHold) {
     ++counters_.silent;
--- a/src/node/admin_server.h
+++ b/src/node/admin_server.h
@@ -1,4 +1,4 @@
-// The operators' door on a socket: callers' connections, one line in, one answer out. It owns them and their
+// The admin server on a socket: callers' connections, one line in, one answer out. It owns them and their
 // bounds. It must never know what a call means, hold more than a few callers, let one that says nothing keep
 // out one that does, or touch the descriptors that clients and backends share: it has a reserve of its own.
 #pragma once
@@ -17,7 +17,7 @@
 
 namespace shorelead::node {
 
-class Door : public Watch::Handler {
+class AdminServer : public Watch::Handler {
  public:
   static constexpr std::size_t kMostCallers = 24;
   static constexpr int kDescriptors =
@@ -33,8 +33,8 @@
   using Answer = std::function<std::string(const manage::Call&)>;
 
   // Throws Poco::Exception where the address cannot be listened on.
-  Door(Loop& loop, const Poco::Net::SocketAddress& address, Answer answer);
-  ~Door() override;
+  AdminServer(Loop& loop, const Poco::Net::SocketAddress& address, Answer answer);
+  ~AdminServer() override;
 
   unsigned short port() const { return socket_.address().port(); }
   const Counters& counters() const { return counters_; }
--- a/src/node/client.cpp
+++ b/src/node/client.cpp
@@ -107,7 +107,8 @@
   message->raw += std::exchange(stream.input(), {});
   const Parser::State parsed = message->parser.advance(message->raw);
   if (parsed == Parser::State::kBad) {
-    return host_.break_off(*this, message->parser.refusal(), message->parser.cause(), manage::End::kLeft);
+    return host_.break_off(*this, message->parser.refusal(), message->parser.cause(),
+                           manage::RequestEnd::kLeft);
   }
   std::string part = message->parser.take_body(message->raw);
   if (parsed == Parser::State::kDone) {
@@ -137,11 +138,11 @@
     case ResponseForwarder::Step::kGoesOn:
       return;
     case ResponseForwarder::Step::kWhole:
-      host_.release(*this, manage::End::kPassed);
+      host_.release(*this, manage::RequestEnd::kPassed);
       return answered(hold->last());
     case ResponseForwarder::Step::kCut:
       // The client must see that it is not whole: an end of the connection alone may be one of the body.
-      host_.release(*this, manage::End::kBadGateway);
+      host_.release(*this, manage::RequestEnd::kBadGateway);
       if (hold->ends_with_connection()) stream.reset_on_close();
       host_.forget(*this, Ending::kBroken);
   }
@@ -239,7 +240,8 @@
 void Client::on_end(Stream&, Ending ending) {
   const RequestId gone = state == State::kWaiting ? request : 0;
   if (gone != 0) host_.left_unanswered(*this, ending);
-  if (state == State::kWaiting || state == State::kForwarding) host_.release(*this, manage::End::kLeft);
+  if (state == State::kWaiting || state == State::kForwarding)
+    host_.release(*this, manage::RequestEnd::kLeft);
   host_.forget(*this, ending);
   if (gone != 0) host_.gone(gone);
 }
--- a/src/node/client.h
+++ b/src/node/client.h
@@ -29,11 +29,11 @@
     virtual void begin(Client& client) = 0;  // the request at hand, whole or with its body still to come
     virtual void whole(Client& client) = 0;  // that body has come
     // The request cannot be gone on with: it is answered so, and nothing more of it runs.
-    virtual void break_off(Client& client, int status, const char* cause, manage::End end) = 0;
-    virtual void release(Client& client, manage::End end) = 0;  // the request is over
-    virtual void forget(Client& client, Ending why) = 0;        // the connection is
-    virtual void gone(RequestId request) = 0;                   // nobody waits for its answer any more
-    virtual bool ends_with(const Client& client) const = 0;     // the answer at hand is to be its last
+    virtual void break_off(Client& client, int status, const char* cause, manage::RequestEnd end) = 0;
+    virtual void release(Client& client, manage::RequestEnd end) = 0;  // the request is over
+    virtual void forget(Client& client, Ending why) = 0;               // the connection is
+    virtual void gone(RequestId request) = 0;                          // nobody waits for its answer any more
+    virtual bool ends_with(const Client& client) const = 0;            // the answer at hand is to be its last
     virtual void answered(int status) = 0;
     virtual void left_early() = 0;  // it was gone when its request was read
     virtual void left_unanswered(const Client& client, Ending why) = 0;  // and here while it waited
@@ -80,7 +80,7 @@
   Millis begun_at = 0;  // when the request at hand began to come in; 0 = none has
   Millis input_at = 0;  // when the system took in what was read last
   Millis last_used = 0;
-  bool taken = false;                                     // the request is in the ledger
+  bool taken = false;                                     // the request is in the request counters
   Millis wait = 0;                                        // that its client named
   std::shared_ptr<RequestBodyForwarder> request_body;     // its body, where that comes by parts
   std::shared_ptr<ResponseForwarder> response_forwarder;  // the answer's
@@ -96,7 +96,7 @@
     const std::shared_ptr<Client> hold = shared_from_this();
     node::guarded(
         request, [&] { (this->*step)(); },
-        [&] { host_.break_off(*this, 500, "failed within this node", manage::End::kBadGateway); });
+        [&] { host_.break_off(*this, 500, "failed within this node", manage::RequestEnd::kBadGateway); });
   }
   void take_input();
   void read();
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -126,8 +126,8 @@
   config.name = text_unless(overrides.name, document, "name");
   config.listen = address(text_unless(overrides.listen, document, "listen"), "listen");
   config.discovery = address(text_unless(overrides.discovery, document, "discovery"), "discovery");
-  if (!overrides.door.empty() || fields::find(document, "mgmt") != nullptr)
-    config.door = address(text_unless(overrides.door, document, "mgmt"), "mgmt");
+  if (!overrides.admin.empty() || fields::find(document, "mgmt") != nullptr)
+    config.admin = address(text_unless(overrides.admin, document, "mgmt"), "mgmt");
   config.seed = parse_seed(fields::text(document, "seed"));
   if (fields::find(document, "limits") != nullptr) {
     config.limits = parse_limits(fields::object(document, "limits"));
@@ -172,7 +172,7 @@
   const auto first = [](const std::string& a, const std::string& b) { return a.empty() ? b : a; };
   return {first(flags.name, variables.name), first(flags.listen, variables.listen),
           again ? flags.discovery : first(flags.discovery, variables.discovery),
-          first(flags.door, variables.door)};
+          first(flags.admin, variables.admin)};
 }
 
 Config load_config(const std::string& path, const Overrides& flags, const Overrides& variables, bool again) {
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -57,7 +57,7 @@
   std::string name;
   Poco::Net::SocketAddress listen;
   Poco::Net::SocketAddress discovery;
-  std::optional<Poco::Net::SocketAddress> door;  // for operators; none: there is no door
+  std::optional<Poco::Net::SocketAddress> admin;  // for operators; none: there is no admin server
   std::uint64_t seed = 0;
   Limits limits;
   Shape shape;
@@ -80,7 +80,7 @@
   std::string name;
   std::string listen;
   std::string discovery;
-  std::string door{};
+  std::string admin{};
 };
 
 // A flag wins over the variable of the same name; a variable tells of the start only, so where the file has
--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -27,7 +27,7 @@
                    recorder_->client_opened(client->stream);
                  },
                  [this] { return listener_.make_room(); }, [this] { return evict_idle(); }}) {
-  for (const std::string& name : readings_.in_force().names) ledger_.name_class(name);
+  for (const std::string& name : readings_.in_force().names) request_counters_.name_class(name);
   sweep();
 }
 
@@ -67,22 +67,22 @@
 
 void Front::go_by(std::shared_ptr<const RoutingSnapshot> snapshot) {
   readings_.go_by(std::move(snapshot), loop_.now());
-  for (const std::string& name : readings_.in_force().names) ledger_.name_class(name);
+  for (const std::string& name : readings_.in_force().names) request_counters_.name_class(name);
 }
 
 // The request at hand has its answer, or nobody waits for it any more.
-void Front::release(Client& client, manage::End end) {
+void Front::release(Client& client, manage::RequestEnd end) {
   if (waiting_.erase(client.request) == 0) return;
   recorder_->ended(client.request, end);
   // One that was never whole and has no answer was none.
-  if (!client.taken && end != manage::End::kLeft) take(client);
-  if (std::exchange(client.taken, false)) ledger_.ended(client.class_name, end);
+  if (!client.taken && end != manage::RequestEnd::kLeft) take(client);
+  if (std::exchange(client.taken, false)) request_counters_.ended(client.class_name, end);
   open_ids_.erase(std::string(client.message->value("x-request-id")));
 }
 
 void Front::take(Client& client) {
   client.taken = true;
-  ledger_.taken(client.class_name);
+  request_counters_.taken(client.class_name);
 }
 
 void Front::whole(Client& client) {
@@ -93,10 +93,10 @@
 
 // The request at hand cannot be gone on with, for its client's sake or this node's: nothing more of it may
 // run.
-void Front::break_off(Client& client, int status, const char* cause, manage::End end) {
+void Front::break_off(Client& client, int status, const char* cause, manage::RequestEnd end) {
   if (!client.stream.open() || client.state == Client::State::kClosing) return;
   const RequestId gone = client.request;
-  if (end == manage::End::kBadGateway) recorder_->handler_threw(gone);
+  if (end == manage::RequestEnd::kBadGateway) recorder_->handler_threw(gone);
   release(client, end);
   if (client.request_body) client.request_body->cut();
   if (client.state == Client::State::kForwarding) {
@@ -117,21 +117,21 @@
   Client* const client = waiting(request);
   if (client == nullptr) return;
   if (flow) return client->pass_on(answer, std::move(flow));
-  release(*client, manage::End::kPassed);
+  release(*client, manage::RequestEnd::kPassed);
   client->pass(answer);
 }
 
 void Front::refuse(RequestId request, const Refusal& words) {
   Client* const client = waiting(request);
   if (client == nullptr) return;
-  release(*client, manage::End::kDropped);
+  release(*client, manage::RequestEnd::kDropped);
   client->answer(words, false);
 }
 
 void Front::fail(RequestId request, int status) {
   Client* const client = waiting(request);
   if (client == nullptr) return;
-  release(*client, manage::End::kBadGateway);
+  release(*client, manage::RequestEnd::kBadGateway);
   client->answer(status, "failed", 0, false);
 }
 
@@ -235,10 +235,10 @@
   }
   for (const auto& client : found) {
     if (client->state == Client::State::kClosing || client->state == Client::State::kForwarding) {
-      release(*client, manage::End::kLeft);
+      release(*client, manage::RequestEnd::kLeft);
       forget(*client, Ending::kTimeout);
     } else if (client->state == Client::State::kWaiting) {
-      break_off(*client, 408, "the body does not come", manage::End::kLeft);
+      break_off(*client, 408, "the body does not come", manage::RequestEnd::kLeft);
     } else if (client->begun_at > 0) {
       client->answer(408, "request did not come whole", 0, true);
     } else if (client->part()) {
--- a/src/node/front.h
+++ b/src/node/front.h
@@ -1,6 +1,7 @@
 // The clients' side: the listening socket, clients' connections, their requests and the answers to them. It
-// owns the words of every answer, the order of requests on a connection and the ledger of how each ended. It
-// must never answer a request twice or, while it stands, not at all; and it must never ask who will serve it.
+// owns the words of every answer, the order of requests on a connection and the request counters of how each
+// ended. It must never answer a request twice or, while it stands, not at all; and it must never ask who will
+// serve it.
 #pragma once
 
 #include <cstdint>
@@ -94,13 +95,13 @@
   const Acceptor& acceptor() const { return acceptor_; }
   std::size_t clients() const { return clients_.size(); }
   const FrontCounters& counters() const { return counters_; }
-  const manage::Ledger& ledger() const { return ledger_; }
+  const manage::RequestCounters& request_counters() const { return request_counters_; }
 
  private:
   void begin(Client& client) override;
   void whole(Client& client) override;
-  void break_off(Client& client, int status, const char* cause, manage::End end) override;
-  void release(Client& client, manage::End end) override;
+  void break_off(Client& client, int status, const char* cause, manage::RequestEnd end) override;
+  void release(Client& client, manage::RequestEnd end) override;
   void forget(Client& client, Ending why) override;
   void gone(RequestId request) override { listener_.gone(request); }
   bool ends_with(const Client& client) const override;
@@ -113,7 +114,7 @@
   void free_again() override;
   const std::shared_ptr<net::FlowBudget>& flows() const override { return listener_.flows; }
 
-  void take(Client& client);  // into the ledger, once its last byte has come
+  void take(Client& client);  // into the request counters, once its last byte has come
   Client* waiting(RequestId request) const {
     const auto it = waiting_.find(request);
     return it == waiting_.end() ? nullptr : it->second;
@@ -133,7 +134,7 @@
   RequestId last_request_ = 0;
   manage::DrainState drain_ = manage::DrainState::kServing;
   bool giving_up_ = false;
-  manage::Ledger ledger_;
+  manage::RequestCounters request_counters_;
   Loop::TimerId sweep_ = 0;
   FrontCounters counters_;
   Acceptor acceptor_;
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -35,7 +35,7 @@
   command.add_option("--listen", options.flags.listen, "address:port for clients (variable NODE_LISTEN)");
   command.add_option("--discovery", options.flags.discovery,
                      "address:port of discovery (variable NODE_DISCOVERY, until the file is reloaded)");
-  command.add_option("--mgmt", options.flags.door, "address:port for operators' calls (variable NODE_MGMT)");
+  command.add_option("--mgmt", options.flags.admin, "address:port for operators' calls (variable NODE_MGMT)");
   command.add_option("--log-level", options.log_level, "debug, info, warning or error")
       ->envname("NODE_LOG_LEVEL")
       ->check(CLI::IsMember({"debug", "info", "warning", "error"}));
--- a/src/node/recorder.cpp
+++ b/src/node/recorder.cpp
@@ -14,15 +14,15 @@
 
 constexpr std::uint64_t kMostDumps = 8;  // of the last events, a process's life long
 
-const char* name_of(manage::End end) {
+const char* name_of(manage::RequestEnd end) {
   switch (end) {
-    case manage::End::kPassed:
+    case manage::RequestEnd::kPassed:
       return "served";
-    case manage::End::kDropped:
+    case manage::RequestEnd::kDropped:
       return "refused";
-    case manage::End::kBadGateway:
+    case manage::RequestEnd::kBadGateway:
       return "failed";
-    case manage::End::kLeft:
+    case manage::RequestEnd::kLeft:
       return "client gone";
   }
   return "unknown";
@@ -83,21 +83,21 @@
   if (written) checker_.over(request, never_ran);
 }
 
-void Recorder::ended(RequestId request, manage::End end) {
+void Recorder::ended(RequestId request, manage::RequestEnd end) {
   switch (end) {
-    case manage::End::kPassed:
+    case manage::RequestEnd::kPassed:
       add(What::kServed, request, 0, 0);
       checker_.answered(request, guard::Answer::kServed);
       break;
-    case manage::End::kDropped:
+    case manage::RequestEnd::kDropped:
       add(What::kRefused, request, 0, 0);
       checker_.answered(request, guard::Answer::kRefused);
       break;
-    case manage::End::kBadGateway:
+    case manage::RequestEnd::kBadGateway:
       add(What::kFailed, request, 0, 0);
       checker_.answered(request, guard::Answer::kFailed);
       break;
-    case manage::End::kLeft:
+    case manage::RequestEnd::kLeft:
       add(What::kClientGone, request, 0, 0);
       checker_.client_left(request, loop_.now());
       break;
--- a/src/node/recorder.h
+++ b/src/node/recorder.h
@@ -33,7 +33,7 @@
                        Millis at);
   // `never_ran`: of one that was written, its outcome proves that.
   void attempt_over(RequestId request, int attempt, Ending ending, bool written, bool never_ran);
-  void ended(RequestId request, manage::End end);  // with its final answer, or without
+  void ended(RequestId request, manage::RequestEnd end);  // with its final answer, or without
   void handler_threw(RequestId request);
 
   // ---- a connection ----
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -102,7 +102,7 @@
   spdlog::flush_on(spdlog::level::info);
   const std::unique_ptr<Loop> loop = tried_again([] { return std::make_unique<Loop>(); });
   Server::Place place;
-  if (config.door) place = take_place(config);
+  if (config.admin) place = take_place(config);
   const auto make_server = [&] { return std::make_unique<Server>(*loop, config, Server::Waits(), place); };
   // What was handed over can be used once.
   const std::unique_ptr<Server> owned = place.inherited ? make_server() : tried_again(make_server);
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -89,9 +89,9 @@
   admissions_.go_by(snapshot(), snapshot());
   for (const auto& pool : generations_.pools()) pool->start();
   hot_restart_.begin();
-  if (config.door) {
-    door_ =
-        std::make_unique<Door>(loop_, *config.door, [this](const manage::Call& told) { return call(told); });
+  if (config.admin) {
+    admin_server_ = std::make_unique<AdminServer>(loop_, *config.admin,
+                                                  [this](const manage::Call& told) { return call(told); });
   }
 }
 
@@ -133,7 +133,7 @@
 
 int Server::most_streams() const {
   const int all = hot_restart_.two_run() ? limits_.sockets / 2 : limits_.sockets;
-  return all - kOwnDescriptors - (config_.door ? Door::kDescriptors : 0);
+  return all - kOwnDescriptors - (config_.admin ? AdminServer::kDescriptors : 0);
 }
 
 std::size_t Server::flow_bytes() const {
@@ -164,7 +164,7 @@
     case manage::CallKind::kReady:
       return ready() ? manage::yes("ready") : manage::no(shutdown_.serving() ? "not ready yet" : "draining");
     case manage::CallKind::kShowStat:
-      return manage::listing(figures());
+      return manage::listing(metrics());
     case manage::CallKind::kDisable:
     case manage::CallKind::kEnable:
       return bans_->change(call);
@@ -178,7 +178,7 @@
   return manage::no("unknown call");
 }
 
-std::string Server::figures() const {
+std::string Server::metrics() const {
   manage::Gauges gauges;
   for (const auto& pool : generations_.pools()) {
     gauges.upstream_tries += pool->written();
@@ -189,7 +189,7 @@
   gauges.loads = reloads_.done();
   gauges.load_errors = reloads_.refused();
   gauges.rule_violations = recorder_.violations();
-  return manage::figures_text(front_->ledger(), gauges);
+  return manage::metrics_text(front_->request_counters(), gauges);
 }
 
 void Server::shut_down() {
@@ -215,7 +215,7 @@
 
 void Server::log_counters() const {
   const FrontCounters& front = front_->counters();
-  const manage::Ledger::Counts all = front_->ledger().all();
+  const manage::RequestCounters::Counts all = front_->request_counters().all();
   spdlog::info(
       "counters: up_s={:.1f} taken={} served={} refused={} failed={} client_gone={} left_early={} "
       "malformed={} reloads={} bad_reloads={} generation={} pools={} stood_in={}",
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -55,9 +55,9 @@
   std::string call(const manage::Call& call);  // an operator's; the answer, whole
   void log_counters() const;
   unsigned short port() const { return front_->port(); }
-  unsigned short door_port() const { return door_ ? door_->port() : 0; }
+  unsigned short admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
   const FrontCounters& counters() const { return front_->counters(); }
-  const manage::Ledger& ledger() const { return front_->ledger(); }
+  const manage::RequestCounters& request_counters() const { return front_->request_counters(); }
   std::uint64_t generation() const { return snapshot().number; }
   std::size_t pools() const { return generations_.pools().size(); }
   const Recorder& recorder() const { return recorder_; }
@@ -72,7 +72,7 @@
   int most_streams() const;
   std::size_t flow_bytes() const;
   std::size_t open_requests() const;
-  std::string figures() const;
+  std::string metrics() const;
 
   Loop& loop_;
   Recorder recorder_;
@@ -90,7 +90,7 @@
   std::unique_ptr<BanList> bans_;
   GracefulShutdown shutdown_;
   HotRestart hot_restart_;
-  std::unique_ptr<Door> door_;  // only where the configuration names one
+  std::unique_ptr<AdminServer> admin_server_;  // only where the configuration names one
   Readiness readiness_;
 };
 
--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The operators' door on sockets: its calls act on a node under way, and holders keep nobody out.
+// The admin server on sockets: its calls act on a node under way, and holders keep nobody out.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,18 +9,18 @@
 namespace shorelead::node {
 namespace {
 
-// A node with a door, two backends and discovery, whose list it gets when the test says so.
-struct Doored {
+// A node with a admin server, two backends and discovery, whose list it gets when the test says so.
+struct NodeWithAdminServer {
   Peer one;
   Peer two;
   Node node;
-  Doored() {
+  NodeWithAdminServer() {
     node.know("s-1", one);
     node.know("s-2", two);
-    node.config.door = Poco::Net::SocketAddress("127.0.0.1", 0);
+    node.config.admin = Poco::Net::SocketAddress("127.0.0.1", 0);
     node.start();
   }
-  Line caller() const { return Line::connect(node.server->door_port()); }
+  Line caller() const { return Line::connect(node.server->admin_port()); }
   std::string call(const std::string& words) const {
     Line line = caller();
     line.write(words);
@@ -28,95 +28,95 @@
   }
 };
 
-std::string figure(const std::string& figures, const std::string& name) {
-  const std::size_t at = figures.find("node." + name + ":");
+std::string metric(const std::string& metrics, const std::string& name) {
+  const std::size_t at = metrics.find("node." + name + ":");
   if (at == std::string::npos) return "";
-  const std::size_t from = figures.find(':', at) + 1;
-  return figures.substr(from, figures.find('|', from) - from);
+  const std::size_t from = metrics.find(':', at) + 1;
+  return metrics.substr(from, metrics.find('|', from) - from);
 }
 
-TEST(Door, AnswersEachCallOnceAndNamesWhatIsWrong) {
-  const Doored doored;
-  EXPECT_EQ(doored.call("disable-server nobody\n").rfind("ERR no backend nobody", 0), 0U);
-  EXPECT_EQ(doored.call("what\n").rfind("ERR unknown call", 0), 0U);
-  EXPECT_EQ(doored.call(std::string(600, 'x') + "\n").rfind("ERR a call of over", 0), 0U);
-  EXPECT_EQ(doored.call("drain\nresume\n"), "OK draining\n");  // a second line is not asked for
-  EXPECT_EQ(doored.call("ready\n"), "ERR draining\n");
-  EXPECT_EQ(doored.call("resume\r\n"), "OK serving\n");
-  const std::string figures = doored.call("show-stat\n");
-  EXPECT_TRUE(figures.ends_with("\nEND\n")) << figures;
-  EXPECT_EQ(figure(figures, "known_backends"), "2");
-  EXPECT_EQ(figure(figures, "handled.unsafe.passed"), "0");
+TEST(AdminServer, AnswersEachCallOnceAndNamesWhatIsWrong) {
+  const NodeWithAdminServer with_admin;
+  EXPECT_EQ(with_admin.call("disable-server nobody\n").rfind("ERR no backend nobody", 0), 0U);
+  EXPECT_EQ(with_admin.call("what\n").rfind("ERR unknown call", 0), 0U);
+  EXPECT_EQ(with_admin.call(std::string(600, 'x') + "\n").rfind("ERR a call of over", 0), 0U);
+  EXPECT_EQ(with_admin.call("drain\nresume\n"), "OK draining\n");  // a second line is not asked for
+  EXPECT_EQ(with_admin.call("ready\n"), "ERR draining\n");
+  EXPECT_EQ(with_admin.call("resume\r\n"), "OK serving\n");
+  const std::string metrics = with_admin.call("show-stat\n");
+  EXPECT_TRUE(metrics.ends_with("\nEND\n")) << metrics;
+  EXPECT_EQ(metric(metrics, "known_backends"), "2");
+  EXPECT_EQ(metric(metrics, "handled.unsafe.passed"), "0");
 }
 
-TEST(Door, ACallerThatClosedItsHalfIsAnswered) {
-  const Doored doored;
-  Line caller = doored.caller();
+TEST(AdminServer, ACallerThatClosedItsHalfIsAnswered) {
+  const NodeWithAdminServer with_admin;
+  Line caller = with_admin.caller();
   caller.write("drain");  // no end of line but the connection's
   caller.close_sending();
   EXPECT_EQ(caller.rest(), "OK draining\n");
 }
 
-TEST(Door, HoldersGiveWayToACall) {
-  const Doored doored;
+TEST(AdminServer, HoldersGiveWayToACall) {
+  const NodeWithAdminServer with_admin;
   std::vector<Line> holders;
-  for (std::size_t n = 0; n < 3 * Door::kMostCallers; ++n) {
-    holders.push_back(doored.caller());
+  for (std::size_t n = 0; n < 3 * AdminServer::kMostCallers; ++n) {
+    holders.push_back(with_admin.caller());
     holders.back().write("dra");
   }
-  EXPECT_EQ(doored.call("drain\n"), "OK draining\n");
+  EXPECT_EQ(with_admin.call("drain\n"), "OK draining\n");
   EXPECT_EQ(holders.front().rest(), "");  // the oldest were cut
 }
 
 // From the OK on nothing new goes there, kept connections included; one call back undoes two, and the figures
 // say so.
-TEST(Door, ABackendOutByHandGetsNothingUntilItIsBack) {
-  Doored doored;
-  EXPECT_EQ(doored.call("disable-server s-2\n"), "OK s-2 is out\n");
-  EXPECT_EQ(doored.call("disable-server s-2\n"), "OK s-2 was out already\n");
-  EXPECT_EQ(figure(doored.call("show-stat\n"), "skipped_backends"), "1");
-  Line client = doored.node.client();
+TEST(AdminServer, ABackendOutByHandGetsNothingUntilItIsBack) {
+  NodeWithAdminServer with_admin;
+  EXPECT_EQ(with_admin.call("disable-server s-2\n"), "OK s-2 is out\n");
+  EXPECT_EQ(with_admin.call("disable-server s-2\n"), "OK s-2 was out already\n");
+  EXPECT_EQ(metric(with_admin.call("show-stat\n"), "skipped_backends"), "1");
+  Line client = with_admin.node.client();
   std::optional<Line> there;
   for (int n = 0; n < 8; ++n) {
     client.write(get("/safe"));
-    if (!there) there = doored.one.accept();  // were s-2 sent to, this would hang
+    if (!there) there = with_admin.one.accept();  // were s-2 sent to, this would hang
     EXPECT_FALSE(there->request().empty());
     there->write(kOk);
     EXPECT_EQ(status_of(client.answer()), "HTTP/1.1 200");
   }
-  EXPECT_EQ(doored.call("enable-server s-2\n"), "OK s-2 is back\n");
-  EXPECT_EQ(doored.call("disable-server s-1\n"), "OK s-1 is out\n");
+  EXPECT_EQ(with_admin.call("enable-server s-2\n"), "OK s-2 is back\n");
+  EXPECT_EQ(with_admin.call("disable-server s-1\n"), "OK s-1 is out\n");
   EXPECT_EQ(there->rest(), "");  // the connection kept there was closed
   client.write(get("/safe"));
-  Line other = doored.two.accept();
+  Line other = with_admin.two.accept();
   EXPECT_FALSE(other.request().empty());
   other.write(kOk);
   EXPECT_EQ(status_of(client.answer()), "HTTP/1.1 200");
-  const std::string figures = doored.call("show-stat\n");
-  EXPECT_EQ(figure(figures, "handled.safe.passed"), "9");
-  EXPECT_EQ(figure(figures, "upstream_tries"), "9");
-  EXPECT_EQ(figure(figures, "in_progress"), "0");
+  const std::string metrics = with_admin.call("show-stat\n");
+  EXPECT_EQ(metric(metrics, "handled.safe.passed"), "9");
+  EXPECT_EQ(metric(metrics, "upstream_tries"), "9");
+  EXPECT_EQ(metric(metrics, "in_progress"), "0");
 }
 
 // While it drains, a kept connection is answered once more and told to close; resumed, it serves as before.
-TEST(Door, ADrainLetsGoAndResumes) {
-  Doored doored;
-  while (doored.call("ready\n") != "OK ready\n")
+TEST(AdminServer, ADrainLetsGoAndResumes) {
+  NodeWithAdminServer with_admin;
+  while (with_admin.call("ready\n") != "OK ready\n")
     std::this_thread::yield();  // lists of earlier will do after a while
-  Line kept = doored.node.client();
+  Line kept = with_admin.node.client();
   kept.write(get("/-/ready", "", ""));
   EXPECT_EQ(status_of(kept.answer()), "HTTP/1.1 200");
-  Line idle = doored.node.client();
+  Line idle = with_admin.node.client();
   idle.write(get("/-/ready", "", ""));
   idle.answer();
-  doored.call("drain\n");
+  with_admin.call("drain\n");
   kept.write(get("/-/ready", "", ""));
   const std::string answer = kept.answer();
   EXPECT_EQ(status_of(answer), "HTTP/1.1 503");
   EXPECT_TRUE(holds(answer, "Connection: close"));
   EXPECT_EQ(idle.rest(), "");  // closed once the time for one more request is over
-  doored.call("resume\n");
-  Line again = doored.node.client();
+  with_admin.call("resume\n");
+  Line again = with_admin.node.client();
   again.write(get("/-/ready", "", ""));
   EXPECT_EQ(status_of(again.answer()), "HTTP/1.1 200");
 }
--- a/tests/bulk_test.cpp
+++ b/tests/bulk_test.cpp
@@ -56,7 +56,7 @@
   EXPECT_FALSE(there.request().empty());
   there.write(kOk);
   EXPECT_TRUE(client.answer().ends_with("body"));
-  EXPECT_EQ(node.server->ledger().all().passed, 2U);
+  EXPECT_EQ(node.server->request_counters().all().passed, 2U);
 }
 
 TEST(Bulk, AnAnswerInChunksGoesOnInChunks) {
@@ -121,8 +121,8 @@
     there.reset();
     const std::string rest = client.rest();
     EXPECT_FALSE(rest.ends_with("0\r\n\r\n")) << framing;
-    while (node.server->ledger().all().in_progress > 0) std::this_thread::yield();
-    EXPECT_EQ(node.server->ledger().all().bad_gateway, 1U);
+    while (node.server->request_counters().all().in_progress > 0) std::this_thread::yield();
+    EXPECT_EQ(node.server->request_counters().all().bad_gateway, 1U);
   }
 }
 
@@ -140,7 +140,7 @@
     };
     put(body.substr(0, 200000));
     Line there = backend.accept();  // before the rest is there
-    EXPECT_EQ(node.server->ledger().all().taken(), 0U);
+    EXPECT_EQ(node.server->request_counters().all().taken(), 0U);
     std::thread writes([&] {
       put(body.substr(200000));
       if (chunked) client.write("0\r\n\r\n");
@@ -185,7 +185,7 @@
   EXPECT_FALSE(there.request().empty());
   there.write(kOk);
   EXPECT_EQ(status_of(client.answer()), "HTTP/1.1 200");
-  EXPECT_EQ(node.server->ledger().all().taken(), 1U);
+  EXPECT_EQ(node.server->request_counters().all().taken(), 1U);
 }
 
 // Refused while its body still comes: the answer gets there, and the body goes nowhere else.
--- a/tests/faults/accept_test.cpp
+++ b/tests/faults/accept_test.cpp
@@ -76,12 +76,12 @@
   EXPECT_LT(acceptor.listening(), 0);
 }
 
-// A caller at the operators' door waits while there is no descriptor: the loop does not spin meanwhile.
+// A caller at the admin server waits while there is no descriptor: the loop does not spin meanwhile.
 TEST(Accept, ACallerWhoCannotBeTakenInDoesNotKeepTheLoopBusy) {
   const faults::StrikeThisThread strike;
   Loop loop;
-  Door door(loop, Poco::Net::SocketAddress("127.0.0.1", 0),
-            [](const manage::Call&) { return std::string(); });
+  AdminServer door(loop, Poco::Net::SocketAddress("127.0.0.1", 0),
+                   [](const manage::Call&) { return std::string(); });
   const Line caller = Line::connect(door.port());
   fail_next(Call::kAccept, EMFILE, 1'000'000);
   loop.after(200, [&loop] { loop.stop(); });
--- a/tests/manage/manage_test.cpp
+++ b/tests/manage/manage_test.cpp
@@ -1,4 +1,4 @@
-// The door's pure parts: calls, bans, the drain's states and the ledger of figures.
+// The admin server's pure parts: calls, bans, the drain's states and the request counters of metrics.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -130,41 +130,41 @@
 }
 
 // Over any lives of requests: each is in exactly one state, and no count ever falls but in_progress.
-RC_GTEST_PROP(Ledger, EachRequestIsInExactlyOneState, ()) {
-  Ledger ledger;
+RC_GTEST_PROP(RequestCounters, EachRequestIsInExactlyOneState, ()) {
+  RequestCounters counters;
   std::vector<std::string> open;
   std::uint64_t taken = 0;
-  std::map<End, std::uint64_t> ended;
+  std::map<RequestEnd, std::uint64_t> ended;
   const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100));
   for (const int step : steps) {
     if (step < 50 || open.empty()) {
       open.push_back(std::string("c") + std::to_string(step % 3));
-      ledger.taken(open.back());
+      counters.taken(open.back());
       ++taken;
     } else {
       const auto which = static_cast<std::size_t>(step) % open.size();
-      const End end = static_cast<End>(step % 4);
-      ledger.ended(open[which], end);
+      const RequestEnd end = static_cast<RequestEnd>(step % 4);
+      counters.ended(open[which], end);
       ++ended[end];
       open.erase(open.begin() + static_cast<std::ptrdiff_t>(which));
     }
-    const Ledger::Counts all = ledger.all();
+    const RequestCounters::Counts all = counters.all();
     RC_ASSERT(all.in_progress == open.size());
     RC_ASSERT(all.taken() == taken);
-    RC_ASSERT(all.passed == ended[End::kPassed]);
-    RC_ASSERT(all.dropped == ended[End::kDropped]);
-    RC_ASSERT(all.bad_gateway == ended[End::kBadGateway]);
+    RC_ASSERT(all.passed == ended[RequestEnd::kPassed]);
+    RC_ASSERT(all.dropped == ended[RequestEnd::kDropped]);
+    RC_ASSERT(all.bad_gateway == ended[RequestEnd::kBadGateway]);
   }
 }
 
 TEST(Figures, HaveTheirForm) {
-  Ledger ledger;
-  ledger.name_class("check");
-  ledger.taken("check");
-  ledger.taken("check");
-  ledger.ended("check", End::kPassed);
+  RequestCounters counters;
+  counters.name_class("check");
+  counters.taken("check");
+  counters.taken("check");
+  counters.ended("check", RequestEnd::kPassed);
   EXPECT_EQ(
-      figures_text(ledger, {7, 5, 1, 2, 3, 4}),
+      metrics_text(counters, {7, 5, 1, 2, 3, 4}),
       "node.handled.check.passed:1|c\nnode.handled.check.dropped:0|c\nnode.handled.check.bad_gateway:0|c\n"
       "node.upstream_tries:7|c\nnode.loads:2|c\nnode.load_errors:3|c\nnode.rule_violations:4|c\nnode.in_"
       "progress:1|g\n"
