--- a/src/node/config_reloader.cpp
+++ b/src/node/config_reloader.cpp
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-void Reloads::reload(const Read& read) {
+void ConfigReloader::reload(const Read& read) {
   loop_.cancel(again_);
   tries_ = 0;
   attempt(read);
 }
 
-void Reloads::attempt(const Read& read) {
+void ConfigReloader::attempt(const Read& read) {
   Config fresh;
   try {
     fresh = read();
@@ -43,7 +43,7 @@
   }
 }
 
-void Reloads::refuse(const char* what, const std::exception& error) {
+void ConfigReloader::refuse(const char* what, const std::exception& error) {
   ++refused_;
   spdlog::error("configuration not {}, the old one stays: {}", what, error.what());
 }
--- a/src/node/config_reloader.h
+++ b/src/node/config_reloader.h
@@ -11,7 +11,7 @@
 
 namespace shorelead::node {
 
-class Reloads {
+class ConfigReloader {
  public:
   using Read = std::function<Config()>;
   struct Host {
@@ -19,10 +19,10 @@
     std::function<void(Config)> take_up;  // throws where that cannot be; all is as before then
   };
 
-  Reloads(Loop& loop, Host host) : loop_(loop), host_(std::move(host)) {}
-  ~Reloads() { loop_.cancel(again_); }
-  Reloads(const Reloads&) = delete;
-  Reloads& operator=(const Reloads&) = delete;
+  ConfigReloader(Loop& loop, Host host) : loop_(loop), host_(std::move(host)) {}
+  ~ConfigReloader() { loop_.cancel(again_); }
+  ConfigReloader(const ConfigReloader&) = delete;
+  ConfigReloader& operator=(const ConfigReloader&) = delete;
 
   // What `read` brings counts from now on. Where it throws, or lacks a key, all stays as it was; but a file
   // that cannot be read now is read again for a while, as what it says is owed.
--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -16,7 +16,7 @@
 Front::Front(Loop& loop, const Entry& entry, std::shared_ptr<const RoutingSnapshot> snapshot,
              Listener listener, const Waits& waits)
     : loop_(loop),
-      readings_(std::move(snapshot)),
+      classifier_(std::move(snapshot)),
       listener_(std::move(listener)),
       recorder_(loop, listener_.recorder),
       waits_(waits),
@@ -27,7 +27,7 @@
                    recorder_->client_opened(client->stream);
                  },
                  [this] { return listener_.make_room(); }, [this] { return evict_idle(); }}) {
-  for (const std::string& name : readings_.in_force().names) request_counters_.name_class(name);
+  for (const std::string& name : classifier_.in_force().names) request_counters_.name_class(name);
   sweep();
 }
 
@@ -43,7 +43,7 @@
   RequestInfo info;
   RequestRoute request_route;
   const char* cause = "";
-  const int refusal = readings_.read(message, loop_.now(), info, request_route, cause);
+  const int refusal = classifier_.read(message, loop_.now(), info, request_route, cause);
   if (refusal != 0) return client.answer(refusal, cause, 0, false);
   // Guards against another's request being taken for a repeat of this one, by a backend or by whoever reads
   // its records.
@@ -66,8 +66,8 @@
 }
 
 void Front::go_by(std::shared_ptr<const RoutingSnapshot> snapshot) {
-  readings_.go_by(std::move(snapshot), loop_.now());
-  for (const std::string& name : readings_.in_force().names) request_counters_.name_class(name);
+  classifier_.go_by(std::move(snapshot), loop_.now());
+  for (const std::string& name : classifier_.in_force().names) request_counters_.name_class(name);
 }
 
 // The request at hand has its answer, or nobody waits for it any more.
@@ -222,7 +222,7 @@
 // Guards against clients that hold a connection and ask for nothing, or never for all of it.
 void Front::sweep() {
   sweep_ = loop_.after(waits_.sweep, [this] { sweep(); });
-  readings_.forget_past(loop_.now());
+  classifier_.forget_past(loop_.now());
   const Millis now = loop_.now();
   const bool roomy = clients_.empty() || listener_.roomy();
   std::vector<std::shared_ptr<Client>> found;
--- a/src/node/front.h
+++ b/src/node/front.h
@@ -123,7 +123,7 @@
   void sweep();
 
   Loop& loop_;
-  Readings readings_;
+  RequestClassifier classifier_;
   Listener listener_;
   const RecorderHandle recorder_;
   const Waits waits_;
--- a/src/node/platform_file.cpp
+++ b/src/node/platform_file.cpp
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-void apply_own(std::string_view text, const std::string& file, Config& config) {
+void apply_platform_file(std::string_view text, const std::string& file, Config& config) {
   toml::table document;
   try {
     document = toml::parse(text, file);
@@ -111,13 +111,13 @@
   }
 }
 
-void load_own(const std::string& path, Config& config) {
+void load_platform_file(const std::string& path, Config& config) {
   if (path.empty()) return;
   files::ReadResult file = files::read_whole(path);
   if (file.status == files::ReadStatus::kFailed) throw UnreadableConfig("the file of our own " + file.cause);
   if (file.status == files::ReadStatus::kAbsent || file.text.empty())
     throw FieldError("cannot read the file of our own at \"" + path + "\"");
-  apply_own(std::move(file.text), path, config);
+  apply_platform_file(std::move(file.text), path, config);
 }
 
 }  // namespace shorelead::node
--- a/src/node/platform_file.h
+++ b/src/node/platform_file.h
@@ -12,8 +12,8 @@
 
 // Puts what the text says into the configuration, which was read before: the number of nodes and this node's
 // place among them are the platform's unless the file tells. Throws FieldError; `file` is for its words only.
-void apply_own(std::string_view text, const std::string& file, Config& config);
+void apply_platform_file(std::string_view text, const std::string& file, Config& config);
 // The same from a file; nothing is done where `path` is empty.
-void load_own(const std::string& path, Config& config);
+void load_platform_file(const std::string& path, Config& config);
 
 }  // namespace shorelead::node
--- a/src/node/request_classifier.cpp
+++ b/src/node/request_classifier.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-void Readings::go_by(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now) {
+void RequestClassifier::go_by(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now) {
   Millis window = 0;
   for (const RequestClass& one : snapshot_->classes) {
     if (one.effect == Effect::kKeyed) window = std::max(window, one.dedup_window);
@@ -47,12 +47,12 @@
   snapshot_ = std::move(snapshot);
 }
 
-void Readings::forget_past(Millis now) {
+void RequestClassifier::forget_past(Millis now) {
   std::erase_if(past_, [now](const Past& past) { return past.until <= now; });
 }
 
 // A client's repeat goes where its first try may have gone.
-std::optional<RequestRoute> Readings::request_route_of(const Message& message, Millis now) const {
+std::optional<RequestRoute> RequestClassifier::request_route_of(const Message& message, Millis now) const {
   if (!past_.empty() && message.value("x-retried") == "1" && !message.value("idempotency-key").empty()) {
     for (const Past& past : past_) {
       if (past.until <= now) continue;
@@ -66,8 +66,8 @@
   return request_route_by(message, snapshot_);
 }
 
-int Readings::read(const Message& message, Millis now, RequestInfo& info, RequestRoute& request_route,
-                   const char*& cause) const {
+int RequestClassifier::read(const Message& message, Millis now, RequestInfo& info,
+                            RequestRoute& request_route, const char*& cause) const {
   const Head& head = message.head();
   const std::string_view raw = message.raw;
   std::optional<RequestRoute> found = request_route_of(message, now);
--- a/src/node/request_classifier.h
+++ b/src/node/request_classifier.h
@@ -13,9 +13,10 @@
 
 namespace shorelead::node {
 
-class Readings {
+class RequestClassifier {
  public:
-  explicit Readings(std::shared_ptr<const RoutingSnapshot> snapshot) : snapshot_(std::move(snapshot)) {}
+  explicit RequestClassifier(std::shared_ptr<const RoutingSnapshot> snapshot)
+      : snapshot_(std::move(snapshot)) {}
 
   const RoutingSnapshot& in_force() const { return *snapshot_; }
   void go_by(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now);
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -87,7 +87,7 @@
     return load_shore(options.config, merge(options.flags, variables, again), language::disk());
   }
   Config config = load_config(options.config, options.flags, variables, again);
-  load_own(options.own, config);
+  load_platform_file(options.own, config);
   return config;
 }
 
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -25,8 +25,8 @@
       limits_(config.limits),
       shape_(config.shape),
       waits_(waits),
-      reloads_(loop, {[this]() -> const Shape& { return shape_; },
-                      [this](Config fresh) { take_up(std::move(fresh)); }}),
+      reloader_(loop, {[this]() -> const Shape& { return shape_; },
+                       [this](Config fresh) { take_up(std::move(fresh)); }}),
       admissions_(loop, place.inherited.has_value(),
                   [this](RequestId request) { request_table_.again(request); }),
       generations_(loop, admissions_,
@@ -186,8 +186,8 @@
     gauges.skipped_backends += pool->skipped();
   }
   gauges.upstream_tries += generations_.written_by_ended();
-  gauges.loads = reloads_.done();
-  gauges.load_errors = reloads_.refused();
+  gauges.loads = reloader_.done();
+  gauges.load_errors = reloader_.refused();
   gauges.rule_violations = recorder_.violations();
   return manage::metrics_text(front_->request_counters(), gauges);
 }
@@ -220,7 +220,7 @@
       "counters: up_s={:.1f} taken={} served={} refused={} failed={} client_gone={} left_early={} "
       "malformed={} reloads={} bad_reloads={} generation={} pools={} stood_in={}",
       readiness_.running() / 1000, all.taken(), all.passed, all.dropped, all.bad_gateway, all.left,
-      front.left_early, front.malformed, reloads_.done(), reloads_.refused(), snapshot().number,
+      front.left_early, front.malformed, reloader_.done(), reloader_.refused(), snapshot().number,
       generations_.pools().size(), request_table_.stood_in());
   spdlog::info("counters: answers {}",
                listed(front.by_status, [](int code) { return std::to_string(code); }));
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -51,7 +51,7 @@
   // routes count without a new start, and its pool goes on; of a .shore file, classes, routes and pools:
   // pools that are told as before go on with what they have learnt, new ones are waited for a little, and
   // those no longer named end once nothing is with them.
-  void reload(const Reloads::Read& read) { reloads_.reload(read); }
+  void reload(const ConfigReloader::Read& read) { reloader_.reload(read); }
   std::string call(const manage::Call& call);  // an operator's; the answer, whole
   void log_counters() const;
   unsigned short port() const { return front_->port(); }
@@ -80,7 +80,7 @@
   Limits limits_;
   Shape shape_;  // of the file in force
   const Waits waits_;
-  Reloads reloads_;
+  ConfigReloader reloader_;
   std::shared_ptr<net::FlowBudget> flows_;  // memory for bodies that are not kept whole
   FleetAdmissions admissions_;
   Generations generations_;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -201,14 +201,14 @@
   for (const auto& [text, cause] : cases) {
     Config read = parse_config(config(), {});
     try {
-      apply_own(text, "own.toml", read);
+      apply_platform_file(text, "own.toml", read);
       ADD_FAILURE() << text << " was taken";
     } catch (const FieldError& error) {
       EXPECT_EQ(std::string(error.what()).substr(0, std::string(cause).size()), cause) << text;
     }
   }
   Config read = parse_config(config(), {});
-  EXPECT_THROW(load_own("/nowhere/own.toml", read), FieldError);
+  EXPECT_THROW(load_platform_file("/nowhere/own.toml", read), FieldError);
 }
 
 TEST(OwnFile, ThePlatformsFileHalvesWhoMeetsAtABoxOfAGrownFleet) {
@@ -218,7 +218,7 @@
     std::map<std::string, int> nodes;
     for (int me = 0; me < 100; ++me) {
       Config read = parse_config(config(), {});
-      load_own(SHORELEAD_DEPLOY "/platform.toml", read);
+      load_platform_file(SHORELEAD_DEPLOY "/platform.toml", read);
       ASSERT_TRUE(read.fleet.subset);
       subset::Subset subset(*read.fleet.subset, subset::Place{0, me, 100});
       for (int n = 0; n < boxes; ++n) subset.put({"s-" + std::to_string(n), n % 3, 1, true});
@@ -233,15 +233,15 @@
 
 TEST(OwnFile, TheNodesPlaceIsThePlatformsUnlessItTells) {
   Config read = parse_config(config(), {});
-  apply_own("", "own.toml", read);
+  apply_platform_file("", "own.toml", read);
   EXPECT_FALSE(read.fleet.subset);  // off unless set
-  apply_own("[subset]\nsize = 20", "own.toml", read);
+  apply_platform_file("[subset]\nsize = 20", "own.toml", read);
   ASSERT_TRUE(read.fleet.subset);
   EXPECT_EQ(read.fleet.subset->target, 20);
   EXPECT_EQ(read.fleet.subset->whole_up_to, 40);
   EXPECT_EQ(read.fleet.place.nodes, 2);
   EXPECT_EQ(read.fleet.place.index, 1);
-  apply_own("[subset]\nnodes = 1000\n[probes]\nper_box = 2.5", "own.toml", read);
+  apply_platform_file("[subset]\nnodes = 1000\n[probes]\nper_box = 2.5", "own.toml", read);
   EXPECT_EQ(read.settings.instances, 1000);
   EXPECT_FALSE(read.fleet.place.index);
   EXPECT_EQ(read.settings.most_probes_backend, 2.5);
