--- a/bench/affinity/compare.cpp
+++ b/bench/affinity/compare.cpp
@@ -1,6 +1,6 @@
-// Keys that move when boxes or processes come and go, the fullest box, and keys that two processes send to
-// two boxes while one of them has the older list: slots in the plan (src/affinity) beside modulo and plain
-// weighted rendezvous hashing at each process. Prints a table; draws nothing from the clock.
+// Keys that move when backends or processes come and go, the fullest backend, and keys that two processes
+// send to two backends while one of them has the older list: slots in the plan (src/affinity) beside modulo
+// and plain weighted rendezvous hashing at each process. Prints a table; draws nothing from the clock.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -17,28 +17,29 @@
 using namespace shorelead::affinity;
 
 constexpr int kKeys = 200000;
-using Boxes = std::vector<BoxSeen>;
+using Backends = std::vector<BackendSeen>;
 using Homes = std::vector<std::string>;  // by key; empty: its slot is closed
 
 std::uint64_t key(int n) { return hash_of("customer-" + std::to_string(n)); }
 
-Boxes boxes_of(int from, int to, bool even) {
-  Boxes boxes;
+Backends backends_of(int from, int to, bool even) {
+  Backends backends;
   for (int n = from; n < to; ++n) {
-    boxes.push_back({"box-" + std::to_string(n), "", "", even || n % 2 == 0 ? 1.0 : 2.0, 1, false});
+    backends.push_back({"box-" + std::to_string(n), "", "", even || n % 2 == 0 ? 1.0 : 2.0, 1, false});
   }
-  return boxes;
+  return backends;
 }
 
-Homes modulo(const Boxes& boxes) {
+Homes modulo(const Backends& backends) {
   Homes homes;
-  for (int n = 0; n < kKeys; ++n) homes.push_back(boxes[key(n) % boxes.size()].name);
+  for (int n = 0; n < kKeys; ++n) homes.push_back(backends[key(n) % backends.size()].name);
   return homes;
 }
 
-Homes rendezvous(const Boxes& boxes) {
+Homes rendezvous(const Backends& backends) {
   std::vector<std::pair<Unit, std::uint64_t>> units;
-  for (const BoxSeen& box : boxes) units.push_back({{box.name, box.weight}, hash_of(box.name)});
+  for (const BackendSeen& backend : backends)
+    units.push_back({{backend.name, backend.weight}, hash_of(backend.name)});
   Homes homes;
   for (int n = 0; n < kKeys; ++n) {
     const auto best = std::max_element(units.begin(), units.end(), [n](const auto& a, const auto& b) {
@@ -65,8 +66,8 @@
   int plans = 0;
   std::size_t most_closed = 0;
 
-  void settle(const Boxes& boxes) {
-    shaper.see(boxes);
+  void settle(const Backends& backends) {
+    shaper.see(backends);
     for (plans = 0, most_closed = 0; plans < 1000; ++plans) {
       fleet::Plan next = plan;
       ++next.epoch;
@@ -84,7 +85,7 @@
     Homes homes;
     for (int n = 0; n < kKeys; ++n) {
       const fleet::Slot& slot = all[slot_of(key(n), all.size())];
-      homes.push_back(slot.open ? slot.box : "");
+      homes.push_back(slot.open ? slot.backend : "");
     }
     return homes;
   }
@@ -96,20 +97,21 @@
   return 100.0 * count / kKeys;
 }
 
-// The fullest box's keys over its part by weight.
-double fullest(const Homes& homes, const Boxes& boxes) {
+// The fullest backend's keys over its part by weight.
+double fullest(const Homes& homes, const Backends& backends) {
   std::map<std::string, double> load;
   for (const std::string& home : homes) load[home] += 1;
   double weights = 0;
-  for (const BoxSeen& box : boxes) weights += box.weight;
+  for (const BackendSeen& backend : backends) weights += backend.weight;
   double most = 0;
-  for (const BoxSeen& box : boxes) most = std::max(most, load[box.name] * weights / box.weight / kKeys);
+  for (const BackendSeen& backend : backends)
+    most = std::max(most, load[backend.name] * weights / backend.weight / kKeys);
   return most;
 }
 
-void boxes_come_and_go(bool even) {
-  const Boxes all = boxes_of(0, 50, even);
-  Boxes fewer = all;
+void backends_come_and_go(bool even) {
+  const Backends all = backends_of(0, 50, even);
+  Backends fewer = all;
   fewer.erase(fewer.begin() + 31);
   fewer.erase(fewer.begin() + 7);
   std::printf("\n2 of 50 boxes go, then come back; %s\n", even ? "all alike" : "weights 1 and 2");
@@ -121,7 +123,7 @@
   };
   double had = 0;
   double weights = 0;
-  for (const BoxSeen& box : all) weights += box.weight;
+  for (const BackendSeen& backend : all) weights += backend.weight;
   for (const int n : {7, 31}) had += all[static_cast<std::size_t>(n)].weight;
   const Homes m50 = modulo(all), m48 = modulo(fewer), r50 = rendezvous(all), r48 = rendezvous(fewer);
   row("modulo", m50, m48, m50, moved(m48, m50));
@@ -144,21 +146,21 @@
   std::printf("* keys that a process with the newer list and one with the older send to different boxes\n");
 }
 
-// Where a key's home hangs on the processes: each has an equal part of the boxes, by count.
+// Where a key's home hangs on the processes: each has an equal part of the backends, by count.
 void processes_come_and_go() {
-  const Boxes boxes = boxes_of(0, 50, true);
-  const auto homes = [&boxes](const std::vector<int>& processes,
-                              const std::function<Homes(const Boxes&)>& way) {
-    Boxes names;
+  const Backends backends = backends_of(0, 50, true);
+  const auto homes = [&backends](const std::vector<int>& processes,
+                                 const std::function<Homes(const Backends&)>& way) {
+    Backends names;
     for (const int p : processes) names.push_back({"process-" + std::to_string(p), "", "", 1, 1, false});
     const Homes of = way(names);
     Homes all;
     for (int n = 0; n < kKeys; ++n) {
       std::size_t place = 0;
       while (names[place].name != of[static_cast<std::size_t>(n)]) ++place;
-      const std::size_t from = place * boxes.size() / names.size(),
-                        to = (place + 1) * boxes.size() / names.size();
-      all.push_back(boxes[from + (key(n) >> 8) % (to - from)].name);
+      const std::size_t from = place * backends.size() / names.size(),
+                        to = (place + 1) * backends.size() / names.size();
+      all.push_back(backends[from + (key(n) >> 8) % (to - from)].name);
     }
     return all;
   };
@@ -174,16 +176,16 @@
   };
   row("boxes split over processes, modulo", homes(twelve, modulo), homes(nine, modulo));
   row("boxes split, rendezvous", homes(twelve, rendezvous), homes(nine, rendezvous));
-  row("modulo over all boxes at each", modulo(boxes), modulo(boxes));
-  row("rendezvous over all boxes at each", rendezvous(boxes), rendezvous(boxes));
+  row("modulo over all boxes at each", modulo(backends), modulo(backends));
+  row("rendezvous over all boxes at each", rendezvous(backends), rendezvous(backends));
   Slots ours(1024);
-  ours.settle(boxes);
+  ours.settle(backends);
   const Homes before = ours.homes();
   ours.records.resize(9);
-  ours.settle(boxes);
+  ours.settle(backends);
   const Homes during = ours.homes();
   ours.records.resize(12);
-  ours.settle(boxes);
+  ours.settle(backends);
   std::printf("%-36s %9.2f%% %9.2f%%\n", "1024 slots", moved(before, during), moved(during, ours.homes()));
 }
 
@@ -191,6 +193,6 @@
 
 int main() {
   processes_come_and_go();
-  boxes_come_and_go(true);
-  boxes_come_and_go(false);
+  backends_come_and_go(true);
+  backends_come_and_go(false);
 }
--- a/bench/affinity/look_up.cpp
+++ b/bench/affinity/look_up.cpp
@@ -50,10 +50,10 @@
                   {From::kField, "x-basket", 0}, slots)};
 }
 
-fleet::SlotMap map_of(std::size_t slots, int boxes) {
+fleet::SlotMap map_of(std::size_t slots, int backends) {
   fleet::SlotMap map;
   for (std::size_t n = 0; n < slots; ++n) {
-    map.slots.push_back({std::to_string(n * 7919 % static_cast<std::size_t>(boxes)), true, "", 1});
+    map.slots.push_back({std::to_string(n * 7919 % static_cast<std::size_t>(backends)), true, "", 1});
   }
   return map;
 }
@@ -104,7 +104,7 @@
       static_cast<double>(allocations - before) / static_cast<double>(state.iterations());
 }
 
-// As a node has it: asked with how the box stands, given a place, and over; and what a snapshot costs.
+// As a node has it: asked with how the backend stands, given a place, and over; and what a snapshot costs.
 fleet::Snapshot snapshot_of(const std::vector<Rule>& rules, std::size_t slots) {
   fleet::Snapshot snapshot;
   snapshot.incarnation = 1;
@@ -139,21 +139,22 @@
   for (auto _ : state) bindings.take_up(snapshot, 0);
 }
 
-std::vector<BoxSeen> boxes_of(std::int64_t count) {
-  std::vector<BoxSeen> boxes;
-  for (std::int64_t n = 0; n < count; ++n) boxes.push_back({"box-" + std::to_string(n), "", "", 1, 1, false});
-  return boxes;
+std::vector<BackendSeen> backends_of(std::int64_t count) {
+  std::vector<BackendSeen> backends;
+  for (std::int64_t n = 0; n < count; ++n)
+    backends.push_back({"box-" + std::to_string(n), "", "", 1, 1, false});
+  return backends;
 }
 
-// A planner's round: made anew, in calm, and with one box gone.
+// A planner's round: made anew, in calm, and with one backend gone.
 void planner(benchmark::State& state) {
   const auto slots = static_cast<std::size_t>(state.range(0));
   const std::int64_t kind = state.range(2);
-  std::vector<BoxSeen> boxes = boxes_of(state.range(1));
+  std::vector<BackendSeen> backends = backends_of(state.range(1));
   const std::vector<fleet::Record> records(20);
   const std::vector<Rule> rules = {rules_of(slots)[2]};
   Shaper shaper(rules, {});
-  shaper.see(boxes);
+  shaper.see(backends);
   fleet::Plan plan;
   for (int n = 0; n < 2; ++n) {
     fleet::Plan next = plan;
@@ -161,8 +162,8 @@
     shaper.shape(next, n == 0 ? nullptr : &plan, records, 0);
     plan = next;
   }
-  if (kind == 2) boxes.pop_back();
-  shaper.see(boxes);
+  if (kind == 2) backends.pop_back();
+  shaper.see(backends);
   for (auto _ : state) {
     fleet::Plan next;
     next.epoch = plan.epoch + 1;
--- a/bench/fleet/fleet_bench.cpp
+++ b/bench/fleet/fleet_bench.cpp
@@ -1,7 +1,7 @@
-// One real node before a list of so many boxes: requests a second, processor and memory by the length of the
-// list. The boxes are stand-ins on loopback that answer at once; many entries of the list share a listener,
-// as no process may listen on 20,000 sockets, which the node cannot tell. Clients are a closed loop on kept
-// connections, for so many seconds. Owns the stand-ins and the clients; decides and judges nothing.
+// One real node before a list of so many backends: requests a second, processor and memory by the length of
+// the list. The backends are stand-ins on loopback that answer at once; many entries of the list share a
+// listener, as no process may listen on 20,000 sockets, which the node cannot tell. Clients are a closed loop
+// on kept connections, for so many seconds. Owns the stand-ins and the clients; decides and judges nothing.
 #include <fcntl.h>
 #include <sched.h>
 #include <signal.h>
@@ -38,10 +38,10 @@
   std::atomic<std::uint64_t> requests{0};
 };
 
-// A connection to a box: every head is answered at once.
-class Box : public std::enable_shared_from_this<Box> {
+// A connection to a backend: every head is answered at once.
+class Backend : public std::enable_shared_from_this<Backend> {
  public:
-  Box(tcp::socket socket, Counts& counts, const std::string& still)
+  Backend(tcp::socket socket, Counts& counts, const std::string& still)
       : socket_(std::move(socket)), counts_(counts), still_(still) {
     socket_.set_option(tcp::no_delay(true));
   }
@@ -95,7 +95,7 @@
     acceptor_.async_accept([this](auto error, tcp::socket socket) {
       if (error) return;
       ++counts_.accepted;
-      std::make_shared<Box>(std::move(socket), counts_, still_)->read();
+      std::make_shared<Backend>(std::move(socket), counts_, still_)->read();
       accept();
     });
   }
@@ -143,10 +143,10 @@
   std::string out_;
 };
 
-std::string list_of(int boxes, const std::vector<std::unique_ptr<Listener>>& listeners) {
+std::string list_of(int backends, const std::vector<std::unique_ptr<Listener>>& listeners) {
   std::ostringstream text;
   text << R"({"seq":1,"whole":true,"hosts":[)";
-  for (int i = 0; i < boxes; ++i) {
+  for (int i = 0; i < backends; ++i) {
     text << (i > 0 ? "," : "") << R"({"host":"s-)" << i << R"(","dial":"127.0.0.1:)"
          << listeners[static_cast<std::size_t>(i) % listeners.size()]->port() << R"(","site":")"
          << static_cast<char>('a' + i % 3) << R"(","class":"m","block":)" << i % 5
@@ -260,7 +260,7 @@
 struct Options {
   std::string node;
   std::string own;
-  std::vector<int> boxes{8, 100, 1000, 5000, 20000};
+  std::vector<int> backends{8, 100, 1000, 5000, 20000};
   int clients = 32;
   int sockets = 4096;
   double seconds = 5;
@@ -268,14 +268,14 @@
   std::string still;
 };
 
-void run(const Options& options, int boxes) {
+void run(const Options& options, int backends) {
   asio::io_context context;
   Counts counts;
   std::vector<std::unique_ptr<Listener>> listeners;
-  for (std::size_t i = 0; i < std::min<std::size_t>(kListeners, static_cast<std::size_t>(boxes)); ++i) {
+  for (std::size_t i = 0; i < std::min<std::size_t>(kListeners, static_cast<std::size_t>(backends)); ++i) {
     listeners.push_back(std::make_unique<Listener>(context, counts, options.still));
   }
-  const std::string list = list_of(boxes, listeners);
+  const std::string list = list_of(backends, listeners);
   Registry registry(context, list);
   std::thread stand_ins([&context] {
     pin(1);
@@ -354,7 +354,7 @@
     return times.empty() ? 0 : times[static_cast<std::size_t>(q * static_cast<double>(times.size() - 1))];
   };
   const auto served = static_cast<double>(times.size());
-  std::printf("| %d | %d | %.0f | %.1f | %.2f | %.2f | %llu | %llu | %.0f | %.0f | %.1f | %.1f |\n", boxes,
+  std::printf("| %d | %d | %.0f | %.1f | %.2f | %.2f | %llu | %llu | %.0f | %.0f | %.1f | %.1f |\n", backends,
               options.sockets, served / options.seconds, served > 0 ? cpu * 1e6 / served : 0, quantile(0.5),
               quantile(0.99), static_cast<unsigned long long>(answers.refused),
               static_cast<unsigned long long>(answers.failed), static_cast<double>(opened) / options.seconds,
@@ -373,7 +373,7 @@
                "fleet_bench");
   app.add_option("--node", options.node, "the node's program")->required()->check(CLI::ExistingFile);
   app.add_option("--own", options.own, "its file of our own")->check(CLI::ExistingFile);
-  app.add_option("--boxes", options.boxes, "entries of the list")->check(CLI::Range(1, 100000));
+  app.add_option("--boxes", options.backends, "entries of the list")->check(CLI::Range(1, 100000));
   app.add_option("--clients", options.clients)->check(CLI::Range(1, 2000));
   app.add_option("--sockets", options.sockets, "the node's descriptors")->check(CLI::Range(64, 19000));
   app.add_option("--seconds", options.seconds)->check(CLI::Range(0.5, 120.0));
@@ -390,6 +390,6 @@
       "| "
       "probes/s | MB before load | MB after |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | "
       "--- | --- |\n");
-  for (const int boxes : options.boxes) run(options, boxes);
+  for (const int backends : options.backends) run(options, backends);
   return 0;
 }
--- a/bench/fleet_shares/fleet_shares.cpp
+++ b/bench/fleet_shares/fleet_shares.cpp
@@ -159,9 +159,9 @@
   const auto slots = static_cast<std::size_t>(state.range(1));
   Random random(7);
   for (std::size_t n = 0; n < slots; ++n) {
-    const std::string box =
+    const std::string backend =
         std::string("box-").append(std::to_string(random.below(200))).append(".example.org");
-    plan.affinity["basket"].slots.push_back({box, true, "", 1});
+    plan.affinity["basket"].slots.push_back({backend, true, "", 1});
   }
   std::string cause;
   std::size_t bytes = 0;
--- a/bench/lists/lists.cpp
+++ b/bench/lists/lists.cpp
@@ -1,4 +1,4 @@
-// What it costs a node to read a list, to take it in, and to follow a change of one box, with subsets and
+// What it costs a node to read a list, to take it in, and to follow a change of one backend, with subsets and
 // without. No sockets: the policy host alone.
 #include <benchmark/benchmark.h>
 #include <rapidjson/document.h>
@@ -25,9 +25,9 @@
   return text.str();
 }
 
-std::string whole(int boxes) {
+std::string whole(int backends) {
   std::string text = R"({"seq":1,"whole":true,"hosts":[)";
-  for (int i = 0; i < boxes; ++i) text.append(i > 0 ? "," : "").append(entry(i, "ready"));
+  for (int i = 0; i < backends; ++i) text.append(i > 0 ? "," : "").append(entry(i, "ready"));
   return text + "]}";
 }
 
@@ -87,7 +87,7 @@
   }
 }
 
-// One box that drains and is back by turns.
+// One backend that drains and is back by turns.
 class Flapping {
  public:
   Flapping() {
@@ -109,9 +109,9 @@
   Millis now = 1e12;
   PolicyHost policy_host(settings(), {}, 1, fleet(subsets));
   policy_host.start(read(whole(static_cast<int>(state.range(0)))), now);
-  Flapping box;
+  Flapping backend;
   for (auto _ : state) {
-    benchmark::DoNotOptimize(policy_host.report_list(box.next(), ListSource::kWatch, now));
+    benchmark::DoNotOptimize(policy_host.report_list(backend.next(), ListSource::kWatch, now));
   }
 }
 
@@ -119,10 +119,10 @@
   Millis now = 1e12;
   PolicyHost policy_host(settings(), {}, 1, fleet(true));
   policy_host.start(read(whole(static_cast<int>(state.range(0)))), now);
-  Flapping box;
+  Flapping backend;
   for (auto _ : state) {
     state.PauseTiming();
-    policy_host.report_list(box.next(), ListSource::kWatch, now);
+    policy_host.report_list(backend.next(), ListSource::kWatch, now);
     now += 200;
     state.ResumeTiming();
     policy_host.tick(now);
--- a/bench/membership/membership.cpp
+++ b/bench/membership/membership.cpp
@@ -1,5 +1,5 @@
 // What a registry's list and its changes cost: one page read and taken in (the longest time that the loop is
-// held at a time), the sweep behind the last page, and one change of a watch, by the number of boxes. No
+// held at a time), the sweep behind the last page, and one change of a watch, by the number of backends. No
 // sockets.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -21,24 +21,26 @@
 }
 
 std::string value(std::size_t n, const char* health) {
-  return "{\"dial\":\"10.1." + std::to_string(n / 250) + "." + std::to_string(n % 250) + ":8081\",\"health\":\"" +
-         health + "\",\"site\":\"a\",\"block\":3,\"share\":1.0,\"born_ms\":1790000000000}";
+  return "{\"dial\":\"10.1." + std::to_string(n / 250) + "." + std::to_string(n % 250) +
+         ":8081\",\"health\":\"" + health +
+         "\",\"site\":\"a\",\"block\":3,\"share\":1.0,\"born_ms\":1790000000000}";
 }
 
 std::string page_text(std::size_t from, std::size_t all) {
   std::string items;
   for (std::size_t n = from; n < std::min(from + kPage, all); ++n) {
-    items += std::string(items.empty() ? "" : ",") + "{\"key\":\"" + base64(key(n)) + "\",\"mod_revision\":\"" +
-             std::to_string(n + 2) + "\",\"value\":\"" + base64(value(n, "ready")) + "\"}";
+    items += std::string(items.empty() ? "" : ",") + "{\"key\":\"" + base64(key(n)) +
+             "\",\"mod_revision\":\"" + std::to_string(n + 2) + "\",\"value\":\"" +
+             base64(value(n, "ready")) + "\"}";
   }
   return "{\"header\":{\"cluster_id\":\"7\",\"revision\":\"30000\"},\"kvs\":[" + items + "]" +
          (from + kPage < all ? ",\"more\":true" : "") + ",\"count\":\"" + std::to_string(all) + "\"}";
 }
 
-std::string line_text(std::size_t box, std::uint64_t revision, const char* health) {
+std::string line_text(std::size_t backend, std::uint64_t revision, const char* health) {
   return "{\"result\":{\"header\":{\"cluster_id\":\"7\",\"revision\":\"" + std::to_string(revision) +
-         "\"},\"events\":[{\"kv\":{\"key\":\"" + base64(key(box)) + "\",\"mod_revision\":\"" +
-         std::to_string(revision) + "\",\"value\":\"" + base64(value(box, health)) + "\"}}]}}";
+         "\"},\"events\":[{\"kv\":{\"key\":\"" + base64(key(backend)) + "\",\"mod_revision\":\"" +
+         std::to_string(revision) + "\",\"value\":\"" + base64(value(backend, health)) + "\"}}]}}";
 }
 
 struct Client {
@@ -80,13 +82,13 @@
   Client client;
   for (std::size_t from = 0; from < all; from += kPage) client.page(page_text(from, all));
   std::uint64_t revision = 40000;
-  std::size_t box = 0;
+  std::size_t backend = 0;
   bool ready = false;
   for (auto _ : state) {
     state.PauseTiming();
-    std::string text = line_text(box, ++revision, ready ? "ready" : "draining");
+    std::string text = line_text(backend, ++revision, ready ? "ready" : "draining");
     ready = !ready;
-    if (ready) box = (box + 7919) % all;
+    if (ready) backend = (backend + 7919) % all;
     state.ResumeTiming();
     std::string cause;
     benchmark::DoNotOptimize(client.follower.line(*parse_line(std::move(text), cause), 2000));
--- a/bench/plans/backends.h
+++ b/bench/plans/backends.h
@@ -1,5 +1,5 @@
-// The boxes of a simulated fleet: slots, a bounded queue each, and what is wrong with them when. Owns who is
-// in them; knows no process and no plan.
+// The backends of a simulated fleet: slots, a bounded queue each, and what is wrong with them when. Owns who
+// is in them; knows no process and no plan.
 #pragma once
 
 #include <deque>
@@ -10,9 +10,9 @@
 
 namespace shorelead::plans::sim {
 
-class Boxes {
+class Backends {
  public:
-  explicit Boxes(const Scenario& scenario) : scenario_(scenario), boxes_(count()) {}
+  explicit Backends(const Scenario& scenario) : scenario_(scenario), backends_(count()) {}
 
   // Among those of a zone (-1: any) and of a half of the pools that are not known to be dead, the one with
   // least to do of three drawn; -1: none drawn.
@@ -34,26 +34,27 @@
   }
   // Refuses, or has it: then `starts` says whether it is at work on it at once.
   bool take(int at, int request, Millis now, bool& starts) {
-    Box& box = boxes_[static_cast<std::size_t>(at)];
-    starts = box.busy < scenario_.slots;
-    if (dead(at, now) || (!starts && static_cast<int>(box.waiting.size()) >= scenario_.queue)) return false;
+    Backend& backend = backends_[static_cast<std::size_t>(at)];
+    starts = backend.busy < scenario_.slots;
+    if (dead(at, now) || (!starts && static_cast<int>(backend.waiting.size()) >= scenario_.queue))
+      return false;
     if (starts) {
-      ++box.busy;
+      ++backend.busy;
     } else {
-      box.waiting.push_back(request);
+      backend.waiting.push_back(request);
     }
     return true;
   }
   // One is done. The next that still waits, or -1.
   template <typename Gone>
   int next(int at, Gone gone) {
-    Box& box = boxes_[static_cast<std::size_t>(at)];
-    while (!box.waiting.empty()) {
-      const int request = box.waiting.front();
-      box.waiting.pop_front();
+    Backend& backend = backends_[static_cast<std::size_t>(at)];
+    while (!backend.waiting.empty()) {
+      const int request = backend.waiting.front();
+      backend.waiting.pop_front();
       if (!gone(request)) return request;
     }
-    --box.busy;
+    --backend.busy;
     return -1;
   }
   Millis work(int at, Random& random, Millis now) const {
@@ -74,20 +75,20 @@
   }
 
  private:
-  static constexpr Millis kKnown = 500;  // a dead box is known for one so long after
-  struct Box {
+  static constexpr Millis kKnown = 500;  // a dead backend is known for one so long after
+  struct Backend {
     int busy = 0;
     std::deque<int> waiting;
   };
-  std::size_t count() const { return static_cast<std::size_t>(scenario_.boxes); }
-  bool in_last_pool(int at) const { return at * 4 >= scenario_.boxes * 3; }
+  std::size_t count() const { return static_cast<std::size_t>(scenario_.backends); }
+  bool in_last_pool(int at) const { return at * 4 >= scenario_.backends * 3; }
   int load(int at) const {
-    const Box& box = boxes_[static_cast<std::size_t>(at)];
-    return box.busy + static_cast<int>(box.waiting.size());
+    const Backend& backend = backends_[static_cast<std::size_t>(at)];
+    return backend.busy + static_cast<int>(backend.waiting.size());
   }
 
   const Scenario& scenario_;
-  std::vector<Box> boxes_;
+  std::vector<Backend> backends_;
 };
 
 }  // namespace shorelead::plans::sim
--- a/bench/plans/events.h
+++ b/bench/plans/events.h
@@ -41,7 +41,7 @@
   int tries = 0;
   int process = 0;
   int incarnation = 0;
-  int box = -1;
+  int backend = -1;
   int number = 0;  // of the try: what belongs to an earlier one is over
   bool open = false;
   bool last_pool = false;
--- a/bench/plans/sim.cpp
+++ b/bench/plans/sim.cpp
@@ -18,7 +18,7 @@
       : scenario_(scenario),
         way_(way),
         random_(seed),
-        boxes_(scenario),
+        backends_(scenario),
         control_(scenario, shaper_of(way, order().ranks(), settings, seed), order().ranks()) {
     for (int n = 0; n < scenario.processes; ++n) processes_.emplace_back(n, scenario, way, settings, seed);
   }
@@ -93,7 +93,7 @@
     requests_.push_back(r);
     tally_.came(r);
     attempt(static_cast<int>(requests_.size()) - 1, at);
-    const double rate = scenario_.load(at) * scenario_.boxes * scenario_.slots / scenario_.service;
+    const double rate = scenario_.load(at) * scenario_.backends * scenario_.slots / scenario_.service;
     push(at - std::log(1 - random_.unit()) / rate, Kind::kArrive);
   }
 
@@ -129,18 +129,18 @@
     const int zone = scenario_.own_zone ? r.process % scenario_.zones : -1;
     for (int tries = 0; tries < 2; ++tries) {
       bool starts = false;
-      r.box = boxes_.choose(zone, r.last_pool, random_, now_);
-      if (r.box < 0 || !boxes_.take(r.box, n, now_, starts)) continue;
-      if (starts) push(after(boxes_.work(r.box, random_, now_)), Kind::kDone, n, r.box);
+      r.backend = backends_.choose(zone, r.last_pool, random_, now_);
+      if (r.backend < 0 || !backends_.take(r.backend, n, now_, starts)) continue;
+      if (starts) push(after(backends_.work(r.backend, random_, now_)), Kind::kDone, n, r.backend);
       return;
     }
     missed(n);
   }
 
-  void done(int n, int box) {
+  void done(int n, int backend) {
     Request& r = request(n);
-    const bool lost = boxes_.dead(box, now_) || process(r.process).incarnation != r.incarnation;
-    if (r.open && r.box == box) {
+    const bool lost = backends_.dead(backend, now_) || process(r.process).incarnation != r.incarnation;
+    if (r.open && r.backend == backend) {
       if (lost) {
         missed(n);
       } else {
@@ -148,9 +148,9 @@
       }
     }
     // A try that was given up while it waited is not worked on.
-    const int next =
-        boxes_.next(box, [&](int other) { return !request(other).open || request(other).box != box; });
-    if (next >= 0) push(after(boxes_.work(box, random_, now_)), Kind::kDone, next, box);
+    const int next = backends_.next(
+        backend, [&](int other) { return !request(other).open || request(other).backend != backend; });
+    if (next >= 0) push(after(backends_.work(backend, random_, now_)), Kind::kDone, next, backend);
   }
 
   void answered(int n) {
@@ -209,7 +209,7 @@
   void rooms() {
     push(now_ + 50, Kind::kRoom);
     for (int n = 0; n < scenario_.processes; ++n) {
-      process(n).sees(boxes_.room(scenario_.own_zone ? n % scenario_.zones : -1, now_));
+      process(n).sees(backends_.room(scenario_.own_zone ? n % scenario_.zones : -1, now_));
     }
   }
 
@@ -232,7 +232,7 @@
   const Scenario& scenario_;
   const Way way_;
   Random random_;
-  Boxes boxes_;
+  Backends backends_;
   std::vector<Process> processes_;
   Control control_;
   Events events_;
--- a/bench/plans/sim.h
+++ b/bench/plans/sim.h
@@ -1,6 +1,6 @@
-// A small fleet in simulated time: processes that report each second, a planner that reads late, boxes with
-// queues, clients that repeat. Deterministic by its seed. Owns the model and its counts; decisions are those
-// of src/plans. It must never let a decision see what a real process could not.
+// A small fleet in simulated time: processes that report each second, a planner that reads late, backends
+// with queues, clients that repeat. Deterministic by its seed. Owns the model and its counts; decisions are
+// those of src/plans. It must never let a decision see what a real process could not.
 #pragma once
 
 #include <array>
@@ -33,18 +33,18 @@
 struct Scenario {
   std::string name;
   int processes = 12;
-  int boxes = 24;
-  int slots = 2;          // of a box
-  int zones = 3;          // of processes and boxes, in turn
-  bool own_zone = false;  // a process sends to boxes of its own zone only
+  int backends = 24;
+  int slots = 2;          // of a backend
+  int zones = 3;          // of processes and backends, in turn
+  bool own_zone = false;  // a process sends to backends of its own zone only
   Millis service = 20;    // mean, exponential
-  int queue = 6;          // a box refuses beyond so many waiting
+  int queue = 6;          // a backend refuses beyond so many waiting
   Millis length = 120000;
-  std::function<double(Millis)> load;  // of what all boxes can do
+  std::function<double(Millis)> load;  // of what all backends can do
   std::vector<Span> stalls;            // all stands still
-  Span dead;                           // boxes of the second half
-  Span bad_zone;                       // boxes of zone 0 take 20 times as long
-  Span bad_pool;            // the same of the last quarter of the boxes, which a quarter of requests need
+  Span dead;                           // backends of the second half
+  Span bad_zone;                       // backends of zone 0 take 20 times as long
+  Span bad_pool;            // the same of the last quarter of the backends, which a quarter of requests need
   Span restarts;            // in it every 4 s the next process dies and is back 3 s later
   Span store_away;          // reports and plans get lost
   Span hot;                 // process 0 has a third of all requests, more than it can pass on
--- a/bench/policy/handle.cpp
+++ b/bench/policy/handle.cpp
@@ -1,5 +1,5 @@
-// What Policy::handle() costs by the number of boxes: a request (its arrival and its attempts' ends), a
-// probe's end, and the longest single call, which is how long a loop would be held. Boxes are simulated in
+// What Policy::handle() costs by the number of backends: a request (its arrival and its attempts' ends), a
+// probe's end, and the longest single call, which is how long a loop would be held. Backends are simulated in
 // simulated time: answers come after a fixed time with a load report. Only the time inside handle() counts.
 #include <benchmark/benchmark.h>
 
@@ -17,9 +17,9 @@
 using namespace shorelead;
 
 enum class Day {
-  kCalm,     // every box answers at once
+  kCalm,     // every backend answers at once
   kFailing,  // one answer in ten is an error
-  kCrowded,  // reports tell of more in hand than any box could serve in time
+  kCrowded,  // reports tell of more in hand than any backend could serve in time
 };
 
 constexpr double kRate = 2000;  // requests a second
@@ -27,9 +27,9 @@
 
 class Host {
  public:
-  Host(int boxes, Day day) : day_(day), policy_(settings(), 7), random_(11) {
+  Host(int backends, Day day) : day_(day), policy_(settings(), 7), random_(11) {
     ListUpdate list;
-    for (int i = 0; i < boxes; ++i) {
+    for (int i = 0; i < backends; ++i) {
       BackendEntry entry;
       entry.backend = static_cast<BackendId>(i);
       entry.zone = i % 3;
--- a/fuzz/registry_fuzz.cpp
+++ b/fuzz/registry_fuzz.cpp
@@ -1,6 +1,6 @@
 // What a registry may answer and what a disk may give back, under any bytes: read or refused with a cause;
-// and what was read as a box or a kept list is read the same when it is written again. The first byte chooses
-// the reader. Run by fuzz/run with a fixed number of inputs.
+// and what was read as a backend or a kept list is read the same when it is written again. The first byte
+// chooses the reader. Run by fuzz/run with a fixed number of inputs.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/src/affinity/bindings.cpp
+++ b/src/affinity/bindings.cpp
@@ -44,7 +44,7 @@
     const Seats& seats = seats_[place.found.rule];
     const Seat seat = seats.any() ? seats.at(place.found.key) : Seat{};
     const bool open = place.incarnation == incarnation_ && seat.open && seat.unit == place.unit;
-    // What was called off is over soon, also where its slot is given back to its box.
+    // What was called off is over soon, also where its slot is given back to its backend.
     if (!open && place.closed_at < 0) place.closed_at = now;
     if (open && !place.called_off) place.closed_at = -1;
     closing_ += place.closed_at >= 0;
--- a/src/affinity/bindings.h
+++ b/src/affinity/bindings.h
@@ -6,7 +6,7 @@
 //
 // Pure: requests, the maps in force, how units stand, endings and the time in; where a request may go, who is
 // to be called off and whether closed slots are quiet out. Owns the places of `must` requests. It must never
-// say that a slot is quiet while anything may be under way for it at a box that it is closed for, nor let
+// say that a slot is quiet while anything may be under way for it at a backend that it is closed for, nor let
 // anything new go there; what began under one incarnation never counts as another's.
 #pragma once
 
@@ -35,7 +35,7 @@
     Go go = Go::kFree;
     Why why = Why::kNoKey;
     const std::string* unit = nullptr;  // kOnly, kPrefer: till the next maps
-    To to = To::kBox;
+    To to = To::kBackend;
     int place = -1;  // kOnly: till over(); kWait: till again() says otherwise, or leave()
   };
   struct Counters {
@@ -62,7 +62,7 @@
   bool may_send(int place, bool valid) const;
   void over(int place);
 
-  // Nothing is under way for a slot at a box that it is closed for.
+  // Nothing is under way for a slot at a backend that it is closed for.
   bool quiet() const { return closing_ == 0; }
   // Whether anything is under way or waits.
   bool busy() const { return free_.size() < places_.size(); }
--- a/src/affinity/choice.cpp
+++ b/src/affinity/choice.cpp
@@ -5,8 +5,8 @@
 
 // `prefer` never stands in the way: what the rule cannot have, the module decides.
 Decision preferred(const Ask& ask) {
-  // Whatever the validity: a stale seat is a guess that costs a warm box at worst, never rule 2 to 4, which
-  // the module keeps among all boxes.
+  // Whatever the validity: a stale seat is a guess that costs a warm backend at worst, never rule 2 to 4,
+  // which the module keeps among all backends.
   if (!ask.mapped) return {Go::kFree, -1, Why::kNoMap};
   if (!ask.valid) return {Go::kFree, -1, Why::kNotValid};
   if (ask.repeat_at >= 0 && ask.repeat_at != ask.seat.unit) return {Go::kFree, -1, Why::kRepeat};
@@ -56,7 +56,7 @@
 
 Seats::Seats(const fleet::SlotMap& map, const std::function<int(const std::string&)>& index_of) {
   seats_.reserve(map.slots.size());
-  for (const fleet::Slot& slot : map.slots) seats_.push_back({index_of(slot.box), slot.open});
+  for (const fleet::Slot& slot : map.slots) seats_.push_back({index_of(slot.backend), slot.open});
 }
 
 Decision choose(const Ask& ask) {
--- a/src/affinity/choice.h
+++ b/src/affinity/choice.h
@@ -1,8 +1,8 @@
 // Where one request goes that a rule of affinity took, and when what is under way in a closed slot is over.
-// Pure: the seat of its slot in the snapshot in force, the state of the box there and the time waited in, a
-// decision out. Owns the order of what counts:
+// Pure: the seat of its slot in the snapshot in force, the state of the backend there and the time waited in,
+// a decision out. Owns the order of what counts:
 //
-//   rule 2 (repeats), rule 3 (drains), rule 4 (cold boxes)   before   affinity   before   the module's
+//   rule 2 (repeats), rule 3 (drains), rule 4 (cold backends)   before   affinity   before   the module's
 //   judgement
 //
 // It must never send a request of a `must` rule but to the one unit that is open for its slot in a snapshot
@@ -41,7 +41,7 @@
   std::vector<Seat> seats_;
 };
 
-// The unit of the seat as this process sees it now. Of a cell or zone: kReady where any box of it is.
+// The unit of the seat as this process sees it now. Of a cell or zone: kReady where any backend of it is.
 enum class Standing {
   kReady,
   kFull,      // cold, and takes no more now (rule 4); or its queue is over the bound
@@ -53,7 +53,7 @@
   kOnly,    // to this unit or nowhere
   kPrefer,  // to this unit, unless the module's judgement is against it
   kFree,    // as if there were no rule
-  kWait,    // ask again when a snapshot or the box changes, at the latest once `Rule::wait` is over
+  kWait,    // ask again when a snapshot or the backend changes, at the latest once `Rule::wait` is over
   kRefuse,  // answer at once
 };
 
@@ -65,9 +65,9 @@
   kNotValid,   // the store was away for longer than the lease
   kClosed,     // its slot moves
   kUnknown,    // the plan names a unit that this process does not know yet
-  kDraining,   // its box drains, the plan has not moved it yet
-  kGone,       // its box is gone
-  kFull,       // its box is cold or over the bound
+  kDraining,   // its backend drains, the plan has not moved it yet
+  kGone,       // its backend is gone
+  kFull,       // its backend is cold or over the bound
   kRepeat,     // a repeat that only another unit would drop
   kQueueFull,  // as many wait as may
 };
@@ -113,11 +113,12 @@
 struct UnderWay {
   int count = 0;
   Millis closed_for = 0;  // since the slot closed here
-  bool drains = false;    // its box does
+  bool drains = false;    // its backend does
   bool valid = true;      // the snapshot is; after that another process may open the slot elsewhere
 };
 // The record may say the epoch that closed a slot only once that is quiet. What is called off may have run
-// (rule 2), and a box may go on with it: nothing fences a box. `finish` longer than any request avoids it.
+// (rule 2), and a backend may go on with it: nothing fences a backend. `finish` longer than any request
+// avoids it.
 enum class Closing { kQuiet, kUnderWay, kCallOff };
 Closing closing(const Rule& rule, const UnderWay& under_way);
 
--- a/src/affinity/rule_checks.h
+++ b/src/affinity/rule_checks.h
@@ -27,7 +27,7 @@
   std::vector<std::string> plans;
   std::string no_plan;     // the plan of tenants that stand in none; empty = none
   Millis keeps = 3600000;  // for how long the state of what was lost is kept: the longest hold
-  std::size_t units = 0;   // boxes, cells or zones that may have slots at once, as far as it is known
+  std::size_t units = 0;   // backends, cells or zones that may have slots at once, as far as it is known
 };
 
 struct Problem {
--- a/src/affinity/rules.h
+++ b/src/affinity/rules.h
@@ -1,6 +1,7 @@
-// Rules of affinity: which requests keep to one box, cell or zone, and by what key. Pure: a request's words
-// in, the first rule that takes it and the hash of its key out. Owns the order of rules, the conditions and
-// where a key is read from. It must never allocate while it looks, nor know which box a key has (slots.h).
+// Rules of affinity: which requests keep to one backend, cell or zone, and by what key. Pure: a request's
+// words in, the first rule that takes it and the hash of its key out. Owns the order of rules, the conditions
+// and where a key is read from. It must never allocate while it looks, nor know which backend a key has
+// (slots.h).
 #pragma once
 
 #include <cstdint>
@@ -45,7 +46,7 @@
   bool operator==(const KeySource&) const = default;
 };
 
-enum class To { kBox, kCell, kZone };
+enum class To { kBackend, kCell, kZone };
 enum class OnDrain { kFinish, kMove };
 enum class OnLoss { kMove, kRefuse };
 
@@ -54,18 +55,19 @@
   std::string place;  // file:line
   Condition when;
   KeySource key;
-  To to = To::kBox;
+  To to = To::kBackend;
   bool must = false;  // else `prefer`
-  // An assignment that cannot be used holds this long: keys of a box that is lost (OnLoss::kRefuse) wait for
-  // it so long, then they move.
+  // An assignment that cannot be used holds this long: keys of a backend that is lost (OnLoss::kRefuse) wait
+  // for it so long, then they move.
   Millis hold = 0;
   OnDrain on_drain = OnDrain::kFinish;
-  Millis finish = 30000;  // kFinish: what is under way at the old box may take so long, then it is called off
+  Millis finish =
+      30000;  // kFinish: what is under way at the old backend may take so long, then it is called off
   OnLoss on_loss = OnLoss::kMove;
   double bound = 1.25;       // most slots of one over its part, at least 1
   std::size_t slots = 1024;  // a power of two
   Millis wait = 1000;        // `must`: a request waits at most so long for its slot to open
-  // Set at load: the one pool whose boxes its requests can go to; empty: all that there are.
+  // Set at load: the one pool whose backends its requests can go to; empty: all that there are.
   std::string pool{};
   // Set at load: the longest window for repeats among the classes that the rule takes and whose repeats are
   // dropped only within a cell or zone. A slot that moves stays closed so long, and moves only where it has
--- a/src/affinity/shaper.cpp
+++ b/src/affinity/shaper.cpp
@@ -7,12 +7,12 @@
 namespace shorelead::affinity {
 namespace {
 
-const std::string& unit_name(const BoxSeen& box, To to) {
-  return to == To::kBox ? box.name : to == To::kCell ? box.cell : box.zone;
+const std::string& unit_name(const BackendSeen& backend, To to) {
+  return to == To::kBackend ? backend.name : to == To::kCell ? backend.cell : backend.zone;
 }
 
 // Who has a slot, or gets it.
-const std::string& owner_of(const fleet::Slot& slot) { return slot.open ? slot.box : slot.to; }
+const std::string& owner_of(const fleet::Slot& slot) { return slot.open ? slot.backend : slot.to; }
 
 std::uint64_t hash_of_units(const std::vector<Unit>& units) {
   std::string text;
@@ -36,12 +36,12 @@
 Shaper::Units Shaper::units_of(const Rule& rule) const {
   Units units;
   std::map<std::string, double> weights;
-  for (const BoxSeen& box : boxes_) {
-    const bool its = rule.pool.empty() || box.pool.empty() || rule.pool == box.pool;
-    const std::string& name = unit_name(box, rule.to);
-    if (name.empty() || !its) continue;  // a box without a cell is in none
+  for (const BackendSeen& backend : backends_) {
+    const bool its = rule.pool.empty() || backend.pool.empty() || rule.pool == backend.pool;
+    const std::string& name = unit_name(backend, rule.to);
+    if (name.empty() || !its) continue;  // a backend without a cell is in none
     units.listed.insert(name);
-    if (!box.draining && box.weight > 0) weights[name] += box.weight * warm_step(box.warm);
+    if (!backend.draining && backend.weight > 0) weights[name] += backend.weight * warm_step(backend.warm);
   }
   for (const auto& [name, weight] : weights) {
     units.place[name] = static_cast<int>(units.ready.size());
@@ -96,11 +96,11 @@
     const std::pair key(name, n);
     if (slot.open) {
       quiet_.erase(key);
-      if (to == slot.box) continue;
-      slot = {slot.box, false, to, epoch};
+      if (to == slot.backend) continue;
+      slot = {slot.backend, false, to, epoch};
       ++counters_.closed;
     }
-    if (to == slot.box) {
+    if (to == slot.backend) {
       slot = {to, true, "", epoch};
       quiet_.erase(key);
       ++counters_.returned;
@@ -112,7 +112,7 @@
                      std::all_of(records.begin(), records.end(), [&](const fleet::Record& record) {
                        return acknowledged(record, slot.since, standing_epoch);
                      });
-    if (all && rule.still > 0 && !slot.box.empty()) {
+    if (all && rule.still > 0 && !slot.backend.empty()) {
       const Millis since = quiet_.try_emplace(key, now).first->second;
       if (now - since < rule.still) {
         ++counters_.waiting;
@@ -127,7 +127,7 @@
     quiet_.erase(key);
     ++counters_.opened;
   }
-  if (standing == nullptr || map.slots != standing->slots) map.boxes = hash_of_units(units.ready);
+  if (standing == nullptr || map.slots != standing->slots) map.backends = hash_of_units(units.ready);
   return map;
 }
 
@@ -144,7 +144,7 @@
       if (it != standing->affinity.end()) old = &it->second;
     }
     maps[name] = shaped(rule, old, next.epoch, records, standing_epoch, now);
-    for (const BoxSeen& box : boxes_) known_.emplace(rule.to, unit_name(box, rule.to));
+    for (const BackendSeen& backend : backends_) known_.emplace(rule.to, unit_name(backend, rule.to));
   }
   // Maps of another version of the file, which other processes may still go by.
   if (standing != nullptr) {
@@ -160,8 +160,8 @@
 // What is kept between rounds stays as large as the list and the maps.
 void Shaper::forget(const std::map<std::string, fleet::SlotMap>& maps) {
   std::set<std::pair<To, std::string>> listed;
-  for (const BoxSeen& box : boxes_) {
-    for (const To to : {To::kBox, To::kCell, To::kZone}) listed.emplace(to, unit_name(box, to));
+  for (const BackendSeen& backend : backends_) {
+    for (const To to : {To::kBackend, To::kCell, To::kZone}) listed.emplace(to, unit_name(backend, to));
   }
   std::erase_if(missing_, [this](const auto& one) { return met_.count(one.first) == 0; });
   std::erase_if(known_, [&](const auto& one) { return listed.count(one) == 0 && met_.count(one) == 0; });
@@ -181,7 +181,7 @@
 
 fleet::SlotMap resized(const fleet::SlotMap& map, std::size_t slots, std::uint64_t epoch) {
   fleet::SlotMap out;
-  out.boxes = map.boxes;
+  out.backends = map.backends;
   const std::size_t before = map.slots.size();
   for (std::size_t n = 0; n < slots; ++n) {
     if (slots >= before) {
@@ -192,7 +192,7 @@
     fleet::Slot slot = map.slots[n * each];
     for (std::size_t part = 1; part < each; ++part) {
       const fleet::Slot& other = map.slots[n * each + part];
-      if (other.open && slot.open && other.box == slot.box) continue;
+      if (other.open && slot.open && other.backend == slot.backend) continue;
       slot = {"", false, owner_of(slot), epoch};
       break;
     }
--- a/src/affinity/shaper.h
+++ b/src/affinity/shaper.h
@@ -1,6 +1,7 @@
 // Puts the maps of slots into the plan and moves them, for the process that plans. Pure: the plan that
-// stands, the records, its own list of boxes and the time in, the next plan's maps out. Owns the two phases
-// of a move; it must never have a slot open at one box while any process may still send to another.
+// stands, the records, its own list of backends and the time in, the next plan's maps out. Owns the two
+// phases of a move; it must never have a slot open at one backend while any process may still send to
+// another.
 //
 //   open at A --close--> closed, to B, since epoch e --every record's epoch >= e--> open at B
 //
@@ -10,10 +11,10 @@
 // rule 2). Back to A a closed slot may go at once: nobody had it open elsewhere. A map that is new to the
 // plan begins closed likewise, since an older plan may have had it.
 //
-// What of the boxes' list? The planner's counts, no other process's. A box that this process has seen and
-// that is no longer listed is lost: its slots move at once, or after `Rule::hold` (OnLoss::kRefuse). Of a box
-// that has slots and that this process has never seen, a planner that is new or lags must not say that it is
-// gone: its slots stay for `unknown_for` first, and meanwhile nothing moves for balance.
+// What of the backends' list? The planner's counts, no other process's. A backend that this process has seen
+// and that is no longer listed is lost: its slots move at once, or after `Rule::hold` (OnLoss::kRefuse). Of a
+// backend that has slots and that this process has never seen, a planner that is new or lags must not say
+// that it is gone: its slots stay for `unknown_for` first, and meanwhile nothing moves for balance.
 #pragma once
 
 #include <cstdint>
@@ -31,8 +32,8 @@
 
 namespace shorelead::affinity {
 
-// A box in the planner's list, those that drain too.
-struct BoxSeen {
+// A backend in the planner's list, those that drain too.
+struct BackendSeen {
   std::string name, cell, zone;
   double weight = 1;  // its ALBL share, in any measure; 0 or less: no slots
   double warm = 1;    // share of its capacity that it has now, 0 to 1
@@ -41,7 +42,7 @@
 };
 
 struct ShaperOptions {
-  Millis unknown_for = 30000;   // slots of boxes that this process has never seen stay so long
+  Millis unknown_for = 30000;   // slots of backends that this process has never seen stay so long
   std::size_t most_moves = 64;  // slots of one rule that may be closed for balance at a time
 };
 
@@ -49,7 +50,7 @@
   std::uint64_t closed = 0, opened = 0, returned = 0, held = 0, waiting = 0;
 };
 
-// A cold box has 1/8, 1/4, 1/2 of its weight, whatever is next under what it can do (rule 4: by steps).
+// A cold backend has 1/8, 1/4, 1/2 of its weight, whatever is next under what it can do (rule 4: by steps).
 double warm_step(double warm);
 
 class Shaper : public fleet::PlanShaper {
@@ -58,7 +59,7 @@
       : rules_(std::move(rules)), options_(options) {}
 
   void set(std::vector<Rule> rules) { rules_ = std::move(rules); }  // after a reload
-  void see(std::vector<BoxSeen> boxes) { boxes_ = std::move(boxes); }
+  void see(std::vector<BackendSeen> backends) { backends_ = std::move(backends); }
 
   // `next.epoch` is the one it will be written as. Where nothing is to move, `next.affinity` is the standing
   // plan's. O(rules x slots) in calm.
@@ -77,7 +78,7 @@
 
   std::vector<Rule> rules_;
   ShaperOptions options_;
-  std::vector<BoxSeen> boxes_;
+  std::vector<BackendSeen> backends_;
   std::set<std::pair<To, std::string>> known_;                   // units that this process has seen listed
   std::map<std::pair<To, std::string>, Millis> missing_;         // since when a unit with slots is not listed
   std::set<std::pair<To, std::string>> met_;                     // of those, met in this round
@@ -91,7 +92,7 @@
 bool acknowledged(const fleet::Record& record, std::uint64_t since, std::uint64_t standing_epoch);
 
 // The same map with another number of slots, both powers of two. Doubled, each half has what the whole had;
-// halved, a slot is open only where both halves were, at one box.
+// halved, a slot is open only where both halves were, at one backend.
 fleet::SlotMap resized(const fleet::SlotMap& map, std::size_t slots, std::uint64_t epoch);
 
 }  // namespace shorelead::affinity
--- a/src/affinity/slots.h
+++ b/src/affinity/slots.h
@@ -1,5 +1,6 @@
-// Which unit (box, cell or zone) has which slot. Pure: the assignment that stands and the units with their
-// weights in, the next assignment out; the same at every process and in every run. Owns how few slots move.
+// Which unit (backend, cell or zone) has which slot. Pure: the assignment that stands and the units with
+// their weights in, the next assignment out; the same at every process and in every run. Owns how few slots
+// move.
 //
 // A slot's units are ranked by weighted rendezvous hashing (Thaler and Ravishankar 1998; weights by -w / ln
 // u, as in Schindelhauer and Schomaker 2005) with bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018).
@@ -18,7 +19,7 @@
 //   = 1.25,
 //     move nothing in a map made anew; in another they move each slot once at most.
 // So a map depends on its history. The plan keeps it: it is the same after a restart of all processes. Only
-// a fleet whose store has lost its plan makes one anew, from boxes and weights alone.
+// a fleet whose store has lost its plan makes one anew, from backends and weights alone.
 #pragma once
 
 #include <cstdint>
--- a/src/fleet/cells.h
+++ b/src/fleet/cells.h
@@ -56,7 +56,7 @@
   std::vector<BudgetCells> budgets;  // in the configuration's order
   const std::vector<int> ranks;
   std::vector<RankCells> loads;     // in the order of `ranks`
-  Cell<double> room;                // share of the boxes' capacity that is unused
+  Cell<double> room;                // share of the backends' capacity that is unused
   Cell<std::uint64_t> slots_quiet;  // generation whose closed slots are quiet, or the last before it
   Cell<std::uint64_t> generation;   // of the snapshot in force; announced once all of it is
 };
--- a/src/fleet/division.h
+++ b/src/fleet/division.h
@@ -54,7 +54,7 @@
   // way for the longest `hold` more. A rate, or a count in a window, is spent when it is let through.
   bool at_once_waits = false;
   // Members of the standing plan whose record is gone for less than the longest `hold`, by MemberId::text():
-  // what they had at once may still be in use at the boxes, so that their parts of that kind stand.
+  // what they had at once may still be in use at the backends, so that their parts of that kind stand.
   // With the most that each had since it was last seen: its record's, or the plan's that stood then.
   std::map<std::string, Parts> lately_gone;
 };
--- a/src/fleet/holding.cpp
+++ b/src/fleet/holding.cpp
@@ -65,7 +65,8 @@
     const bool same = given != plan.affinity.end() && given->second.slots.size() == map.slots.size();
     for (std::size_t i = 0; i < map.slots.size(); ++i) {
       Slot& slot = map.slots[i];
-      slot.open = slot.open && same && given->second.slots[i].open && given->second.slots[i].box == slot.box;
+      slot.open =
+          slot.open && same && given->second.slots[i].open && given->second.slots[i].backend == slot.backend;
     }
   }
   if (next.parts != now_.parts || next.affinity != now_.affinity) publish(std::move(next));
--- a/src/fleet/leavers.h
+++ b/src/fleet/leavers.h
@@ -1,5 +1,5 @@
-// Whose record is gone so lately that what it sent may still be under way at the boxes. Pure: what each read
-// of the store shows, with the time in. It must never count a process as out before that time has passed
+// Whose record is gone so lately that what it sent may still be under way at the backends. Pure: what each
+// read of the store shows, with the time in. It must never count a process as out before that time has passed
 // since a read missed it, nor suppose that it saw everybody who was there before its first read.
 #pragma once
 
--- a/src/fleet/plan.h
+++ b/src/fleet/plan.h
@@ -8,8 +8,8 @@
 //
 //   sum over processes of max(what its record says is in force, its share in the plan) <= whole - reserve
 //
-// and for every slot: all boxes open for it in the plan, or in the plan of an epoch that a record says is in
-// force, are one. It is kept by four rules, each of them a comparison in one transaction of the store:
+// and for every slot: all backends open for it in the plan, or in the plan of an epoch that a record says is
+// in force, are one. It is kept by four rules, each of them a comparison in one transaction of the store:
 //   1. A record changes only by a transaction that compares its own modification: who lost it (its lease ran
 //      out, the store forgot its tail) has nothing.
 //   2. A process raises a share, or opens a slot, only once a transaction has written that into its record
@@ -65,12 +65,12 @@
   double taken = 0;    // of these, not turned away for a shortage
   double in_time = 0;  // answered within their aim
   double refused = 0;  // turned away for a shortage
-  double failed = 0;   // taken, and too late, refused by boxes or without an answer
+  double failed = 0;   // taken, and too late, refused by backends or without an answer
 };
 
-// Which box has a slot. A slot that moves is first closed, then opened elsewhere.
+// Which backend has a slot. A slot that moves is first closed, then opened elsewhere.
 struct Slot {
-  std::string box;          // who has it, or had it last
+  std::string backend;      // who has it, or had it last
   bool open = true;         // closed: nobody sends
   std::string to;           // closed: who opens next
   std::uint64_t since = 0;  // epoch of its last change; `to` opens once every record's epoch is as high
@@ -79,8 +79,8 @@
 };
 
 struct SlotMap {
-  std::uint64_t boxes = 0;  // hash of the boxes and weights that it was made for
-  std::vector<Slot> slots;  // a power of two of them, or none
+  std::uint64_t backends = 0;  // hash of the backends and weights that it was made for
+  std::vector<Slot> slots;     // a power of two of them, or none
 
   bool operator==(const SlotMap&) const = default;
 };
@@ -115,7 +115,7 @@
   std::map<std::string, double> demand;  // by budget: wished for, a second, at once or in a window
   std::map<std::string, double> spent;   // by budget, likewise: really spent of late
   std::map<int, RankLoad> ranks;
-  double room = 1;  // share of the boxes' capacity that it sees unused, 0 to 1
+  double room = 1;  // share of the backends' capacity that it sees unused, 0 to 1
 };
 
 std::string text_of(const Plan& plan);
--- a/src/fleet/plan_text.cpp
+++ b/src/fleet/plan_text.cpp
@@ -1,5 +1,5 @@
-// A plan as JSON. Names of budgets and of boxes stand once, in tables; a member's shares are a list in the
-// order of the budgets, a map's slots a list of boxes by index, their epochs in runs of one value.
+// A plan as JSON. Names of budgets and of backends stand once, in tables; a member's shares are a list in the
+// order of the budgets, a map's slots a list of backends by index, their epochs in runs of one value.
 #include <algorithm>
 #include <set>
 
@@ -29,21 +29,21 @@
   return static_cast<unsigned>(std::lower_bound(all.begin(), all.end(), name) - all.begin());
 }
 
-// `open`: everything of a slot that is so says its box; the closed ones stand again, with who opens next.
+// `open`: everything of a slot that is so says its backend; the closed ones stand again, with who opens next.
 void write(Writer& w, const SlotMap& map) {
-  std::set<std::string> boxes;
+  std::set<std::string> backends;
   for (const Slot& s : map.slots) {
-    boxes.insert(s.box);
-    if (!s.open) boxes.insert(s.to);
+    backends.insert(s.backend);
+    if (!s.open) backends.insert(s.to);
   }
-  const Names all(boxes.begin(), boxes.end());
+  const Names all(backends.begin(), backends.end());
   w.StartObject();
   w.Key("boxes");
-  w.Uint64(map.boxes);
+  w.Uint64(map.backends);
   names(w, "names", all);
   w.Key("slots");
   w.StartArray();
-  for (const Slot& s : map.slots) w.Uint(index(all, s.box));
+  for (const Slot& s : map.slots) w.Uint(index(all, s.backend));
   w.EndArray();
   w.Key("closed");  // slot, who opens next, ...
   w.StartArray();
@@ -69,10 +69,10 @@
 SlotMap read_map(Reader& r, const Value& value) {
   SlotMap out;
   const Value& map = r.object(value, "a rule's map");
-  out.boxes = r.count(map, "boxes", json::kAny);
+  out.backends = r.count(map, "boxes", json::kAny);
   Names all;
   for (const Value& v : r.array(r.field(map, "names"), "names").GetArray()) all.push_back(r.text(v, "a box"));
-  const auto box = [&](const Value& v) {
+  const auto backend = [&](const Value& v) {
     const std::uint64_t n = r.whole(v, "a slot's box", kMostSlots);
     if (n >= all.size()) r.fail("a slot's box has no name");
     return r.ok() ? all[n] : "";
@@ -83,14 +83,14 @@
   if ((size & (size - 1)) != 0) r.fail("slots are no power of two");
   for (const Value& v : slots.GetArray()) {
     if (!r.ok()) return {};
-    out.slots.push_back({box(v), true, "", 0});
+    out.slots.push_back({backend(v), true, "", 0});
   }
   const Value& closed = r.array(r.field(map, "closed"), "closed");
   const Value& since = r.array(r.field(map, "since"), "since");
   if (closed.Size() % 2 != 0 || since.Size() % 2 != 0) r.fail("a pair is not whole");
   for (unsigned n = 0; r.ok() && n < closed.Size(); n += 2) {
     const std::uint64_t slot = r.whole(closed[n], "a closed slot", kMostSlots);
-    const std::string to = box(closed[n + 1]);
+    const std::string to = backend(closed[n + 1]);
     if (slot >= size || (r.ok() && !out.slots[slot].open)) r.fail("a closed slot is none, or stands twice");
     if (r.ok()) out.slots[slot].open = false, out.slots[slot].to = to;
   }
--- a/src/fleet/slots.cpp
+++ b/src/fleet/slots.cpp
@@ -23,7 +23,7 @@
     for (std::size_t i = 0; i < map.slots.size(); ++i) {
       Slot& slot = map.slots[i];
       const Slot* was = before != nullptr ? &before->slots[i] : nullptr;
-      if (was != nullptr && slot.open && was->open && slot.box == was->box) {
+      if (was != nullptr && slot.open && was->open && slot.backend == was->backend) {
         slot.since = was->since;
         continue;
       }
@@ -33,8 +33,8 @@
         slot.since = next.epoch;
         continue;
       }
-      if (slot.open) slot.to = slot.box;
-      if (was != nullptr) slot.box = was->box;
+      if (slot.open) slot.to = slot.backend;
+      if (was != nullptr) slot.backend = was->backend;
       slot.open = false;
       slot.since = was != nullptr && !was->open ? was->since : next.epoch;
     }
--- a/src/fleet/spec.h
+++ b/src/fleet/spec.h
@@ -48,7 +48,7 @@
   Millis lease = 5000;      // a process that is not heard of for so long has no share
   Millis plan_every = 500;  // the planner looks so often whether to divide anew
   double drift = 0.01;      // clocks differ by at most this share of any span
-  Millis margin = 50;       // and what is spent reaches a box within this
+  Millis margin = 50;       // and what is spent reaches a backend within this
   Millis longest = 0;       // what was sent for a slot is over after this, whatever becomes of who sent it
 
   bool operator==(const Sharing&) const = default;
--- a/src/language/doubts.cpp
+++ b/src/language/doubts.cpp
@@ -24,23 +24,23 @@
         .also.emplace_back(s.places.at("probing"), "here they are turned off");
   }
   const Section* const part = s.find("subset");
-  const auto boxes = std::count_if(s.inner.begin(), s.inner.end(),
-                                   [](const Section& inner) { return inner.block->name == "box"; });
+  const auto backends = std::count_if(s.inner.begin(), s.inner.end(),
+                                      [](const Section& inner) { return inner.block->name == "box"; });
   const double above =
       part == nullptr ? 0 : part->number("above").value_or(2 * part->number("size").value_or(50));
-  if (part != nullptr && boxes > 0 && static_cast<double>(boxes) <= above) {
+  if (part != nullptr && backends > 0 && static_cast<double>(backends) <= above) {
     problems.warning(part->place, "this subset is never drawn: " + called(s) + " has " +
-                                      std::to_string(boxes) + (boxes == 1 ? " box" : " boxes"));
+                                      std::to_string(backends) + (backends == 1 ? " box" : " boxes"));
   }
   const Section* const node = document.find("node");
   const auto nodes = node == nullptr ? std::nullopt : node->number("nodes");
-  if (probes == nullptr || !nodes || boxes == 0) return;
+  if (probes == nullptr || !nodes || backends == 0) return;
   const auto all = probes->number("per_second");
   const auto each = probes->number("per_box");
-  if (all && each && *each * static_cast<double>(boxes) / *nodes <= *all) {
+  if (all && each && *each * static_cast<double>(backends) / *nodes <= *all) {
     problems
         .warning(probes->places.at("per_second"), "per_second never binds: per_box alone allows " +
-                                                      plain(*each * static_cast<double>(boxes) / *nodes) +
+                                                      plain(*each * static_cast<double>(backends) / *nodes) +
                                                       " rps for each node")
         .also.emplace_back(probes->places.at("per_box"), "here is per_box");
   }
--- a/src/language/fit.h
+++ b/src/language/fit.h
@@ -31,7 +31,7 @@
   std::map<std::string_view, std::vector<std::string>> names_;
 };
 
-// Mistakes: node, classes, routes, fallbacks; of pools and where their boxes come from.
+// Mistakes: node, classes, routes, fallbacks; of pools and where their backends come from.
 void fit_together(const Document& document, const Index& index, const std::set<std::string>& half_told,
                   Problems& problems);
 void fit_pool(const Document& document, const Section& pool, Problems& problems);
--- a/src/language/fit_pool.cpp
+++ b/src/language/fit_pool.cpp
@@ -45,25 +45,26 @@
   }
 }
 
-// Where its boxes come from, and what is told of them.
+// Where its backends come from, and what is told of them.
 void fit_pool(const Document& document, const Section& s, Problems& problems) {
   std::map<std::string, const Section*> dials;
   const Section* first = nullptr;
-  for (const Section& box : s.inner) {
-    if (box.block->name != "box") continue;
-    if (first == nullptr) first = &box;
-    const std::string dial = box.word("dial");
-    const auto [it, fresh] = dials.try_emplace(dial, &box);
+  for (const Section& backend : s.inner) {
+    if (backend.block->name != "box") continue;
+    if (first == nullptr) first = &backend;
+    const std::string dial = backend.word("dial");
+    const auto [it, fresh] = dials.try_emplace(dial, &backend);
     if (!fresh && !dial.empty()) {
-      problems.problem(box.places.at("dial"), "two boxes of " + called(s) + " listen at " + dial)
+      problems.problem(backend.places.at("dial"), "two boxes of " + called(s) + " listen at " + dial)
           .also.emplace_back(it->second->places.at("dial"), "here is the other");
     }
     const auto zones = s.words.find("zones");
-    if (box.places.count("zone") == 0) continue;
-    const std::string zone = box.word("zone");
+    if (backend.places.count("zone") == 0) continue;
+    const std::string zone = backend.word("zone");
     if (zones == s.words.end() ||
         std::find(zones->second.begin(), zones->second.end(), zone) == zones->second.end()) {
-      problems.problem(box.places.at("zone"), "zone is " + zone + ", which " + called(s) + " does not name",
+      problems.problem(backend.places.at("zone"),
+                       "zone is " + zone + ", which " + called(s) + " does not name",
                        "it names its zones as in: zones a b");
     }
   }
--- a/src/language/schema.cpp
+++ b/src/language/schema.cpp
@@ -64,7 +64,7 @@
     {"zones", Type::kWords, 0, 0, false, "", "the zones' names, in an order that all nodes share"},
 };
 
-constexpr Field kBox[] = {
+constexpr Field kBackend[] = {
     {"dial", Type::kAddress, 0, 0, true, "", "where it listens"},
     {"zone", Type::kWord, 0, 0, false, "", "the zone it stands in"},
     {"cell", Type::kCount, 0, 1000000, false, "", "the cell it belongs to; 0 if not told"},
@@ -185,7 +185,7 @@
     {"route", "", true, false, kRoute,
      "which requests are of which class; without any, the first part of the path is the class"},
     {"pool", "", true, false, kPool, "boxes, and what is allowed before them"},
-    {"box", "pool", true, false, kBox, "one box of a pool whose list stands in the file"},
+    {"box", "pool", true, false, kBackend, "one box of a pool whose list stands in the file"},
     {"registry", "pool", false, true, kRegistry, "boxes from a key-value registry (etcd v3's JSON gateway)"},
     {"cold", "pool", false, true, kCold, "the rule on boxes that have just started"},
     {"subset", "pool", false, true, kSubset, "work with a part of a large fleet"},
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -1,4 +1,5 @@
-// One box as a source of boxes names it. Owns no code; it must never hold what only one kind of source knows.
+// One backend as a source of backends names it. Owns no code; it must never hold what only one kind of source
+// knows.
 #pragma once
 
 #include <string>
@@ -15,7 +16,7 @@
   int cell = 0;
   double size = 1;
   Millis born = 0;  // when it last started: by the wall clock as its source labels it, by the loop's clock
-                    // once a BoxSource has handed it on; 0 = long past
+                    // once a BackendSource has handed it on; 0 = long past
 
   bool operator==(const Member&) const = default;
 };
--- a/src/membership/registry/follower.h
+++ b/src/membership/registry/follower.h
@@ -43,7 +43,7 @@
   std::uint64_t behind = 0;     // answers of members that had not got so far
   std::uint64_t epochs = 0;     // other clusters, or histories lost
   std::uint64_t deaf = 0;
-  std::uint64_t unreadable = 0;  // values of boxes; those stay as they were
+  std::uint64_t unreadable = 0;  // values of backends; those stay as they were
   std::uint64_t failures = 0;
 };
 
--- a/src/membership/registry/messages.h
+++ b/src/membership/registry/messages.h
@@ -1,6 +1,6 @@
 // What is said to a key-value registry and what it answers: etcd v3's JSON gateway (range, watch; revisions
 // are decimal strings, keys and values base64, as in its published rpc.proto and the gRPC gateway's JSON
-// mapping), and the entries of boxes in it. Pure. Owns these texts; it must never pass over what it cannot
+// mapping), and the entries of backends in it. Pure. Owns these texts; it must never pass over what it cannot
 // read as if it were not there.
 #pragma once
 
@@ -64,8 +64,8 @@
 // The first key behind all that begin with the prefix; "\0" where there is none (etcd: to the end).
 std::string prefix_end(std::string prefix);
 
-// A box's key is the prefix and its host; its value a JSON object as in discovery's lists: "dial", "health",
-// and, if they are told, "site", "block", "share", "born_ms".
+// A backend's key is the prefix and its host; its value a JSON object as in discovery's lists: "dial",
+// "health", and, if they are told, "site", "block", "share", "born_ms".
 std::optional<Member> parse_member(std::string_view host, std::string value, std::string& cause);
 std::string member_value(const Member& member);
 
--- a/src/membership/saved_list.h
+++ b/src/membership/saved_list.h
@@ -1,6 +1,6 @@
 // The last good list on disk, so that a node can start while its source is away. Owns the file's form:
 //
-//     "shorelead-list 1 " checksum " " bytes " " when "\n" and then `bytes` bytes: one box a line, JSON
+//     "shorelead-list 1 " checksum " " bytes " " when "\n" and then `bytes` bytes: one backend a line, JSON
 //
 // checksum: XXH3 of what follows the first line, 16 hexadecimal digits; when: Unix time in ms. It is written
 // whole beside its place, synced, and renamed; so the file is the old list or the new one. It must never give
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -282,7 +282,7 @@
     return;
   }
   if (is_ready(*member)) {
-    // An address answers for one box at a time: the one born last, or else the one told of last.
+    // An address answers for one backend at a time: the one born last, or else the one told of last.
     const auto holder = by_dial_.find(member->dial);
     if (holder != by_dial_.end() && holder->second != host) {
       const std::string other = holder->second;
@@ -295,7 +295,7 @@
   pass_on(host, *member, now, update);
 }
 
-// Shows it, but a box that keeps coming back is shown draining for a while.
+// Shows it, but a backend that keeps coming back is shown draining for a while.
 void View::pass_on(const std::string& host, const Member& member, Millis now, Update& update) {
   const auto found = shown_.find(host);
   const bool was_ready = found != shown_.end() && is_ready(found->second.member);
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -1,18 +1,18 @@
 // Who is there, as far as sources tell: snapshots and changes with their revisions in, changes of the list
 // out. Pure. Owns the order of revisions, the difference that a gap makes, tombstones, addresses that pass to
-// another, flapping boxes, and the floor against bad answers. It must never let older news overwrite newer,
-// bring a box back that was told draining or gone, believe at once that much of a fleet vanished, or do work
-// that grows with the fleet for one change.
+// another, flapping backends, and the floor against bad answers. It must never let older news overwrite
+// newer, bring a backend back that was told draining or gone, believe at once that much of a fleet vanished,
+// or do work that grows with the fleet for one change.
 //
-// What a source can say of a box, and what is believed:
+// What a source can say of a backend, and what is believed:
 //   draining, gone by its own word   at once, always (rule 3)
 //   ready                            at once, unless it flaps, or an older record of it was told otherwise
 //   vanished (not in a snapshot, deleted or expired without a drain)
 //                                    at once while enough are left; beyond the floor it is held: the source
 //                                    is asked again, and it counts once a snapshot after `hold` still says so
 // A source's history has epochs: one that lost its memory (another cluster, or numbers that fell and stay
-// low) begins a new one. Within an epoch revisions decide; across epochs a box that was told draining or gone
-// comes back only where it was born later or is changed in the new epoch.
+// low) begins a new one. Within an epoch revisions decide; across epochs a backend that was told draining or
+// gone comes back only where it was born later or is changed in the new epoch.
 #pragma once
 
 #include <cstdint>
@@ -36,7 +36,7 @@
   Millis ask_every = 1000;     // and asked for again so often
   Millis stale_after = 30000;  // without a word from any source
   Millis remember = 600000;    // those gone
-  int flaps = 4;               // times that a box may come back within flap_window at once; 0 = any
+  int flaps = 4;               // times that a backend may come back within flap_window at once; 0 = any
   Millis flap_window = 60000;
   Millis flap_wait = 5000;  // then it waits, twice as long each time
   Millis flap_most = 60000;
@@ -44,11 +44,11 @@
   bool operator==(const Options&) const = default;
 };
 
-// One box in a source's words, at the revision at which it last changed there.
+// One backend in a source's words, at the revision at which it last changed there.
 struct Entry {
   Member member;
   std::uint64_t revision = 0;
-  bool unreadable = false;  // only the host could be read: the box stays as it was
+  bool unreadable = false;  // only the host could be read: the backend stays as it was
 };
 
 struct Update {
@@ -66,14 +66,14 @@
   std::uint64_t believed = 0;  // members whose loss was believed after it was held
   std::uint64_t restored = 0;  // and those that were there again
   std::uint64_t kept_out = 0;  // members that a new epoch wanted to bring back
-  std::uint64_t flaps = 0;     // times that a box had to wait
+  std::uint64_t flaps = 0;     // times that a backend had to wait
   std::uint64_t moved = 0;     // addresses that passed to another
 };
 
 class View {
  public:
-  // `sources` are numbered by precedence: the first that names a box says what it is, but whoever says that
-  // it drains is believed.
+  // `sources` are numbered by precedence: the first that names a backend says what it is, but whoever says
+  // that it drains is believed.
   explicit View(const Options& options = {}, int sources = 1);
 
   // The whole list as it was at `revision` in `epoch`. An epoch is any number that the source tells its
@@ -115,7 +115,7 @@
   std::vector<Member> members() const;  // as shown, by host
 
  private:
-  struct Record {  // what one source says of one box
+  struct Record {  // what one source says of one backend
     Member member;
     std::uint64_t epoch = 0;
     std::uint64_t revision = 0;
@@ -135,7 +135,7 @@
   };
   struct Shown {
     Member member;
-    Millis ready_at = 0;         // a flapping box is shown draining until then
+    Millis ready_at = 0;         // a flapping backend is shown draining until then
     std::deque<Millis> returns;  // when it came back, of late
   };
   bool put(Source& source, const Entry& entry, bool in_snapshot, Millis now);
@@ -156,7 +156,7 @@
   std::unordered_map<std::string, std::deque<Millis>> returns_;  // of those not shown now
   std::map<std::string, Millis> held_;                           // vanished beyond the floor, since when
   std::deque<Millis> losses_;                                    // when those were lost that vanished
-  std::multimap<Millis, std::string> waiting_;                   // flapping boxes, by when they come back
+  std::multimap<Millis, std::string> waiting_;                   // flapping backends, by when they come back
   std::size_t ready_ = 0;
   Millis ask_at_ = 0;
   ViewCounters counters_;
--- a/src/node/affinity_binding.cpp
+++ b/src/node/affinity_binding.cpp
@@ -40,7 +40,7 @@
   rule.place = section.place.file + ":" + std::to_string(section.place.line);
   rule.key = key_of(section.words.at("key"));
   const std::string to = section.word("to");
-  rule.to = to == "cell" ? affinity::To::kCell : to == "zone" ? affinity::To::kZone : affinity::To::kBox;
+  rule.to = to == "cell" ? affinity::To::kCell : to == "zone" ? affinity::To::kZone : affinity::To::kBackend;
   rule.must = section.number("must").value_or(0) > 0;
   rule.hold = section.number("hold").value_or(rule.hold);
   if (section.word("on_drain") == "move") rule.on_drain = affinity::OnDrain::kMove;
@@ -76,7 +76,8 @@
   return pools;
 }
 
-// One key has one box, so a rule's requests have one pool; and who has to find that box has to see all.
+// One key has one backend, so a rule's requests have one pool; and who has to find that backend has to see
+// all.
 void find_pool(affinity::Rule& rule, const Config& config, const affinity::Universe& universe) {
   const std::set<std::size_t> pools = pools_of_rule(rule, config, universe);
   const auto refuse = [&rule](const std::string& cause) {
@@ -135,7 +136,7 @@
     for (const std::string& tenant : plan.tenants) universe.tenants[tenant] = name_of(tenant);
   }
   universe.no_plan = name_of("");
-  // Boxes that stand in the file; where they come from a registry their number is not known.
+  // Backends that stand in the file; where they come from a registry their number is not known.
   for (const PoolConfig& pool : config.pools) universe.units += pool.known.backends.size();
   return universe;
 }
--- a/src/node/affinity_planner.h
+++ b/src/node/affinity_planner.h
@@ -1,6 +1,6 @@
 // The planner's side of affinity in this process: the shaper of maps, on the control's thread, and the list
-// of boxes that the traffic hands it. Owns the way of that list from one thread to the other and the figures
-// back; it must never lock, nor let a plan be shaped by a list that was never told.
+// of backends that the traffic hands it. Owns the way of that list from one thread to the other and the
+// figures back; it must never lock, nor let a plan be shaped by a list that was never told.
 #pragma once
 
 #include <utility>
@@ -22,14 +22,14 @@
       : shaper_(std::move(rules), affinity::ShaperOptions()) {}
 
   // The traffic's thread.
-  void put(std::vector<affinity::BoxSeen> boxes) { boxes_.put(std::move(boxes)); }
+  void put(std::vector<affinity::BackendSeen> backends) { backends_.put(std::move(backends)); }
   const AffinityPlannerCells& cells() const { return cells_; }
 
   // The control's.
   void shape(fleet::Plan& next, const fleet::Plan* standing, const std::vector<fleet::Record>& records,
              Millis now) override {
-    if (boxes_.take()) shaper_.see(*boxes_.current());
-    if (boxes_.current() == nullptr) return;
+    if (backends_.take()) shaper_.see(*backends_.current());
+    if (backends_.current() == nullptr) return;
     shaper_.shape(next, standing, records, now);
     const affinity::ShaperCounters& c = shaper_.counters();
     cells_.closed.set(c.closed);
@@ -40,7 +40,7 @@
   }
 
  private:
-  fleet::Mailbox<std::vector<affinity::BoxSeen>> boxes_;
+  fleet::Mailbox<std::vector<affinity::BackendSeen>> backends_;
   affinity::Shaper shaper_;
   AffinityPlannerCells cells_;
 };
--- a/src/node/affinity_router.cpp
+++ b/src/node/affinity_router.cpp
@@ -20,13 +20,13 @@
 constexpr Millis kLookEvery = 10;    // after those that wait, or that may have to be called off
 constexpr double kFirstPlan = 2;     // leases, for which a process that begins waits for its first plan
 constexpr Millis kFeedEvery = 50;    // whether the list has changed
-constexpr Millis kWarmEvery = 1000;  // and how warm boxes are
+constexpr Millis kWarmEvery = 1000;  // and how warm backends are
 constexpr std::array kWhyNames = {"kept",     "no_key", "no_map", "not_valid", "closed",    "unknown",
                                   "draining", "gone",   "full",   "repeat",    "queue_full"};
 static_assert(kWhyNames.size() == affinity::kWhys);
 
 Unit::Kind kind_of(To to) {
-  return to == To::kBox ? Unit::Kind::kBackend : to == To::kCell ? Unit::Kind::kCell : Unit::Kind::kZone;
+  return to == To::kBackend ? Unit::Kind::kBackend : to == To::kCell ? Unit::Kind::kCell : Unit::Kind::kZone;
 }
 
 std::optional<Standing> standing(Pool& pool, To to, const std::string& unit) {
@@ -40,7 +40,7 @@
   return settings.cold_share + (1 - settings.cold_share) * std::max(0.0, now - born) / settings.warm_up;
 }
 
-bool same(const affinity::BoxSeen& a, const affinity::BoxSeen& b) {
+bool same(const affinity::BackendSeen& a, const affinity::BackendSeen& b) {
   return a.name == b.name && a.cell == b.cell && a.zone == b.zone && a.weight == b.weight &&
          a.warm == b.warm && a.draining == b.draining;
 }
@@ -74,7 +74,8 @@
   if (!pools_.empty()) feed();
 }
 
-// What the planner sees: all boxes of the list, once it is told. Who is out by hand is so at this node alone.
+// What the planner sees: all backends of the list, once it is told. Who is out by hand is so at this node
+// alone.
 void AffinityRouter::feed() {
   feed_ = loop_.after(kFeedEvery, [this] { feed(); });
   std::uint64_t changes = 0;
@@ -86,26 +87,26 @@
   if (changes == seen_ && loop_.now() - fed_at_ < kWarmEvery) return;
   seen_ = changes;
   fed_at_ = loop_.now();
-  std::vector<affinity::BoxSeen> boxes;
+  std::vector<affinity::BackendSeen> backends;
   for (const auto& watched : pools_) {
     const std::shared_ptr<Pool> pool = watched.lock();
-    for (const ListedBackend& one : pool->boxes()) {
-      affinity::BoxSeen box;
-      box.name = one.host;
-      box.zone = one.site;
-      box.cell = cell_name(one.site, one.cell);
-      box.pool = pool->name();
-      box.weight = one.size > 0 ? one.size : 1;
-      box.warm = affinity::warm_step(warmth(pool->config().settings, one.born, loop_.now()));
-      box.draining = one.health != "ready";
-      boxes.push_back(std::move(box));
+    for (const ListedBackend& one : pool->listed_backends()) {
+      affinity::BackendSeen backend;
+      backend.name = one.host;
+      backend.zone = one.site;
+      backend.cell = cell_name(one.site, one.cell);
+      backend.pool = pool->name();
+      backend.weight = one.size > 0 ? one.size : 1;
+      backend.warm = affinity::warm_step(warmth(pool->config().settings, one.born, loop_.now()));
+      backend.draining = one.health != "ready";
+      backends.push_back(std::move(backend));
     }
   }
-  std::sort(boxes.begin(), boxes.end(), [](const auto& a, const auto& b) { return a.name < b.name; });
-  if (ever_told_ && std::equal(boxes.begin(), boxes.end(), told_.begin(), told_.end(), same)) return;
+  std::sort(backends.begin(), backends.end(), [](const auto& a, const auto& b) { return a.name < b.name; });
+  if (ever_told_ && std::equal(backends.begin(), backends.end(), told_.begin(), told_.end(), same)) return;
   ever_told_ = true;
-  told_ = boxes;
-  planner_->put(std::move(boxes));
+  told_ = backends;
+  planner_->put(std::move(backends));
 }
 
 AffinityRouter::Said AffinityRouter::answer(const affinity::Bindings::Said& said,
--- a/src/node/affinity_router.h
+++ b/src/node/affinity_router.h
@@ -1,7 +1,7 @@
 // Rules of affinity at one process, on the traffic's thread: which requests they take, where those may go
-// now, who waits, what is under way in closed slots, and the list of boxes that the planner goes by. Owns the
-// places of requests (affinity/bindings.h) and the clock that they are looked after by. It must never choose
-// a box within a unit, never answer a client, and never say that slots are quiet before they are.
+// now, who waits, what is under way in closed slots, and the list of backends that the planner goes by. Owns
+// the places of requests (affinity/bindings.h) and the clock that they are looked after by. It must never
+// choose a backend within a unit, never answer a client, and never say that slots are quiet before they are.
 #pragma once
 
 #include <functional>
@@ -33,7 +33,7 @@
 
   const std::shared_ptr<AffinityPlanner>& planner() const { return planner_; }
   void watch(
-      const std::vector<std::shared_ptr<Pool>>& pools);  // whose boxes the planner goes by; none: no more
+      const std::vector<std::shared_ptr<Pool>>& pools);  // whose backends the planner goes by; none: no more
 
   struct Said {
     affinity::Go go = affinity::Go::kFree;
@@ -74,7 +74,7 @@
   const std::shared_ptr<AffinityPlanner> planner_;
   std::vector<std::weak_ptr<Pool>> pools_;   // watched
   std::vector<std::weak_ptr<Pool>> places_;  // the pool of each place, which lives for as long as it
-  std::vector<affinity::BoxSeen> told_;      // to the planner
+  std::vector<affinity::BackendSeen> told_;  // to the planner
   bool ever_told_ = false;
   std::uint64_t seen_ = 0;  // changes of the list
   Millis fed_at_ = 0;
--- a/src/node/affinity_text.h
+++ b/src/node/affinity_text.h
@@ -1,5 +1,5 @@
 // Rules of affinity in words for people: what they do to a request, and what of them a change of the file
-// changes. It must never name a box: only the plan knows which has a key.
+// changes. It must never name a backend: only the plan knows which has a key.
 #pragma once
 
 #include <map>
--- a/src/node/backend_source.cpp
+++ b/src/node/backend_source.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-BoxSource::BoxSource(Loop& loop, const PoolConfig& config, std::uint64_t seed, Listener listener)
+BackendSource::BackendSource(Loop& loop, const PoolConfig& config, std::uint64_t seed, Listener listener)
     : loop_(loop),
       config_(config),
       listener_(std::move(listener)),
@@ -44,22 +44,22 @@
                           [this] { lease_->asked(); }});
 }
 
-BoxSource::~BoxSource() {
+BackendSource::~BackendSource() {
   loop_.cancel(rewatch_);
   loop_.cancel(view_tick_);
 }
 
 // Where a view decides what is believed of the list it never expires.
-void BoxSource::take_terms() {
+void BackendSource::take_terms() {
   if (lease_ && !view_) lease_->adopt(config_.settings);
 }
 
-void BoxSource::adopt(const Settings& settings) {
+void BackendSource::adopt(const Settings& settings) {
   config_.settings = settings;
   take_terms();
 }
 
-void BoxSource::start() {
+void BackendSource::start() {
   take_terms();
   // A list of which the module was told nothing may be old by any time; whatever is wrong with it the source
   // will tell, and until then attempts and probes do.
@@ -67,25 +67,25 @@
     hand_on(*kept, ListSource::kStored);
   if (view_) tick_view();
   if (registry_) return registry_->start();
-  if (!discovery_) return take_boxes();
+  if (!discovery_) return take_backends();
   if (!config_.settings.list_on_request) discovery_->watch();
 }
 
-void BoxSource::hand_on(const List& list, ListSource from) {
+void BackendSource::hand_on(const List& list, ListSource from) {
   listener_.list(start_times_.resolve(list), from);
 }
 
-void BoxSource::watch() {
+void BackendSource::watch() {
   if (discovery_) discovery_->watch();
 }
 
-void BoxSource::follow(const PoolConfig& config) {
-  const bool boxes = config.known.backends != config_.known.backends;
+void BackendSource::follow(const PoolConfig& config) {
+  const bool backends = config.known.backends != config_.known.backends;
   const std::optional<Poco::Net::SocketAddress> before = config_.discovery;
   config_ = config;
   if (registry_) return;
   if (!discovery_) {
-    if (boxes) take_boxes();
+    if (backends) take_backends();
     return;
   }
   const bool waited = rewatch_ != 0;
@@ -98,20 +98,20 @@
 }
 
 // The list that stands in the configuration is all that there is to know.
-void BoxSource::take_boxes() {
+void BackendSource::take_backends() {
   List list = config_.known;
   list.whole = true;
   list_changed(list);
 }
 
-bool BoxSource::told() const {
+bool BackendSource::told() const {
   if (registry_) return registry_->synced();
   return !discovery_ || discovery_->listed();
 }
 
 // Discovery's lists as the view has them. A whole list with a number below the last is of a discovery that
 // has lost its memory.
-membership::Update BoxSource::through_view(const List& list) {
+membership::Update BackendSource::through_view(const List& list) {
   const Millis now = loop_.now();
   if (list.whole) {
     std::vector<membership::Entry> entries;
@@ -128,7 +128,7 @@
 }
 
 // What the view has made of it, to the module.
-void BoxSource::tell(const membership::Update& update) {
+void BackendSource::tell(const membership::Update& update) {
   if (registry_ && registry_->follower().counters().unreadable !=
                        std::exchange(unreadable_, registry_->follower().counters().unreadable)) {
     spdlog::error("pool {}: a value in the registry is no box, which stays as it was: {}", config_.name,
@@ -148,7 +148,7 @@
 }
 
 // What the view holds or makes wait, and whether its source has gone quiet.
-void BoxSource::tick_view() {
+void BackendSource::tick_view() {
   view_tick_ = loop_.after(kViewEvery, [this] {
     tick_view();
     const Millis now = loop_.now();
@@ -168,7 +168,7 @@
   });
 }
 
-void BoxSource::list_changed(const List& list) {
+void BackendSource::list_changed(const List& list) {
   watch_backoff_.told();
   std::size_t ready = 0;
   std::size_t draining = 0;
@@ -182,7 +182,7 @@
   hand_on(list, ListSource::kWatch);
 }
 
-void BoxSource::watch_ended(Ending ending) {
+void BackendSource::watch_ended(Ending ending) {
   ++watch_endings_[ending];
   const Discovery::CallEnd& end = discovery_->last_end();
   lease_->ended(ending, end);
@@ -204,7 +204,7 @@
   });
 }
 
-void BoxSource::log_counters(const std::string& before) const {
+void BackendSource::log_counters(const std::string& before) const {
   const Millis now = loop_.now();
   const Millis told = discovery_ ? discovery_->last_told() : now;
   spdlog::info("counters: {}list version={} age_s={:.1f} watches={} {}", before,
--- a/src/node/backend_source.h
+++ b/src/node/backend_source.h
@@ -1,6 +1,6 @@
-// Where a pool's list of boxes comes from: discovery, a registry, or the configuration itself; what the view
-// believes of it, and the copy on disk. Owns the watch, when it is opened again, and that copy. It must never
-// decide what a box is good for, nor speak to the module: what it has gone through it hands on.
+// Where a pool's list of backends comes from: discovery, a registry, or the configuration itself; what the
+// view believes of it, and the copy on disk. Owns the watch, when it is opened again, and that copy. It must
+// never decide what a backend is good for, nor speak to the module: what it has gone through it hands on.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 
 namespace shorelead::node {
 
-class BoxSource {
+class BackendSource {
  public:
   struct Listener {
     std::function<void(const List&, ListSource)> list;
@@ -31,10 +31,10 @@
     std::function<void(const ListValidity&)> validity = [](const ListValidity&) {};
   };
 
-  BoxSource(Loop& loop, const PoolConfig& config, std::uint64_t seed, Listener listener);
-  ~BoxSource();
-  BoxSource(const BoxSource&) = delete;
-  BoxSource& operator=(const BoxSource&) = delete;
+  BackendSource(Loop& loop, const PoolConfig& config, std::uint64_t seed, Listener listener);
+  ~BackendSource();
+  BackendSource(const BackendSource&) = delete;
+  BackendSource& operator=(const BackendSource&) = delete;
 
   void start();
   void watch();  // the list is asked for
@@ -54,7 +54,7 @@
 
  private:
   void hand_on(const List& list, ListSource from);
-  void take_boxes();
+  void take_backends();
   void list_changed(const List& list);
   void watch_ended(Ending ending);
   void tell(const membership::Update& update);
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -38,11 +38,11 @@
 // Which requests are of which class and go to which pool, where the first part of the path does not tell.
 using Routes = routing::Plan;
 
-// Boxes with a decision module, connections and a source of lists of their own.
+// Backends with a decision module, connections and a source of lists of their own.
 struct PoolConfig {
   std::string name;
   std::optional<Poco::Net::SocketAddress> discovery;
-  std::optional<membership::registry::Spec> registry;  // with neither, the boxes are those in `known`
+  std::optional<membership::registry::Spec> registry;  // with neither, the backends are those in `known`
   std::optional<membership::Options> view;             // none: lists are believed as they come
   std::string keep;                                    // a file for the last good list; empty = none
   List known;
--- a/src/node/difference.cpp
+++ b/src/node/difference.cpp
@@ -107,11 +107,11 @@
     put("subset slack", share(pool.fleet.subset->slack));
   }
   if (pool.discovery || pool.registry) return;
-  for (const ListedBackend& box : pool.known.backends) {
-    std::string is = box.dial;
-    if (!box.site.empty()) is.append(", zone ").append(box.site);
-    is.append(", cell ").append(text(box.cell)).append(", size ").append(text(box.size));
-    put("box " + box.host, is + (box.health == "ready" ? "" : ", draining"));
+  for (const ListedBackend& backend : pool.known.backends) {
+    std::string is = backend.dial;
+    if (!backend.site.empty()) is.append(", zone ").append(backend.site);
+    is.append(", cell ").append(text(backend.cell)).append(", size ").append(text(backend.size));
+    put("box " + backend.host, is + (backend.health == "ready" ? "" : ", draining"));
   }
 }
 
@@ -144,7 +144,7 @@
   return names;
 }
 
-// Of a pool that the other side does not have: that it is there, and its boxes; not every default of it.
+// Of a pool that the other side does not have: that it is there, and its backends; not every default of it.
 void come_or_gone(const std::vector<PoolConfig>& pools, const std::vector<PoolConfig>& others, Facts& facts) {
   for (const PoolConfig& pool : pools) {
     const auto same = [&pool](const PoolConfig& other) { return other.name == pool.name; };
--- a/src/node/endpoint_list.h
+++ b/src/node/endpoint_list.h
@@ -78,7 +78,7 @@
   std::optional<SubsetCounters> subset_counters() const {
     return part_ ? std::optional(part_->counters()) : std::nullopt;
   }
-  // The box, cell or zone of that name, as this process sees it now; none: it knows none.
+  // The backend, cell or zone of that name, as this process sees it now; none: it knows none.
   std::optional<Seen> see(Unit::Kind kind, const std::string& name);
   std::uint64_t changes() const { return changes_; }  // of the list, counted
 
--- a/src/node/fleet_admission.h
+++ b/src/node/fleet_admission.h
@@ -86,7 +86,7 @@
     return order_.plans()[static_cast<std::size_t>(order_.plan_of(tenant))].name;
   }
 
-  void room(double share) { port_.room(share); }  // of the boxes' capacity, that is unused
+  void room(double share) { port_.room(share); }  // of the backends' capacity, that is unused
   bool told() const { return !keys_ || keys_->told(); }
   bool bound() const { return keys_ && keys_->busy(); }  // requests have places, which end with it
   // A node has one reserve, whichever of its fleet admissions, generations and processes alike, serves. A
--- a/src/node/fleet_admissions.h
+++ b/src/node/fleet_admissions.h
@@ -18,7 +18,7 @@
 class FleetAdmissions {
  public:
   // `beside`: another process of the same node lives, which has its name in the fleet, and the reserve.
-  // `again`: called for requests that wait for their keys' boxes, when it may be time to ask again.
+  // `again`: called for requests that wait for their keys' backends, when it may be time to ask again.
   FleetAdmissions(Loop& loop, bool beside, std::function<void(RequestId)> again)
       : loop_(loop), beside_(beside), again_(std::move(again)), has_reserve_(!beside) {}
   ~FleetAdmissions() { loop_.cancel(sweep_); }
--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -87,14 +87,14 @@
   }
   for (std::size_t n = 0; n < made.told.size(); ++n) {
     const PoolConfig& told = made.told[n];
-    const auto same_boxes = [&](const auto& pool) {
+    const auto same_backends = [&](const auto& pool) {
       const bool source = told.discovery ? pool->config().discovery == told.discovery
                                          : pool->config().known.backends == told.known.backends;
       const bool named = std::any_of(made.told.begin(), made.told.end(),
                                      [&](const PoolConfig& other) { return other.name == pool->name(); });
       return !named && source && pool->serves_as(told);
     };
-    if (!snapshot->pools[n]) snapshot->pools[n] = claim(same_boxes);
+    if (!snapshot->pools[n]) snapshot->pools[n] = claim(same_backends);
     if (!snapshot->pools[n]) {
       snapshot->pools[n] = host_.make_pool(told, config);
       pools_.push_back(snapshot->pools[n]);
@@ -114,7 +114,7 @@
   const std::shared_ptr<RoutingSnapshot> next = pending_->snapshot;
   const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->told(); };
   const auto late = std::find_if(next->pools.begin(), next->pools.end(), waits);
-  // Keys have no box by a fleet admission that has no plan yet.
+  // Keys have no backend by a fleet admission that has no plan yet.
   const bool planless = next->admission && !next->admission->told();
   if ((late != next->pools.end() || planless) && loop_.now() < pending_->until) {
     look_ = loop_.after(kLookEvery, [this] { put_in_force(); });
--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -54,22 +54,22 @@
                            return record_.withdrawn(policy_host_.host(backend), now);
                          },
                          host_.recorder});
-  source_ = std::make_unique<BoxSource>(
+  source_ = std::make_unique<BackendSource>(
       loop_, config, seed,
-      BoxSource::Listener{[this](const List& list, ListSource from) {
-                            record_.list(list);
-                            const auto unwanted = policy_host_.report_list(list, from, loop_.now());
-                            for (const BackendId one : unwanted)
-                              record_.withdrawn_by(list.version, policy_host_.host(one));
-                            upstream_->withdraw(unwanted);
-                            for (const auto& one : policy_host_.take_restarted())
-                              upstream_->restarted(one.backend, one.started);
-                          },
-                          [this] { policy_host_.report_watch_ended(loop_.now()); },
-                          [this](const ListValidity& validity) {
-                            record_.validity(validity);
-                            policy_host_.report_validity(validity, loop_.now());
-                          }});
+      BackendSource::Listener{[this](const List& list, ListSource from) {
+                                record_.list(list);
+                                const auto unwanted = policy_host_.report_list(list, from, loop_.now());
+                                for (const BackendId one : unwanted)
+                                  record_.withdrawn_by(list.version, policy_host_.host(one));
+                                upstream_->withdraw(unwanted);
+                                for (const auto& one : policy_host_.take_restarted())
+                                  upstream_->restarted(one.backend, one.started);
+                              },
+                              [this] { policy_host_.report_watch_ended(loop_.now()); },
+                              [this](const ListValidity& validity) {
+                                record_.validity(validity);
+                                policy_host_.report_validity(validity, loop_.now());
+                              }});
 }
 
 Pool::~Pool() { loop_.cancel(wake_); }
@@ -82,7 +82,7 @@
 }
 
 std::string Pool::list_text() const {
-  std::vector<ListedBackend> all = boxes();
+  std::vector<ListedBackend> all = listed_backends();
   for (ListedBackend& backend : all) {
     if (backend.born > 0) backend.born = loop_.to_wall(backend.born);
   }
@@ -210,7 +210,7 @@
 
 void Pool::probe(BackendId backend) {
   if (left_) {
-    // By whoever has its boxes now. Not from within settle(), which the answer would call.
+    // By whoever has its backends now. Not from within settle(), which the answer would call.
     loop_.later(
         [this, backend] { policy_host_.report_probe(backend, Ending::kNotSent, 0, nullptr, loop_.now()); });
     return;
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -1,7 +1,7 @@
-// One pool of boxes: its decision module behind the policy host, its connections, its source of boxes, and
-// the requests that are with it. It owns these and their order. It must never speak to a client but through
-// its host, never see another pool, and never send anything new once it has been left, except for what it
-// has.
+// One pool of backends: its decision module behind the policy host, its connections, its source of backends,
+// and the requests that are with it. It owns these and their order. It must never speak to a client but
+// through its host, never see another pool, and never send anything new once it has been left, except for
+// what it has.
 #pragma once
 
 #include <cstdint>
@@ -46,10 +46,10 @@
   void gone(RequestId request);  // its client is
   // All of it that is out; where it has no answer yet it is answered as failed.
   void call_off(RequestId request);
-  // A box, cell or zone of this pool, as it stands now.
+  // A backend, cell or zone of this pool, as it stands now.
   std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return policy_host_.see(kind, unit); }
   std::uint64_t list_changes() const { return policy_host_.endpoints().changes(); }
-  std::vector<ListedBackend> boxes() const { return policy_host_.endpoints().all(); }
+  std::vector<ListedBackend> listed_backends() const { return policy_host_.endpoints().all(); }
   // The body of one that came by parts is whole now; its client waits until `due`.
   void body_whole(RequestId request, Millis due);
 
@@ -116,7 +116,7 @@
   PolicyHost policy_host_;
   PoolRecord record_;
   std::unique_ptr<Upstream> upstream_;
-  std::unique_ptr<BoxSource> source_;
+  std::unique_ptr<BackendSource> source_;
   std::unordered_map<RequestId, Open> open_;
   bool settling_ = false;
   bool left_ = false;
--- a/src/node/pool_binding.cpp
+++ b/src/node/pool_binding.cpp
@@ -8,21 +8,21 @@
 
 using language::Section;
 
-// Those that stand in the file, under a number that says what they are: the same boxes, the same number.
-List boxes_of(const Section& pool) {
+// Those that stand in the file, under a number that says what they are: the same backends, the same number.
+List backends_of(const Section& pool) {
   List list;
   list.whole = true;
-  for (const Section& box : pool.inner) {
-    if (box.block->name != "box") continue;
+  for (const Section& backend : pool.inner) {
+    if (backend.block->name != "box") continue;
     ListedBackend listed;
-    listed.host = box.name;
-    listed.dial = box.word("dial");
-    listed.health = box.number("draining").value_or(0) > 0 ? "draining" : "ready";
-    listed.site = box.word("zone");
-    listed.cell = whole_number(box, "cell", 0);
-    listed.size = box.number("size").value_or(1);
+    listed.host = backend.name;
+    listed.dial = backend.word("dial");
+    listed.health = backend.number("draining").value_or(0) > 0 ? "draining" : "ready";
+    listed.site = backend.word("zone");
+    listed.cell = whole_number(backend, "cell", 0);
+    listed.size = backend.number("size").value_or(1);
     if (!parse_address(listed.dial)) {
-      bad_field(box, "dial",
+      bad_field(backend, "dial",
                 "dial is " + listed.dial + ", which is no address of a machine (no names are looked up)");
     }
     list.backends.push_back(std::move(listed));
@@ -104,7 +104,7 @@
   pool.settings.instances = config.settings.instances;
   pool.settings.instance = config.settings.instance;
   take_pool(section, pool);
-  pool.known = boxes_of(section);
+  pool.known = backends_of(section);
   if (section.places.count("discovery") > 0) {
     pool.discovery = told_address(section, "discovery", "");
   } else if (const Section* const registry = section.find("registry")) {
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -36,8 +36,8 @@
   FleetAdmission* const admission = snapshot.admission.get();
   AffinityRouter* const keys = admission == nullptr ? nullptr : admission->keys();
   const auto found = keys == nullptr ? std::nullopt : rule_of(*admission, *keys, request_route, *message);
-  // A client's repeat of a keyed request stays where its key may be known; and what has a box of its own has
-  // none in another pool.
+  // A client's repeat of a keyed request stays where its key may be known; and what has a backend of its own
+  // has none in another pool.
   const auto& request_class = snapshot.classes[static_cast<std::size_t>(request_route.request_class)];
   const bool bound = (info.client_retry && request_class.effect == Effect::kKeyed) ||
                      (found && found->keyed && keys->must(*found));
--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -1,6 +1,6 @@
-// Where each open request is: with a pool, or waiting for its key's box; and what it has of the fleet. Owns
-// that book, and the order in which a request meets stand-ins, the fleet admission and rules of affinity. It
-// must never choose a box, nor let go of what a request has of the fleet before it is over.
+// Where each open request is: with a pool, or waiting for its key's backend; and what it has of the fleet.
+// Owns that book, and the order in which a request meets stand-ins, the fleet admission and rules of
+// affinity. It must never choose a backend, nor let go of what a request has of the fleet before it is over.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
 
   void take(RequestId request, RequestInfo info, const RequestRoute& request_route,
             std::shared_ptr<const Message> message);
-  // One that waits for its key's box: asks again.
+  // One that waits for its key's backend: asks again.
   void again(RequestId request);
   void body_whole(RequestId request, Millis due);
   void gone(RequestId request);  // its client is
--- a/src/node/subset_selection.h
+++ b/src/node/subset_selection.h
@@ -1,6 +1,6 @@
 // The part of a large fleet that one node works with: all that are listed, and the drawing of members among
 // them. Owns both, and when it is time to draw anew; it must never know the numbers that the module has for
-// boxes.
+// backends.
 #pragma once
 
 #include <functional>
--- a/src/node/units.h
+++ b/src/node/units.h
@@ -1,5 +1,5 @@
 // Cells and zones as one process sees them: by name, who is there and whether anybody is ready. Owns the two
-// tables, made anew with each list; it must never hold a box's name, nor be asked while it is made.
+// tables, made anew with each list; it must never hold a backend's name, nor be asked while it is made.
 #pragma once
 
 #include <string>
@@ -23,7 +23,7 @@
 class Units {
  public:
   void clear();
-  // A box of the list.
+  // A backend of the list.
   void put(const std::string& zone_name, int zone, int cell, bool ready);
   const Seen* find(Unit::Kind kind, const std::string& name) const;
 
--- a/src/plans/shortage.h
+++ b/src/plans/shortage.h
@@ -2,9 +2,10 @@
 // for how much. Pure, O(records x ranks), order of the records does not matter. It must never take one
 // record's word, nor one zone's or pool's trouble, for the fleet's.
 //
-// A record sees a shortage where many of the requests it took were missed (late, refused by boxes, without an
-// answer) AND its boxes have next to no room. Misses with room left are a bad pool, a bad box, a slow client;
-// no room without misses is a fleet well used. Of the fleet it is one where the records that see it are
+// A record sees a shortage where many of the requests it took were missed (late, refused by backends, without
+// an answer) AND its backends have next to no room. Misses with room left are a bad pool, a bad backend, a
+// slow client; no room without misses is a fleet well used. Of the fleet it is one where the records that see
+// it are
 //   - most of those with traffic, counted by heads: one hot process has much weight, but one head;
 //   - and most by weight, zone by zone: a zone sees it where most of its weight does, and zones of most of
 //   the
@@ -22,7 +23,7 @@
 
 struct ShortageSettings {
   double missed = 0.1;      // of what was taken: from here on it is a shortage,
-  double room = 0.1;        // if less than this share of the boxes' capacity is unused
+  double room = 0.1;        // if less than this share of the backends' capacity is unused
   double small_zone = 0.1;  // a zone of less of the fleet's weight is no zone of its own
 
   bool operator==(const ShortageSettings&) const = default;
--- a/tests/affinity/bindings_test.cpp
+++ b/tests/affinity/bindings_test.cpp
@@ -40,19 +40,19 @@
 
   std::vector<fleet::Slot>& slots() { return snapshot.affinity.begin()->second.slots; }
   std::uint64_t key(std::size_t slot) { return std::uint64_t{slot} << 62; }
-  bool open(std::size_t slot, const std::string& box) {
-    return slots()[slot].open && slots()[slot].box == box;
+  bool open(std::size_t slot, const std::string& backend) {
+    return slots()[slot].open && slots()[slot].backend == backend;
   }
   Bindings::Look look() {
-    return [this](To, const std::string& box) -> std::optional<Standing> {
-      if (unknown.count(box) > 0) return std::nullopt;
-      return draining.count(box) > 0 ? Standing::kDraining : Standing::kReady;
+    return [this](To, const std::string& backend) -> std::optional<Standing> {
+      if (unknown.count(backend) > 0) return std::nullopt;
+      return draining.count(backend) > 0 ? Standing::kDraining : Standing::kReady;
     };
   }
 
   struct Sent {
     std::size_t slot;
-    std::string box;
+    std::string backend;
     std::uint64_t incarnation;
     Millis closed_at;
   };
@@ -92,7 +92,7 @@
   }
   void take_up() {
     for (auto& [place, one] : sent) {
-      if (one.incarnation == snapshot.incarnation && open(one.slot, one.box)) {
+      if (one.incarnation == snapshot.incarnation && open(one.slot, one.backend)) {
         if (off.count(place) == 0) one.closed_at = -1;
       } else if (one.closed_at < 0) {
         one.closed_at = now;
@@ -123,7 +123,7 @@
   void check() {
     bool quiet = true;
     for (const auto& [place, one] : sent) {
-      const bool its = one.incarnation == snapshot.incarnation && open(one.slot, one.box);
+      const bool its = one.incarnation == snapshot.incarnation && open(one.slot, one.backend);
       quiet = quiet && its && one.closed_at < 0;
       RC_ASSERT(bindings.may_send(place, valid) == (valid && its && off.count(place) == 0));
     }
@@ -143,7 +143,7 @@
   }
   void step() {
     now += static_cast<Millis>(random.below(20));
-    const std::string box = random.below(2) == 0 ? "a" : "b";
+    const std::string backend = random.below(2) == 0 ? "a" : "b";
     switch (random.below(10)) {
       case 0:
         change();
@@ -152,10 +152,10 @@
         valid = !valid;
         break;
       case 2:
-        draining.erase(box) == 0 ? (void)draining.insert(box) : (void)0;
+        draining.erase(backend) == 0 ? (void)draining.insert(backend) : (void)0;
         break;
       case 3:
-        unknown.erase(box) == 0 ? (void)unknown.insert(box) : (void)0;
+        unknown.erase(backend) == 0 ? (void)unknown.insert(backend) : (void)0;
         break;
       case 4:
         end_one();
--- a/tests/affinity/model.cpp
+++ b/tests/affinity/model.cpp
@@ -1,4 +1,4 @@
-// The model's store, planners, faults and boxes.
+// The model's store, planners, faults and backends.
 #include "model.h"
 
 #include <algorithm>
@@ -46,8 +46,8 @@
   at(now_ + late(), [=, this] {
     fleet::Plan next = standing;
     ++next.epoch;
-    std::vector<BoxSeen> seen = boxes_;
-    // Planners may see different lists, and boxes in another order.
+    std::vector<BackendSeen> seen = backends_;
+    // Planners may see different lists, and backends in another order.
     if (!calm_ && random_.unit() < 0.1) seen.pop_back();
     if (random_.unit() < 0.5) std::reverse(seen.begin(), seen.end());
     shapers_[planner].see(seen);
@@ -68,7 +68,7 @@
 
 void Model::fault() {
   Process& p = processes_[random_.below(processes_.size())];
-  BoxSeen& box = boxes_[random_.below(boxes_.size())];
+  BackendSeen& backend = backends_[random_.below(backends_.size())];
   switch (random_.below(7)) {
     case 0:  // killed and started anew
       p = Process{p.name, p.life + 1};
@@ -81,16 +81,16 @@
       p.cut = !p.cut;
       return;
     case 3:
-      box.draining = !box.draining;
+      backend.draining = !backend.draining;
       return;
     case 4:
-      box.warm = box.warm < 1 ? 1 : 0.2;
+      backend.warm = backend.warm < 1 ? 1 : 0.2;
       return;
     case 5:  // its watch is deaf, its calls work
       p.deaf_until = now_ + 3000 * random_.unit();
       return;
     case 6:
-      box.name = "box-" + std::to_string(random_.below(9));
+      backend.name = "box-" + std::to_string(random_.below(9));
       return;
   }
 }
@@ -100,7 +100,7 @@
   rule_.must = true;
   rule_.slots = kSlots;
   rule_.finish = kLongest * 2;
-  for (int n = 0; n < 4; ++n) boxes_.push_back({"box-" + std::to_string(n), "", "", 1, 1, false});
+  for (int n = 0; n < 4; ++n) backends_.push_back({"box-" + std::to_string(n), "", "", 1, 1, false});
   shapers_.assign(2, Shaper({rule_}, {1500, 4}));
   for (int n = 0; n < 4; ++n) {
     processes_.push_back(Process{"p" + std::to_string(n), 1});
@@ -132,8 +132,8 @@
       p.cut = false;
       p.deaf_until = 0;
     }
-    for (std::size_t n = 0; n < boxes_.size(); ++n) {
-      boxes_[n] = {"box-" + std::to_string(n), "", "", 1, 1, false};
+    for (std::size_t n = 0; n < backends_.size(); ++n) {
+      backends_[n] = {"box-" + std::to_string(n), "", "", 1, 1, false};
     }
   });
   while (!queue_.empty()) {
--- a/tests/affinity/model.h
+++ b/tests/affinity/model.h
@@ -1,9 +1,10 @@
 // Several processes, a store and two planners in simulated time: messages late, lost and out of order,
-// processes that are killed, paused and cut off, boxes that come, go and drain. The processes here keep to
+// processes that are killed, paused and cut off, backends that come, go and drain. The processes here keep to
 // the rules of fleet/plan.h by a few lines of their own; shaper, choice and bindings (what waits and is under
 // way) are the real ones. What is looked for:
-//   - a send for a slot at another box than one sent before, by an older opening (a token that went back);
-//   - two boxes that work for one slot at a time, by processes that are awake.
+//   - a send for a slot at another backend than one sent before, by an older opening (a token that went
+//   back);
+//   - two backends that work for one slot at a time, by processes that are awake.
 #pragma once
 
 #include <functional>
@@ -55,7 +56,7 @@
  private:
   struct Work {
     std::size_t slot;
-    std::string box;
+    std::string backend;
     Millis ends;
     int place;
   };
@@ -119,9 +120,9 @@
   std::map<std::string, Stored> records_;
   std::vector<Process> processes_;
   std::vector<Shaper> shapers_;
-  std::vector<BoxSeen> boxes_;
+  std::vector<BackendSeen> backends_;
   Rule rule_;
-  std::map<std::size_t, std::pair<std::uint64_t, std::string>> last_;  // by slot: opening epoch, box
+  std::map<std::size_t, std::pair<std::uint64_t, std::string>> last_;  // by slot: opening epoch, backend
   ModelResult result_;
 };
 
--- a/tests/affinity/model_process.cpp
+++ b/tests/affinity/model_process.cpp
@@ -6,11 +6,11 @@
 namespace shorelead::affinity {
 namespace {
 
-// What both have open at the same box: what a process may go by as soon as it sees the next plan.
+// What both have open at the same backend: what a process may go by as soon as it sees the next plan.
 fleet::SlotMap common(const fleet::SlotMap& a, const fleet::SlotMap& b) {
   fleet::SlotMap both = a;
   for (std::size_t n = 0; n < both.slots.size(); ++n) {
-    const bool same = n < b.slots.size() && b.slots[n].open && b.slots[n].box == a.slots[n].box;
+    const bool same = n < b.slots.size() && b.slots[n].open && b.slots[n].backend == a.slots[n].backend;
     both.slots[n].open = both.slots[n].open && same;
   }
   return both;
@@ -152,18 +152,19 @@
   result_.refused += said.go == Go::kRefuse;
   if (said.go != Go::kOnly) return;
   const fleet::Slot& seat = p.open.slots[slot];
-  if (*said.unit != seat.box || !seat.open) broke(p.name + " sends where no slot is open");
-  auto& [token, box] = last_[slot];
-  if (seat.since < token && seat.box != box) broke(p.name + " sends by an older opening");
-  result_.moves += token > 0 && seat.box != box;
-  if (seat.since >= token) std::tie(token, box) = std::pair(seat.since, seat.box);
+  if (*said.unit != seat.backend || !seat.open) broke(p.name + " sends where no slot is open");
+  auto& [token, backend] = last_[slot];
+  if (seat.since < token && seat.backend != backend) broke(p.name + " sends by an older opening");
+  result_.moves += token > 0 && seat.backend != backend;
+  if (seat.since >= token) std::tie(token, backend) = std::pair(seat.since, seat.backend);
   for (const Process& other : processes_) {
     if (!other.alive || other.paused_until > now_ || now_ >= other.valid_until) continue;
     for (const Work& work : other.work) {
-      if (work.slot == slot && work.box != seat.box && work.ends > now_) broke("two boxes work for a slot");
+      if (work.slot == slot && work.backend != seat.backend && work.ends > now_)
+        broke("two boxes work for a slot");
     }
   }
-  p.work.push_back({slot, seat.box, now_ + kLongest * random_.unit(), said.place});
+  p.work.push_back({slot, seat.backend, now_ + kLongest * random_.unit(), said.place});
   ++result_.sends;
 }
 
--- a/tests/affinity/model_test.cpp
+++ b/tests/affinity/model_test.cpp
@@ -1,4 +1,5 @@
-// Never the same key at two boxes by two processes, over random histories; and each guard taken out is found.
+// Never the same key at two backends by two processes, over random histories; and each guard taken out is
+// found.
 #include "model.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,7 @@
   return told == nullptr ? kSeeds : std::strtoull(told, nullptr, 10);
 }
 
-TEST(AffinityModel, OneBoxAKeyThroughAllFaults) {
+TEST(AffinityModel, OneBackendAKeyThroughAllFaults) {
   int sends = 0;
   int moves = 0;
   for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
--- a/tests/affinity/shaper_test.cpp
+++ b/tests/affinity/shaper_test.cpp
@@ -17,10 +17,10 @@
   return rule;
 }
 
-std::vector<BoxSeen> boxes_of(int count) {
-  std::vector<BoxSeen> boxes;
-  for (int n = 0; n < count; ++n) boxes.push_back({"box-" + std::to_string(n), "", "", 1, 1, false});
-  return boxes;
+std::vector<BackendSeen> backends_of(int count) {
+  std::vector<BackendSeen> backends;
+  for (int n = 0; n < count; ++n) backends.push_back({"box-" + std::to_string(n), "", "", 1, 1, false});
+  return backends;
 }
 
 // One planner and processes that put each plan in force at once.
@@ -45,44 +45,44 @@
     for (fleet::Record& record : records) record.epoch = plan.epoch;
     return true;
   }
-  void settle(const std::vector<BoxSeen>& boxes) {
-    shaper.see(boxes);
+  void settle(const std::vector<BackendSeen>& backends) {
+    shaper.see(backends);
     for (int n = 0; n < 100 && step(); ++n) {
     }
   }
   const std::vector<fleet::Slot>& slots() { return plan.affinity.at(map_name(rule)).slots; }
   std::vector<std::string> owners() {
     std::vector<std::string> all;
-    for (const fleet::Slot& slot : slots()) all.push_back(slot.open ? slot.box : "");
+    for (const fleet::Slot& slot : slots()) all.push_back(slot.open ? slot.backend : "");
     return all;
   }
-  int has(const std::string& box) {
+  int has(const std::string& backend) {
     const auto all = owners();
-    return static_cast<int>(std::count(all.begin(), all.end(), box));
+    return static_cast<int>(std::count(all.begin(), all.end(), backend));
   }
 };
 
 // Any planner writes the same, whatever the order of its list; and processes that come or go move nothing.
 RC_GTEST_PROP(Shaper, EveryPlannerWritesTheSame, ()) {
-  std::vector<BoxSeen> boxes = boxes_of(*rc::gen::inRange(1, 12));
-  for (BoxSeen& box : boxes) box.weight = *rc::gen::inRange(1, 5);
+  std::vector<BackendSeen> backends = backends_of(*rc::gen::inRange(1, 12));
+  for (BackendSeen& backend : backends) backend.weight = *rc::gen::inRange(1, 5);
   Fleet one(a_rule());
-  one.settle(boxes);
+  one.settle(backends);
   const auto before = one.owners();
   RC_ASSERT(std::count(before.begin(), before.end(), "") == 0);
-  std::reverse(boxes.begin(), boxes.end());
+  std::reverse(backends.begin(), backends.end());
   Fleet other(a_rule());
-  other.settle(boxes);
+  other.settle(backends);
   RC_ASSERT(other.owners() == before);
   one.records.resize(*rc::gen::inRange<std::size_t>(0, 6));
   one.shaper = Shaper({one.rule}, {});  // another process plans
-  one.settle(boxes);
+  one.settle(backends);
   RC_ASSERT(one.owners() == before);
 }
 
-// When the slots of a box that is no longer listed begin to move: at once, after the hold, or, where this
+// When the slots of a backend that is no longer listed begin to move: at once, after the hold, or, where this
 // planner never saw it, once that has lasted.
-TEST(Shaper, SlotsOfABoxThatIsGone) {
+TEST(Shaper, SlotsOfABackendThatIsGone) {
   struct Case {
     OnLoss on_loss;
     bool seen;
@@ -94,11 +94,11 @@
     rule.on_loss = c.on_loss;
     rule.hold = 5000;
     Fleet fleet(rule, {2000, 64});
-    fleet.settle(boxes_of(4));
+    fleet.settle(backends_of(4));
     const auto before = fleet.owners();
     if (!c.seen) fleet.shaper = Shaper({rule}, {2000, 64});
     for (; fleet.now <= 6000; fleet.now += 500) {
-      fleet.settle(boxes_of(3));
+      fleet.settle(backends_of(3));
       EXPECT_EQ(fleet.has("box-3") > 0, fleet.now < c.moves_at) << c.moves_at << " at " << fleet.now;
     }
     for (std::size_t n = 0; n < before.size(); ++n) {
@@ -107,14 +107,14 @@
   }
 }
 
-TEST(Shaper, AColdBoxGetsItsSlotsBySteps) {
+TEST(Shaper, AColdBackendGetsItsSlotsBySteps) {
   Fleet fleet(a_rule(), {2000, 8});
-  fleet.settle(boxes_of(4));
-  std::vector<BoxSeen> boxes = boxes_of(5);
+  fleet.settle(backends_of(4));
+  std::vector<BackendSeen> backends = backends_of(5);
   int before = 0;
   for (const double warm : {0.05, 0.3, 0.6, 1.0}) {
-    boxes[4].warm = warm;
-    fleet.shaper.see(boxes);
+    backends[4].warm = warm;
+    fleet.shaper.see(backends);
     for (int n = 0; n < 200 && fleet.step(); ++n) {
       const auto all = fleet.owners();
       EXPECT_LE(std::count(all.begin(), all.end(), ""), 8);
@@ -132,13 +132,13 @@
   Rule rule = a_rule();
   rule.still = 3000;
   Fleet fleet(rule);
-  fleet.settle(boxes_of(4));
-  std::vector<BoxSeen> boxes = boxes_of(5);
-  fleet.settle(boxes);
+  fleet.settle(backends_of(4));
+  std::vector<BackendSeen> backends = backends_of(5);
+  fleet.settle(backends);
   EXPECT_EQ(fleet.has("box-4") + fleet.has(""), 0);
-  boxes[0].draining = true;
+  backends[0].draining = true;
   for (fleet.now = 100; fleet.now <= 3100; fleet.now += 500) {
-    fleet.settle(boxes);
+    fleet.settle(backends);
     EXPECT_EQ(fleet.has("box-0"), 0);
     EXPECT_EQ(fleet.has("") > 0, fleet.now < 3100) << fleet.now;
   }
@@ -146,27 +146,27 @@
 
 TEST(Shaper, ALostHistoryOpensNothing) {
   Fleet fleet(a_rule());
-  fleet.shaper.see(boxes_of(3));
+  fleet.shaper.see(backends_of(3));
   fleet.records[0].epoch = 50;  // of a plan that the store no longer knows
   for (int n = 0; n < 5; ++n) {
     fleet.plan = fleet.next();
     EXPECT_EQ(fleet.has(""), 256);
   }
   fleet.records.erase(fleet.records.begin());
-  fleet.settle(boxes_of(3));
+  fleet.settle(backends_of(3));
   EXPECT_EQ(fleet.has(""), 0);
 }
 
 TEST(Shaper, AnotherNumberOfSlotsKeepsWhoHasThem) {
   Fleet fleet(a_rule());
-  fleet.settle(boxes_of(4));
+  fleet.settle(backends_of(4));
   const fleet::SlotMap& map = fleet.plan.affinity.begin()->second;
   const fleet::SlotMap doubled = resized(map, 512, 9);
   for (std::size_t n = 0; n < 512; ++n) EXPECT_EQ(doubled.slots[n], map.slots[n / 2]);
   EXPECT_EQ(resized(doubled, 256, 9), map);
   const fleet::SlotMap halved = resized(map, 128, 9);
   for (std::size_t n = 0; n < 128; ++n) {
-    const bool same = map.slots[2 * n].box == map.slots[2 * n + 1].box;
+    const bool same = map.slots[2 * n].backend == map.slots[2 * n + 1].backend;
     EXPECT_EQ(halved.slots[n].open, same);
     EXPECT_TRUE(same || halved.slots[n].since == 9);
   }
@@ -174,7 +174,7 @@
 
 TEST(Shaper, AMapOfAnotherVersionOfTheFileStaysForAWhile) {
   Fleet fleet(a_rule(), {2000, 64});
-  fleet.settle(boxes_of(4));
+  fleet.settle(backends_of(4));
   Rule other = a_rule();
   other.key.part = 2;
   fleet.shaper.set({other});
--- a/tests/affinity/shore_test.cpp
+++ b/tests/affinity/shore_test.cpp
@@ -73,7 +73,7 @@
   EXPECT_EQ(loaded("affinity a { key tenant }").shared->sharing.longest, 0) << "must alone needs it";
 }
 
-// One key has one box: a rule's requests lead to one pool, and the planner looks for it among that one's.
+// One key has one backend: a rule's requests lead to one pool, and the planner looks for it among that one's.
 TEST(AffinityFile, ARuleHasOnePool) {
   std::string two = kSite;
   for (const char* const route : {"route shop { ", "route desk { "}) {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -211,23 +211,24 @@
   EXPECT_THROW(load_platform_file("/nowhere/own.toml", read), FieldError);
 }
 
-TEST(OwnFile, ThePlatformsFileHalvesWhoMeetsAtABoxOfAGrownFleet) {
-  // From days at size: 100 nodes before 60 boxes, where connections at a box are scarce. With the file that
-  // `run` names, at most 65 of them have a box in hand; a fleet of the first size is worked with whole.
-  for (const int boxes : {60, 14}) {
+TEST(OwnFile, ThePlatformsFileHalvesWhoMeetsAtABackendOfAGrownFleet) {
+  // From days at size: 100 nodes before 60 backends, where connections at a backend are scarce. With the file
+  // that `run` names, at most 65 of them have a backend in hand; a fleet of the first size is worked with
+  // whole.
+  for (const int backends : {60, 14}) {
     std::map<std::string, int> nodes;
     for (int me = 0; me < 100; ++me) {
       Config read = parse_config(config(), {});
       load_platform_file(SHORELEAD_DEPLOY "/platform.toml", read);
       ASSERT_TRUE(read.fleet.subset);
       subset::Subset subset(*read.fleet.subset, subset::Place{0, me, 100});
-      for (int n = 0; n < boxes; ++n) subset.put({"s-" + std::to_string(n), n % 3, 1, true});
+      for (int n = 0; n < backends; ++n) subset.put({"s-" + std::to_string(n), n % 3, 1, true});
       subset.settle();
-      EXPECT_LE(subset.size(), boxes == 60 ? 38 : 14);  // with the slack of a quarter
+      EXPECT_LE(subset.size(), backends == 60 ? 38 : 14);  // with the slack of a quarter
       for (const std::string& id : subset.members()) ++nodes[id];
     }
-    for (const auto& [id, count] : nodes) EXPECT_LE(count, boxes == 60 ? 65 : 100) << id;
-    EXPECT_EQ(nodes.size(), static_cast<std::size_t>(boxes)) << "each box has somebody";
+    for (const auto& [id, count] : nodes) EXPECT_LE(count, backends == 60 ? 65 : 100) << id;
+    EXPECT_EQ(nodes.size(), static_cast<std::size_t>(backends)) << "each box has somebody";
   }
 }
 
--- a/tests/fleet/documents_test.cpp
+++ b/tests/fleet/documents_test.cpp
@@ -38,7 +38,7 @@
   if (random.below(2) == 0) out.cut_off = {static_cast<int>(random.below(9)), random.unit()};
   for (std::size_t n = random.below(3); n > 0; --n) {
     SlotMap& map = out.affinity[word(random)];
-    map.boxes = random.next();
+    map.backends = random.next();
     map.slots.resize(random.below(4) == 0 ? 0 : 1 << random.below(6));
     for (Slot& s : map.slots) {
       s = {word(random), random.below(3) > 0, "", random.below(3)};
--- a/tests/fleet/model_case.h
+++ b/tests/fleet/model_case.h
@@ -19,10 +19,10 @@
 // Asks for each slot to be where it is wished, at once; what may be open is held elsewhere (slots.h).
 class Mover : public PlanShaper {
  public:
-  void wish(std::size_t slot, const std::string& box) { wished_[slot] = box; }
+  void wish(std::size_t slot, const std::string& backend) { wished_[slot] = backend; }
   void shape(Plan& next, const Plan*, const std::vector<Record>&, Millis) override {
     SlotMap map;
-    for (const auto& [slot, box] : wished_) map.slots.push_back({box, true, "", 0});
+    for (const auto& [slot, backend] : wished_) map.slots.push_back({backend, true, "", 0});
     next.affinity["rule"] = map;
   }
 
--- a/tests/fleet/model_checks.cpp
+++ b/tests/fleet/model_checks.cpp
@@ -55,16 +55,16 @@
   }
 }
 
-void Checks::sends(int process, std::size_t slot, const std::string& box, Millis at, Millis ends) {
+void Checks::sends(int process, std::size_t slot, const std::string& backend, Millis at, Millis ends) {
   std::erase_if(sends_, [at](const Send& send) { return send.ends <= at; });
   ++sent;
   for (const Send& other : sends_) {
-    if (other.slot == slot && other.box != box) {
-      fail("slot " + std::to_string(slot) + ": " + box + " by " + std::to_string(process) + " while " +
-           other.box + " by " + std::to_string(other.process) + " at " + std::to_string(at));
+    if (other.slot == slot && other.backend != backend) {
+      fail("slot " + std::to_string(slot) + ": " + backend + " by " + std::to_string(process) + " while " +
+           other.backend + " by " + std::to_string(other.process) + " at " + std::to_string(at));
     }
   }
-  sends_.push_back({process, slot, box, ends});
+  sends_.push_back({process, slot, backend, ends});
 }
 
 void Checks::store(const Store& store) {
@@ -108,7 +108,7 @@
   store_slots(store);
 }
 
-// All boxes open for a slot in the plan, and in the plans that records have in force, are one.
+// All backends open for a slot in the plan, and in the plans that records have in force, are one.
 void Checks::store_slots(const Store& store) {
   std::vector<const Plan*> plans;
   const StoreState& state = store.state;
@@ -117,15 +117,15 @@
     const auto it = plans_.find(kept.record.epoch);
     if (!kept.blind && it != plans_.end()) plans.push_back(it->second.get());
   }
-  std::map<std::string, std::map<std::size_t, std::set<std::string>>> boxes;
+  std::map<std::string, std::map<std::size_t, std::set<std::string>>> backends;
   for (const Plan* plan : plans) {
     for (const auto& [rule, map] : plan->affinity) {
       for (std::size_t i = 0; i < map.slots.size(); ++i) {
-        if (map.slots[i].open) boxes[rule][i].insert(map.slots[i].box);
+        if (map.slots[i].open) backends[rule][i].insert(map.slots[i].backend);
       }
     }
   }
-  for (const auto& [rule, slots] : boxes) {
+  for (const auto& [rule, slots] : backends) {
     for (const auto& [slot, open] : slots) {
       if (open.size() > 1) fail("store: slot " + std::to_string(slot) + " open at two boxes");
     }
--- a/tests/fleet/model_checks.h
+++ b/tests/fleet/model_checks.h
@@ -20,7 +20,7 @@
   void spent_rate(Millis at);
   void spent_attempt(Millis at);
   void at_once_begins(Millis at, Millis ends);
-  void sends(int process, std::size_t slot, const std::string& box, Millis at, Millis ends);
+  void sends(int process, std::size_t slot, const std::string& backend, Millis at, Millis ends);
   // The invariant of plan.h.
   void store(const Store& store);
   void fail(const std::string& what);
@@ -33,7 +33,7 @@
   struct Send {
     int process;
     std::size_t slot;
-    std::string box;
+    std::string backend;
     Millis ends;
   };
   const Budget* of(BudgetKind kind) const;
--- a/tests/fleet/model_steps.cpp
+++ b/tests/fleet/model_steps.cpp
@@ -17,7 +17,7 @@
   std::function<void(World&, const Step&, int process)> run;  // `process`: one that runs
 };
 
-std::string box(const Step& step) { return std::string(1, static_cast<char>('a' + step.much % 3)); }
+std::string backend(const Step& step) { return std::string(1, static_cast<char>('a' + step.much % 3)); }
 std::size_t back(const Step& step) { return static_cast<std::size_t>(step.much) % 4; }
 int planner_or(const World& world, int process) { return world.planner() >= 0 ? world.planner() : process; }
 
@@ -35,7 +35,8 @@
       {"heal", 3, [](World& w, const Step&, int p) { w.cut(p, false, false); }},
       {"demand", 3, [](World& w, const Step& s, int p) { w.demand(p, s.much * s.much); }},
       {"claim", 1, [](World& w, const Step&, int p) { w.demand(p, 1e9); }},
-      {"wish", 5, [](World& w, const Step& s, int) { w.wish(static_cast<std::size_t>(s.who) % 2, box(s)); }},
+      {"wish", 5,
+       [](World& w, const Step& s, int) { w.wish(static_cast<std::size_t>(s.who) % 2, backend(s)); }},
       {"store down", 1, [](World& w, const Step&, int) { w.store_down(true); }},
       {"store up", 2, [](World& w, const Step&, int) { w.store_down(false); }},
       {"lose a tail", 1, [](World& w, const Step& s, int) { w.restore(back(s)); }},
@@ -46,7 +47,7 @@
        }},
       {"move, cut, and lose the tail", 2,
        [](World& w, const Step& s, int p) {
-         w.wish(0, box(s));
+         w.wish(0, backend(s));
          w.run(500 + 250 * s.much);
          w.cut(p, true, true);
          w.restore(1 + back(s));
--- a/tests/fleet/model_traffic.cpp
+++ b/tests/fleet/model_traffic.cpp
@@ -96,8 +96,8 @@
     for (std::size_t slot = 0; slot < map.slots.size(); ++slot) {
       if (!map.slots[slot].open || random.unit() < 0.3) continue;
       const Millis ends = at + sharing_.longest * (0.1 + 0.9 * random.unit());
-      sends_.push_back({ends, rule, slot, map.slots[slot].box});
-      checks_.sends(process_, slot, map.slots[slot].box, at, ends);
+      sends_.push_back({ends, rule, slot, map.slots[slot].backend});
+      checks_.sends(process_, slot, map.slots[slot].backend, at, ends);
     }
   }
 }
@@ -114,7 +114,7 @@
     if (send.ends <= at) return false;
     const auto map = snapshot_->affinity.find(send.rule);
     return map == snapshot_->affinity.end() || send.slot >= map->second.slots.size() ||
-           !map->second.slots[send.slot].open || map->second.slots[send.slot].box != send.box;
+           !map->second.slots[send.slot].open || map->second.slots[send.slot].backend != send.backend;
   });
   return state;
 }
--- a/tests/fleet/model_traffic.h
+++ b/tests/fleet/model_traffic.h
@@ -38,7 +38,7 @@
     Millis ends;  // the world's time
     std::string rule;
     std::size_t slot;
-    std::string box;
+    std::string backend;
   };
   void spend_counts(Millis now, Millis at, Random& random);
   void send_for_slots(Millis now, Millis at, Random& random);
--- a/tests/fleet/model_world.h
+++ b/tests/fleet/model_world.h
@@ -40,7 +40,7 @@
   void go_on(int process);
   void cut(int process, bool to, bool from);
   void demand(int process, double demand);
-  void wish(std::size_t slot, const std::string& box) { mover_->wish(slot, box); }
+  void wish(std::size_t slot, const std::string& backend) { mover_->wish(slot, backend); }
   void store_down(bool down) { down_ = down; }
   void restore(std::size_t back);
   void spoil(StoreState::Text text);
--- a/tests/fleet/search_node.cpp
+++ b/tests/fleet/search_node.cpp
@@ -232,15 +232,15 @@
 }
 
 void Node::judge() {
-  std::set<std::string> boxes;
+  std::set<std::string> backends;
   for (int i = 0; i < kCells; ++i) {
     const Cell& it = cell(i);
     const auto map = it.taken->affinity.find("rule");
     if (!usable(it) || map == it.taken->affinity.end()) continue;
-    if (map->second.slots[0].open) boxes.insert(map->second.slots[0].box);
+    if (map->second.slots[0].open) backends.insert(map->second.slots[0].backend);
   }
   if (units() > 2) checks.own().fail("usable: " + std::to_string(units()) + " of 2 units");
-  if (boxes.size() > 1) checks.own().fail("the key may be sent to two boxes");
+  if (backends.size() > 1) checks.own().fail("the key may be sent to two boxes");
 }
 
 }  // namespace shorelead::fleet::model
--- a/tests/fleet/search_print.cpp
+++ b/tests/fleet/search_print.cpp
@@ -46,7 +46,7 @@
   }
   void slots(const SlotMap& map) {
     for (const Slot& slot : map.slots) {
-      text(slot.open ? slot.box : "-" + slot.to);
+      text(slot.open ? slot.backend : "-" + slot.to);
       number(slot.open ? 0 : slot.since);
     }
   }
--- a/tests/fleet/search_test.cpp
+++ b/tests/fleet/search_test.cpp
@@ -67,8 +67,8 @@
       raised += node->cells[static_cast<std::size_t>(i)]->taken->parts.contains("units");
     for (const auto& cell : node->cells) {
       const auto map = cell->taken->affinity.find("rule");
-      opened +=
-          map != cell->taken->affinity.end() && map->second.slots[0].open && map->second.slots[0].box == "b";
+      opened += map != cell->taken->affinity.end() && map->second.slots[0].open &&
+                map->second.slots[0].backend == "b";
     }
     next.emplace_back(std::move(node), static_cast<int>(depth));
   }
--- a/tests/home_test.cpp
+++ b/tests/home_test.cpp
@@ -38,7 +38,7 @@
     }
     policy_host->report_list(list, ListSource::kWatch, now);
   }
-  // The boxes that one request is sent to, where each turns it away; the last word is "" where nobody is
+  // The backends that one request is sent to, where each turns it away; the last word is "" where nobody is
   // left.
   std::vector<std::string> tries(Unit home) {
     std::vector<std::string> all;
@@ -90,14 +90,14 @@
     for (int n = 0; n < 60; ++n) {
       if (n % 3 == 0) c.served({});  // others go where they like meanwhile
       const std::vector<std::string> tries = c.tries(c.unit(row.kind, row.name, true));
-      for (const std::string& box : tries) {
-        EXPECT_EQ(row.all.count(box), 1U) << row.name << " " << box;
-        met.insert(box);
+      for (const std::string& backend : tries) {
+        EXPECT_EQ(row.all.count(backend), 1U) << row.name << " " << backend;
+        met.insert(backend);
       }
     }
     EXPECT_EQ(met, row.all);
     // Nothing new goes to who drains, and to nobody else in its place.
-    for (const std::string& box : row.all) c.health(box, "draining");
+    for (const std::string& backend : row.all) c.health(backend, "draining");
     EXPECT_TRUE(c.tries(c.unit(row.kind, row.name, true)).empty());
     EXPECT_EQ(c.policy_host->see(row.kind, row.name)->standing, affinity::Standing::kDraining);
   }
@@ -116,9 +116,9 @@
   EXPECT_NE(tries[1], "s-6");
   c.health("s-6", "draining");
   for (int n = 0; n < 20; ++n) {
-    const std::string box = c.served(c.unit(Unit::Kind::kBackend, "s-6", false));
-    EXPECT_NE(box, "s-6");
-    EXPECT_FALSE(box.empty());
+    const std::string backend = c.served(c.unit(Unit::Kind::kBackend, "s-6", false));
+    EXPECT_NE(backend, "s-6");
+    EXPECT_FALSE(backend.empty());
   }
 }
 
--- a/tests/keys_backends.h
+++ b/tests/keys_backends.h
@@ -1,4 +1,4 @@
-// Boxes that answer with their names, and the book of which key met which of them. For tests only.
+// Backends that answer with their names, and the book of which key met which of them. For tests only.
 #pragma once
 
 #include <map>
@@ -13,12 +13,12 @@
 
 namespace shorelead::node {
 
-// What each key met, in the order in which boxes had it; a box that it meets again stands twice.
+// What each key met, in the order in which backends had it; a backend that it meets again stands twice.
 class Book {
  public:
-  void met(const std::string& key, const std::string& box) {
+  void met(const std::string& key, const std::string& backend) {
     const std::lock_guard lock(mutex_);
-    if (auto& all = met_[key]; all.empty() || all.back() != box) all.push_back(box);
+    if (auto& all = met_[key]; all.empty() || all.back() != backend) all.push_back(backend);
   }
   std::map<std::string, std::vector<std::string>> all() {
     const std::lock_guard lock(mutex_);
@@ -30,10 +30,10 @@
   std::map<std::string, std::vector<std::string>> met_;
 };
 
-class Box {
+class Backend {
  public:
-  Box(std::string name, Book& book) : name(std::move(name)), book_(book), thread_([this] { serve(); }) {}
-  ~Box() {
+  Backend(std::string name, Book& book) : name(std::move(name)), book_(book), thread_([this] { serve(); }) {}
+  ~Backend() {
     peer.stop();
     thread_.join();
     for (std::thread& one : connections_) one.join();
--- a/tests/keys_node_test.cpp
+++ b/tests/keys_node_test.cpp
@@ -1,5 +1,5 @@
-// Whole nodes that keep keys at boxes: two processes' servers before the stand-in registry and boxes that
-// answer with their names. What is waited for is a state, never a time.
+// Whole nodes that keep keys at backends: two processes' servers before the stand-in registry and backends
+// that answer with their names. What is waited for is a state, never a time.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -19,7 +19,8 @@
 
 struct Fleet {
   Fleet() {
-    for (const char* const name : {"a", "b", "c", "d"}) boxes.push_back(std::make_unique<Box>(name, book));
+    for (const char* const name : {"a", "b", "c", "d"})
+      backends.push_back(std::make_unique<Backend>(name, book));
   }
 
   // What the next file says; read by nodes' threads.
@@ -37,7 +38,8 @@
         "shared usual { probing no; attempts 3; connect_within 500 ms; idle 60 s; advise_wait 600 ms\n"
         "  cold { share 100 %; warm_up 1 s; fall_multiple 3; fall_span 1 s } }\n"
         "pool main { use usual;";
-    for (const auto& box : boxes) text += " box " + box->name + " { dial " + box->peer.dial() + " }";
+    for (const auto& backend : backends)
+      text += " box " + backend->name + " { dial " + backend->peer.dial() + " }";
     text +=
         " }\n"
         "route looks { path /look/*; class look; pool main }\n"
@@ -57,13 +59,14 @@
     config.shared->sharing.margin = 20;
     for (PoolConfig& pool : config.pools) {
       pool.host.settle = 0;
-      for (ListedBackend& box : pool.known.backends) box.health = draining == box.host ? "draining" : "ready";
+      for (ListedBackend& backend : pool.known.backends)
+        backend.health = draining == backend.host ? "draining" : "ready";
     }
     return config;
   }
 
   Book book;
-  std::vector<std::unique_ptr<Box>> boxes;
+  std::vector<std::unique_ptr<Backend>> backends;
   fleet::StandIn store;
   std::mutex mutex;
   std::string draining, wait = "1 s";
@@ -94,7 +97,7 @@
     return generation_;
   }
 
-  // The box that answered, or the status where none did.
+  // The backend that answered, or the status where none did.
   std::string ask(const std::string& path, const std::string& key) const {
     static int last = 0;
     Line line = Line::connect(port_);
@@ -146,15 +149,15 @@
   while (!until()) std::this_thread::sleep_for(std::chrono::milliseconds(10));
 }
 
-TEST(KeysNode, AKeyHasOneBoxWhicheverProcessIsAskedThroughARestartADrainAndAStoreThatIsAway) {
+TEST(KeysNode, AKeyHasOneBackendWhicheverProcessIsAskedThroughARestartADrainAndAStoreThatIsAway) {
   Fleet fleet;
   auto one = std::make_unique<Node>(fleet, "one");
   Node two(fleet, "two");
   const auto map = whole_map(*one);
   EXPECT_EQ(whole_map(two), map);
   std::set<std::string> in_use;
-  for (const auto& [key, box] : map) in_use.insert(box);
-  EXPECT_EQ(in_use.size(), fleet.boxes.size());
+  for (const auto& [key, backend] : map) in_use.insert(backend);
+  EXPECT_EQ(in_use.size(), fleet.backends.size());
 
   // A process that comes anew moves no key.
   one.reset();
@@ -162,7 +165,7 @@
   one = std::make_unique<Node>(fleet, "one");
   EXPECT_EQ(whole_map(*one), map);
 
-  // One box drains: its keys move, no other does, and none ever comes back.
+  // One backend drains: its keys move, no other does, and none ever comes back.
   fleet.set(&Fleet::draining, "b");
   one->reload();
   two.reload();
@@ -172,14 +175,15 @@
     return std::none_of(moved.begin(), moved.end(), [](const auto& at) { return at.second == "b"; });
   });
   EXPECT_EQ(whole_map(two), moved);
-  for (const auto& [key, box] : map) {
-    if (box != "b") {
-      EXPECT_EQ(moved[key], box);
+  for (const auto& [key, backend] : map) {
+    if (backend != "b") {
+      EXPECT_EQ(moved[key], backend);
     }
   }
   for (const auto& [key, met] : fleet.book.all()) EXPECT_LE(met.size(), map.at(key) == "b" ? 2U : 1U) << key;
 
-  // Without the store a key has no box once the lease has run out; who would only rather have one goes on.
+  // Without the store a key has no backend once the lease has run out; who would only rather have one goes
+  // on.
   fleet.store.with([](lab::EtcdServer& server) { server.down(true); });
   wait_for([&] { return two.ask("/look/1", "10") == "503"; });
   for (const std::string& key : keys()) {
@@ -200,9 +204,9 @@
     fleet.set(&Fleet::wait, wait);
     one.reload();
     while (one.generation() == before) {
-      for (const auto& [key, box] : map) EXPECT_EQ(one.ask("/look/1", key), box);
+      for (const auto& [key, backend] : map) EXPECT_EQ(one.ask("/look/1", key), backend);
     }
-    for (const auto& [key, box] : map) EXPECT_EQ(one.ask("/look/1", key), box);
+    for (const auto& [key, backend] : map) EXPECT_EQ(one.ask("/look/1", key), backend);
   }
 }
 
--- a/tests/membership/follower_test.cpp
+++ b/tests/membership/follower_test.cpp
@@ -78,13 +78,13 @@
     EXPECT_FALSE(parse_line(text, cause)) << text;
     EXPECT_NE(cause.find(words), std::string::npos) << text << ": " << cause;
   }
-  const std::pair<const char*, const char*> bad_boxes[] = {
+  const std::pair<const char*, const char*> bad_backends[] = {
       {"{}", "dial is not told"},
       {R"({"dial":"a:1"})", "health is not told"},
       {R"({"dial":"a:1","health":"ready","block":1.5})", "block is no whole number"},
       {R"({"dial":"a:1","health":"ready","share":0})", "share is out of its bounds"},
       {R"({"dial":"a:1","health":"ready","born_ms":-5})", "born_ms is out of its bounds"}};
-  for (const auto& [text, words] : bad_boxes) {
+  for (const auto& [text, words] : bad_backends) {
     EXPECT_FALSE(parse_member("b", text, cause)) << text;
     EXPECT_NE(cause.find(words), std::string::npos) << text << ": " << cause;
   }
@@ -92,7 +92,7 @@
   EXPECT_FALSE(parse_page(std::move(deep), cause));
 }
 
-RC_GTEST_PROP(Messages, ABoxIsReadAsItWasWritten, ()) {
+RC_GTEST_PROP(Messages, ABackendIsReadAsItWasWritten, ()) {
   Member m;
   m.host = "h";
   m.dial = *rc::gen::element<std::string>("1.2.3.4:5", "a\"b", "\\");
@@ -371,7 +371,7 @@
   }
 }
 
-// Guards against missing what happened in a break: the watched revision is compacted away while two boxes
+// Guards against missing what happened in a break: the watched revision is compacted away while two backends
 // drain and one comes back under its old name with a new start.
 TEST(Follower, ABreakOverACompactionMissesNoDrain) {
   World world;
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -13,8 +13,8 @@
 
 std::string b(int n) { return std::string("b").append(std::to_string(n)); }
 
-Member box(const std::string& host, const std::string& health = "ready", Millis born = 0,
-           const std::string& dial = "") {
+Member backend(const std::string& host, const std::string& health = "ready", Millis born = 0,
+               const std::string& dial = "") {
   Member m;
   m.host = host;
   m.dial = dial.empty() ? std::string(host).append(":1") : dial;
@@ -25,7 +25,7 @@
 Entry at(std::uint64_t revision, const Member& member) { return {member, revision, false}; }
 View::Change to(std::uint64_t revision, const Member& member) { return {{member, revision, false}, false}; }
 View::Change lost(std::uint64_t revision, const std::string& host) {
-  return {{box(host, "gone"), revision, false}, true};
+  return {{backend(host, "gone"), revision, false}, true};
 }
 
 std::string said(const Update& update) {
@@ -37,7 +37,7 @@
 
 std::vector<Entry> ten(int from = 0) {
   std::vector<Entry> all;
-  for (int n = from; n < 10; ++n) all.push_back(at(1, box(b(n))));
+  for (int n = from; n < 10; ++n) all.push_back(at(1, backend(b(n))));
   return all;
 }
 
@@ -47,8 +47,8 @@
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
   std::vector<Entry> entries = ten(2);
-  entries.push_back(at(8, box("b1", "ready", 900)));
-  entries[0] = at(7, box("b2", "draining"));
+  entries.push_back(at(8, backend("b1", "ready", 900)));
+  entries[0] = at(7, backend("b2", "draining"));
   EXPECT_EQ(said(view.snapshot(0, 7, 9, entries, 100)), "b1=ready b2=draining b0=gone");
   EXPECT_EQ(view.ready(), 8U);
 }
@@ -56,15 +56,15 @@
 TEST(View, OlderNewsNeverOverwritesNewer) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
-  view.change(0, {to(9, box("b1", "draining"))}, 10);
-  EXPECT_EQ(said(view.change(0, {to(8, box("b1"))}, 20)), "");
-  EXPECT_EQ(said(view.change(0, {to(9, box("b1"))}, 20)), "");  // the same once more
+  view.change(0, {to(9, backend("b1", "draining"))}, 10);
+  EXPECT_EQ(said(view.change(0, {to(8, backend("b1"))}, 20)), "");
+  EXPECT_EQ(said(view.change(0, {to(9, backend("b1"))}, 20)), "");  // the same once more
   const Update stale = view.snapshot(0, 7, 8, ten(), 30);
   EXPECT_TRUE(stale.behind);
   EXPECT_EQ(said(stale), "");
   view.change(0, {lost(10, "b1")}, 40);
-  EXPECT_EQ(said(view.change(0, {to(9, box("b1"))}, 50)), "");  // a tombstone knows its revision
-  EXPECT_EQ(said(view.change(0, {to(11, box("b1", "ready", 60))}, 60)), "b1=ready");
+  EXPECT_EQ(said(view.change(0, {to(9, backend("b1"))}, 50)), "");  // a tombstone knows its revision
+  EXPECT_EQ(said(view.change(0, {to(11, backend("b1", "ready", 60))}, 60)), "b1=ready");
 }
 
 // An empty or halved answer is held and asked for again; it counts only once it has lasted.
@@ -100,17 +100,17 @@
   }
   EXPECT_EQ(gone, "b0=gone;b1=gone;b2=gone;b3=gone;b4=gone;;;;");
   EXPECT_EQ(view.held(), 3U);
-  EXPECT_EQ(said(view.change(0, {to(30, box("b8", "draining")), to(31, box("b9", "draining"))}, 200)),
+  EXPECT_EQ(said(view.change(0, {to(30, backend("b8", "draining")), to(31, backend("b9", "draining"))}, 200)),
             "b8=draining b9=draining");
-  EXPECT_EQ(said(view.change(0, {to(32, box("b5", "draining"))}, 210)), "b5=draining");
-  EXPECT_EQ(said(view.change(0, {to(33, box("b6"))}, 220)), "");  // it was shown ready all along
+  EXPECT_EQ(said(view.change(0, {to(32, backend("b5", "draining"))}, 210)), "b5=draining");
+  EXPECT_EQ(said(view.change(0, {to(33, backend("b6"))}, 220)), "");  // it was shown ready all along
   EXPECT_EQ(view.held(), 1U);
   EXPECT_EQ(said(view.believe(230)), "b7=gone");
 }
 
-TEST(View, FewBoxesHaveNoFloorAndZeroIsNone) {
+TEST(View, FewBackendsHaveNoFloorAndZeroIsNone) {
   View few;
-  few.snapshot(0, 7, 5, {at(1, box("a")), at(1, box("b"))}, 0);
+  few.snapshot(0, 7, 5, {at(1, backend("a")), at(1, backend("b"))}, 0);
   EXPECT_EQ(said(few.snapshot(0, 7, 6, {}, 10)), "a=gone b=gone");
   Options options;
   options.floor = 0;
@@ -124,36 +124,38 @@
 TEST(View, ANewEpochBringsNobodyBack) {
   View view;
   view.snapshot(0, 7, 50, ten(), 0);
-  view.change(
-      0, {to(51, box("b0", "draining")), to(52, box("b1", "draining")), to(54, box("b2", "draining"))}, 10);
+  view.change(0,
+              {to(51, backend("b0", "draining")), to(52, backend("b1", "draining")),
+               to(54, backend("b2", "draining"))},
+              10);
   view.change(0, {lost(53, "b1")}, 20);
   std::vector<Entry> old = ten();
-  old[2] = at(1, box("b2", "ready", 15));
+  old[2] = at(1, backend("b2", "ready", 15));
   EXPECT_EQ(said(view.snapshot(0, 8, 40, old, 100)), "b2=ready");
   EXPECT_EQ(view.counters().kept_out, 2U);
   EXPECT_EQ(said(view.snapshot(0, 8, 41, old, 200)), "");
-  EXPECT_EQ(said(view.change(0, {to(42, box("b0"))}, 300)), "b0=ready");
+  EXPECT_EQ(said(view.change(0, {to(42, backend("b0"))}, 300)), "b0=ready");
 }
 
 // An address that passes to a new id: the old one gets nothing more, though its source still lists it.
-TEST(View, AnAddressAnswersForOneBox) {
+TEST(View, AnAddressAnswersForOneBackend) {
   View view;
-  view.snapshot(0, 7, 5, {at(1, box("old", "ready", 10, "x:1")), at(2, box("other"))}, 0);
-  EXPECT_EQ(said(view.change(0, {to(6, box("new", "ready", 500, "x:1"))}, 10)), "old=gone new=ready");
-  EXPECT_EQ(said(view.change(0, {to(7, box("older", "ready", 5, "x:1"))}, 20)), "");
+  view.snapshot(0, 7, 5, {at(1, backend("old", "ready", 10, "x:1")), at(2, backend("other"))}, 0);
+  EXPECT_EQ(said(view.change(0, {to(6, backend("new", "ready", 500, "x:1"))}, 10)), "old=gone new=ready");
+  EXPECT_EQ(said(view.change(0, {to(7, backend("older", "ready", 5, "x:1"))}, 20)), "");
   EXPECT_EQ(view.ready(), 2U);
 }
 
-// A box that comes and goes is told draining for longer and longer; each drain counts at once.
-TEST(View, AFlappingBoxWaits) {
+// A backend that comes and goes is told draining for longer and longer; each drain counts at once.
+TEST(View, AFlappingBackendWaits) {
   Options options;
   options.flaps = 2;
   View view(options);
   view.snapshot(0, 7, 5, ten(), 0);
   std::uint64_t revision = 10;
   const auto flap = [&](Millis now) {
-    const std::string drained = said(view.change(0, {to(revision++, box("b3", "draining"))}, now));
-    return drained + " " + said(view.change(0, {to(revision++, box("b3"))}, now + 1));
+    const std::string drained = said(view.change(0, {to(revision++, backend("b3", "draining"))}, now));
+    return drained + " " + said(view.change(0, {to(revision++, backend("b3"))}, now + 1));
   };
   EXPECT_EQ(flap(100), "b3=draining b3=ready");
   EXPECT_EQ(flap(200), "b3=draining b3=ready");
@@ -163,25 +165,25 @@
   EXPECT_EQ(said(view.tick(301 + options.flap_wait)), "b3=ready");
 }
 
-// The first source that names a box says what it is; a drain by any of them counts, and what one saw leave
-// after its drain the other does not bring back.
+// The first source that names a backend says what it is; a drain by any of them counts, and what one saw
+// leave after its drain the other does not bring back.
 TEST(View, SourcesByPrecedence) {
   View view({}, 2);
-  Member far = box("a");
+  Member far = backend("a");
   far.site = "far";
-  Member near = box("a");
+  Member near = backend("a");
   near.site = "near";
-  view.snapshot(1, 1, 1, {at(1, far), at(1, box("only"))}, 0);
+  view.snapshot(1, 1, 1, {at(1, far), at(1, backend("only"))}, 0);
   EXPECT_EQ(said(view.snapshot(0, 9, 3, {at(1, near)}, 10)), "a=ready");
   EXPECT_EQ(view.members()[0].site, "near");
-  EXPECT_EQ(said(view.change(1, {to(2, box("a", "draining"))}, 20)), "a=draining");
-  EXPECT_EQ(said(view.change(1, {to(3, box("a"))}, 30)), "a=ready");
-  view.change(0, {to(4, box("a", "draining"))}, 40);
+  EXPECT_EQ(said(view.change(1, {to(2, backend("a", "draining"))}, 20)), "a=draining");
+  EXPECT_EQ(said(view.change(1, {to(3, backend("a"))}, 30)), "a=ready");
+  view.change(0, {to(4, backend("a", "draining"))}, 40);
   EXPECT_EQ(said(view.change(0, {lost(5, "a")}, 50)), "a=gone");
-  EXPECT_EQ(said(view.change(1, {to(4, box("a"))}, 60)), "");
+  EXPECT_EQ(said(view.change(1, {to(4, backend("a"))}, 60)), "");
 }
 
-TEST(View, AnUnreadableEntryLeavesTheBoxAsItWas) {
+TEST(View, AnUnreadableEntryLeavesTheBackendAsItWas) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
   std::vector<Entry> entries = ten();
@@ -193,8 +195,8 @@
 
 // ---- random histories ----
 
-// What the registry really went through: every box's last change, and what a client was told of it. Drains
-// told and not overturned by newer news are the ones that must never be missed.
+// What the registry really went through: every backend's last change, and what a client was told of it.
+// Drains told and not overturned by newer news are the ones that must never be missed.
 RC_GTEST_PROP(ViewModel, ConvergesMissesNoDrainAndResurrectsNobody, ()) {
   Options options;
   options.floor = *rc::gen::element(0.0, 0.5);
@@ -248,7 +250,8 @@
           truth.erase(known);
           log.push_back({lost(revision, host)});
         } else {
-          const Entry entry = at(revision, box(host, what == 1 ? "draining" : "ready", what == 2 ? now : 0));
+          const Entry entry =
+              at(revision, backend(host, what == 1 ? "draining" : "ready", what == 2 ? now : 0));
           truth[host] = entry;
           log.push_back({{entry, false}});
         }
@@ -322,12 +325,12 @@
     const int what = *rc::gen::inRange(0, 4);
     Update update;
     if (what == 0) {
-      update = view.change(0, {to(++revision, box(host, "draining"))}, now);
+      update = view.change(0, {to(++revision, backend(host, "draining"))}, now);
       left.insert(host);
     } else if (what == 1) {
       update = view.change(0, {lost(++revision, host)}, now);
     } else if (what == 2) {
-      update = view.change(0, {to(++revision, box(host))}, now);
+      update = view.change(0, {to(++revision, backend(host))}, now);
       left.erase(host);
     } else {
       revision = *rc::gen::inRange<std::uint64_t>(20, 100);
--- a/tests/policy_host_test.cpp
+++ b/tests/policy_host_test.cpp
@@ -340,8 +340,8 @@
 // ---- subsets ----
 
 struct Part {
-  explicit Part(int boxes = 400, int size = 20) : policy_host(settings(), host(), 1, fleet(size)) {
-    policy_host.start(list_of(boxes), now);
+  explicit Part(int backends = 400, int size = 20) : policy_host(settings(), host(), 1, fleet(size)) {
+    policy_host.start(list_of(backends), now);
   }
   static FleetOptions fleet(int size) {
     FleetOptions options;
@@ -388,7 +388,7 @@
   EXPECT_GE(counters->members, 10U);
   EXPECT_LE(counters->members, 36U);
   EXPECT_EQ(part.used().size(), counters->members);
-  EXPECT_EQ(Part(8).used().size(), 8U);  // fewer boxes than the subset's size
+  EXPECT_EQ(Part(8).used().size(), 8U);  // fewer backends than the subset's size
 }
 
 // Rule "drains are kept", on a part: a member that drains gets nothing new from that moment, without waiting
@@ -406,8 +406,8 @@
   EXPECT_GE(part.policy_host.subset_counters()->members, before.size() * 7 / 10);
 }
 
-// A change among boxes of other nodes' parts leaves this one's as it is, or nearly.
-TEST(PolicyHostSubset, ABoxElsewhereMovesFew) {
+// A change among backends of other nodes' parts leaves this one's as it is, or nearly.
+TEST(PolicyHostSubset, ABackendElsewhereMovesFew) {
   Part part;
   const std::set<BackendId> before = part.used();
   std::set<std::string> members;
@@ -423,7 +423,7 @@
 
 // The hard case: all of its members drain in one deploy. Others stand in; it is never without while anybody
 // is ready, and numbers of those gone are given back.
-TEST(PolicyHostSubset, ASubsetAllOfWhoseBoxesDrainIsDrawnAnew) {
+TEST(PolicyHostSubset, ASubsetAllOfWhoseBackendsDrainIsDrawnAnew) {
   Part part;
   for (int round = 0; round < 15; ++round) {
     for (const BackendId b : part.used()) {
@@ -455,8 +455,8 @@
   EXPECT_EQ(part.policy_host.subset_counters()->members, before.size());
 }
 
-// Guards against counting silences on over a box's absence: one that was silent, went and came back is judged
-// anew.
+// Guards against counting silences on over a backend's absence: one that was silent, went and came back is
+// judged anew.
 TEST(PolicyHostSubset, AMemberThatCameBackIsJudgedAnew) {
   Part part;
   const std::set<BackendId> before = part.used();
--- a/tests/pools_test.cpp
+++ b/tests/pools_test.cpp
@@ -27,7 +27,7 @@
 std::string pool(const std::string& name, const std::string& rest) {
   return "pool " + name + " { use usual; " + rest + " }\n";
 }
-std::string box(const Peer& peer, const std::string& rest = "") {
+std::string backend(const Peer& peer, const std::string& rest = "") {
   return "box s-" + std::to_string(peer.port()) + " { dial " + peer.dial() + " " + rest + "}";
 }
 std::string route(const std::string& name, const std::string& to) {
@@ -125,12 +125,12 @@
 TEST(Pools, ARequestEndsUnderTheGenerationThatReadIt) {
   Peer old;
   Peer fresh;
-  Node node(kHead + pool("a", box(old)) + route("charge", "pool a"));
+  Node node(kHead + pool("a", backend(old)) + route("charge", "pool a"));
   Line client = node.client();
   client.write(ask("POST", "/charge/1"));
   Line there = old.accept();
   ASSERT_FALSE(there.request().empty());
-  node.reload(kHead + pool("b", box(fresh)) + route("charge", "pool b"));
+  node.reload(kHead + pool("b", backend(fresh)) + route("charge", "pool b"));
   Line other = node.client();
   other.write(ask("POST", "/charge/2"));
   Line at_fresh = fresh.accept();
@@ -143,17 +143,17 @@
   EXPECT_TRUE(node.comes_to(2, 2));  // the class check keeps generation 1 for its window of 10 s
 }
 
-// The same with a box that dies under the charge after the pool was taken out: it may have run, so it is
-// answered as failed, and no box of the new pool sees it.
+// The same with a backend that dies under the charge after the pool was taken out: it may have run, so it is
+// answered as failed, and no backend of the new pool sees it.
 TEST(Pools, AChargeOfAPoolThatWasTakenOutIsNotSentElsewhere) {
   Peer old;
   Peer fresh;
-  Node node(kHead + pool("a", box(old)) + route("charge", "pool a"));
+  Node node(kHead + pool("a", backend(old)) + route("charge", "pool a"));
   Line client = node.client();
   client.write(ask("POST", "/charge/1"));
   Line there = old.accept();
   ASSERT_FALSE(there.request().empty());
-  node.reload(kHead + pool("b", box(fresh)) + route("charge", "pool b"));
+  node.reload(kHead + pool("b", backend(fresh)) + route("charge", "pool b"));
   there.reset();
   EXPECT_EQ(status(client), "502");
   Line other = node.client();
@@ -171,8 +171,8 @@
   Peer fresh;
   std::string head = kHead;
   head.erase(head.find("class check"), head.find("class charge") - head.find("class check"));
-  Node node(head + pool("a", box(old)) + route("charge", "pool a"));
-  node.reload(head + pool("b", box(fresh)) + route("charge", "pool b"));
+  Node node(head + pool("a", backend(old)) + route("charge", "pool a"));
+  node.reload(head + pool("b", backend(fresh)) + route("charge", "pool b"));
   EXPECT_TRUE(node.comes_to(1, 2));
 }
 
@@ -181,31 +181,31 @@
 TEST(Pools, APoolThatIsToldAsBeforeGoesOnUnderAnyName) {
   Peer a;
   Peer b;
-  const std::string pools = pool("a", box(a)) + pool("b", box(b));
+  const std::string pools = pool("a", backend(a)) + pool("b", backend(b));
   Node node(kHead + pools + route("look", "pool a") + route("charge", "pool b"));
   Line client = node.client();
   Line there = first(client, ask("GET", "/look/1"), a);
-  node.reload(kHead + pool("renamed", box(a)) + pool("b", box(b) + "; attempts 2") +
+  node.reload(kHead + pool("renamed", backend(a)) + pool("b", backend(b) + "; attempts 2") +
               route("look", "pool renamed") + route("charge", "pool b"));
   pass(client, ask("GET", "/look/2"), there);
   // The class of the other pool changes: no matter here.
   std::string head = kHead;
   head.replace(head.find("charge { effect unsafe; aim 15 s"), 32, "charge { effect unsafe; aim 14 s");
-  node.reload(head + pool("renamed", box(a)) + pool("b", box(b)) + route("look", "pool renamed") +
+  node.reload(head + pool("renamed", backend(a)) + pool("b", backend(b)) + route("look", "pool renamed") +
               route("charge", "pool b"));
   pass(client, ask("GET", "/look/3"), there);
 }
 
-// A box that the file now says drains gets nothing new, and the pool goes on.
-TEST(Pools, AFileCanDrainABox) {
+// A backend that the file now says drains gets nothing new, and the pool goes on.
+TEST(Pools, AFileCanDrainABackend) {
   Peer a;
   Peer b;
-  Node node(kHead + pool("a", box(a)) + route("look", "pool a"));
+  Node node(kHead + pool("a", backend(a)) + route("look", "pool a"));
   Line client = node.client();
   client.write(ask("GET", "/look/1"));
   Line there = a.accept();
   ASSERT_FALSE(there.request().empty());
-  node.reload(kHead + pool("a", box(a, "; draining yes ") + "; " + box(b)) + route("look", "pool a"));
+  node.reload(kHead + pool("a", backend(a, "; draining yes ") + "; " + backend(b)) + route("look", "pool a"));
   for (int n = 0; n < 3; ++n) {
     Line other = node.client();
     other.write(ask("GET", "/look/2"));
@@ -224,7 +224,7 @@
   Peer a;
   Peer discovery;
   Peer b;
-  Node node(kHead + pool("a", box(a)) + route("look", "pool a"));
+  Node node(kHead + pool("a", backend(a)) + route("look", "pool a"));
   Line client = node.client();
   Line there = first(client, ask("GET", "/look/1"), a);
   node.reload(kHead + pool("b", "discovery " + discovery.dial()) + route("look", "pool b"));
@@ -244,8 +244,8 @@
 // Guards against a file with a mistake: nothing changes, and requests go on.
 TEST(Pools, ABadFileChangesNothing) {
   Peer a;
-  Node node(kHead + pool("a", box(a)) + route("look", "pool a"));
-  node.reload(kHead + pool("a", box(a)) + route("look", "pool nobody"));
+  Node node(kHead + pool("a", backend(a)) + route("look", "pool a"));
+  node.reload(kHead + pool("a", backend(a)) + route("look", "pool nobody"));
   EXPECT_EQ(node.generation, 1);
   Line client = node.client();
   Line there = first(client, ask("GET", "/look/1"), a);
@@ -254,7 +254,7 @@
 // The same where the mistake shows only when a pool is made: keys that cannot be read.
 TEST(Pools, KeysOfNoUseChangeNothing) {
   Peer a;
-  Node node(kHead + pool("a", box(a)) + route("look", "pool a"));
+  Node node(kHead + pool("a", backend(a)) + route("look", "pool a"));
   node.reload(kHead + pool("b", "registry { endpoints 127.0.0.1:1; prefix /b/; ca /nowhere/ca.pem }") +
               route("look", "pool b"));
   EXPECT_EQ(node.generation, 1);
@@ -268,7 +268,7 @@
 TEST(Pools, AnotherPoolStandsInButNotForARepeat) {
   Peer away;
   Peer spare;
-  Node node(kHead + pool("a", box(away, "; draining yes ") + "; fallback b") + pool("b", box(spare)) +
+  Node node(kHead + pool("a", backend(away, "; draining yes ") + "; fallback b") + pool("b", backend(spare)) +
             route("check", "pool a"));
   Line client = node.client();
   Line there = first(client, ask("POST", "/check/1", kKey), spare);
@@ -287,7 +287,7 @@
   Peer a;
   Peer spare;
   const auto text = [&](const std::string& drains) {
-    return kHead + pool("a", box(a, drains) + "; fallback b") + pool("b", box(spare)) +
+    return kHead + pool("a", backend(a, drains) + "; fallback b") + pool("b", backend(spare)) +
            route("look", "pool a");
   };
   Node node(text(""));
@@ -312,7 +312,7 @@
 TEST(Pools, ARepeatAfterASwapGoesWhereItsFirstTryWent) {
   Peer a;
   Peer b;
-  const std::string pools = pool("a", box(a)) + pool("b", box(b));
+  const std::string pools = pool("a", backend(a)) + pool("b", backend(b));
   Node node(kHead + pools + route("check", "pool a") + route("look", "pool b"));
   Line client = node.client();
   client.write(ask("POST", "/check/1", kKey));
@@ -349,7 +349,7 @@
   Peer a;
   Peer b;
   const auto text = [&](int part) {
-    return kHead + pool("a", box(a)) + pool("b", box(b)) +
+    return kHead + pool("a", backend(a)) + pool("b", backend(b)) +
            route("look", "split a " + std::to_string(100 - part) + " %; split b " + std::to_string(part) +
                              " %; by X-Client-ID");
   };
