--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -32,11 +32,11 @@
 Outcome parse_outcome(std::string_view code) {
   if (code == "served") return Outcome::kServed;
   if (code == "server_error") return Outcome::kError;
-  if (code == "turned_away") return Outcome::kTurnedAway;
+  if (code == "turned_away") return Outcome::kRejected;
   if (code == "no_answer") return Outcome::kNoAnswer;
   if (code == "no_connection") return Outcome::kNoConnection;
   if (code == "connection_lost") return Outcome::kConnectionLost;
-  if (code == "called_off") return Outcome::kCalledOff;
+  if (code == "called_off") return Outcome::kCancelled;
   if (code == "not_sent") return Outcome::kNotSent;
   throw FieldError("unknown StateCode \"" + std::string(code) + "\"");
 }
--- a/src/lab/audit_answers.cpp
+++ b/src/lab/audit_answers.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Whether whoever sent it must reckon with its having run. A box that has turned it away never ran it.
-bool may_have_run(const Arrived& a) { return a.last_byte > 0 && a.end != BoxEnd::kTurnedAway; }
+bool may_have_run(const Arrived& a) { return a.last_byte > 0 && a.end != BoxEnd::kRejected; }
 
 // Lost with a process that was killed, or that stood still past the due time: nobody could have answered.
 bool excused(const RunView& view, const Asked& asked, Audit& audit) {
--- a/src/lab/audit_attempts.cpp
+++ b/src/lab/audit_attempts.cpp
@@ -11,7 +11,7 @@
 constexpr Millis kSeenApart = 5;  // or by as much as the stand-ins were late at worst
 
 // Whether whoever sent it must reckon with its having run. A box that has turned it away never ran it.
-bool may_have_run(const Arrived& a) { return a.last_byte > 0 && a.end != BoxEnd::kTurnedAway; }
+bool may_have_run(const Arrived& a) { return a.last_byte > 0 && a.end != BoxEnd::kRejected; }
 
 void judge_second(const RunView& view, const Asked& asked, const Arrived& first, const Arrived& next,
                   Findings& findings) {
--- a/src/lab/box.cpp
+++ b/src/lab/box.cpp
@@ -118,7 +118,7 @@
 void Box::gone(std::size_t line) {
   Arrived& record = world_.ledger[line];
   record.closed = clock_now();
-  if (record.end != BoxEnd::kTurnedAway && record.end != BoxEnd::kSpoilt && record.answered == 0) {
+  if (record.end != BoxEnd::kRejected && record.end != BoxEnd::kSpoilt && record.answered == 0) {
     record.end = BoxEnd::kDropped;
   }
   model_.cancel(record.serial);
--- a/src/lab/box_connection.cpp
+++ b/src/lab/box_connection.cpp
@@ -68,7 +68,7 @@
 }
 
 void Box::Connection::turn_away(std::size_t line) {
-  box_->world_.ledger[line].end = BoxEnd::kTurnedAway;
+  box_->world_.ledger[line].end = BoxEnd::kRejected;
   send(line, head(503, "X-Not-Processed: 1\r\n" + box_->load_field(), 0), 503);
 }
 
--- a/src/lab/box_press.cpp
+++ b/src/lab/box_press.cpp
@@ -25,7 +25,7 @@
   }
   for (const Arrived& a : run_.arrived) {
     if (a.last_byte == 0 || a.repeat) continue;
-    const bool away = a.end == BoxEnd::kTurnedAway;
+    const bool away = a.end == BoxEnd::kRejected;
     const Millis until = away ? a.last_byte : a.began > 0 ? a.began : a.closed > 0 ? a.closed : a.last_byte;
     const Millis aim = run_.classes[static_cast<std::size_t>(std::max(0, a.request_class))].aim;
     if (!away && until - a.last_byte < kLong * aim) continue;
--- a/src/lab/records.cpp
+++ b/src/lab/records.cpp
@@ -28,7 +28,7 @@
       return "served";
     case BoxEnd::kErred:
       return "erred";
-    case BoxEnd::kTurnedAway:
+    case BoxEnd::kRejected:
       return "turned_away";
     case BoxEnd::kSpoilt:
       return "spoilt";
--- a/src/lab/records.h
+++ b/src/lab/records.h
@@ -61,13 +61,13 @@
 
 // How an attempt ended, as the box saw it.
 enum class BoxEnd {
-  kOpen,        // not ended when the record was taken
-  kServed,      // 200, the whole answer handed to the system
-  kErred,       // 500
-  kTurnedAway,  // with X-Not-Processed
-  kSpoilt,      // an answer that no client can use, or one cut on purpose
-  kDropped,     // the connection ended, or the box died, before the answer was out
-  kSwallowed,   // the answer was lost on a link that passes nothing
+  kOpen,       // not ended when the record was taken
+  kServed,     // 200, the whole answer handed to the system
+  kErred,      // 500
+  kRejected,   // with X-Not-Processed
+  kSpoilt,     // an answer that no client can use, or one cut on purpose
+  kDropped,    // the connection ended, or the box died, before the answer was out
+  kSwallowed,  // the answer was lost on a link that passes nothing
 };
 
 // One attempt at one box: a line of its ledger.
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -483,10 +483,10 @@
       if (box.dead) return back(due.what, Outcome::kNoConnection, kConnectTimeout);
       return back(due.what, Outcome::kNoConnection, 0);
     }
-    if (box.draining) return back(due.what, Outcome::kTurnedAway, 0);
+    if (box.draining) return back(due.what, Outcome::kRejected, 0);
     ModelRequest& r = nodes_[a.node].requests.at(a.request);
     const BoxModel::Verdict verdict = box.model.arrive(now_, due.what, r.work, static_cast<int>(a.node));
-    if (verdict == BoxModel::Verdict::kFull) return back(due.what, Outcome::kTurnedAway, 0);
+    if (verdict == BoxModel::Verdict::kFull) return back(due.what, Outcome::kRejected, 0);
     if (verdict == BoxModel::Verdict::kFell) {
       if (!std::exchange(box.fallen, true)) ++result_.fallen;
       const std::vector<std::uint64_t> jobs = std::exchange(box.jobs, {});
@@ -555,7 +555,7 @@
     ModelAttempt& a = attempts_[slot];
     if (!a.open) return;
     if (a.arrived && boxes_[a.box].model.cancel(slot)) std::erase(boxes_[a.box].jobs, slot);
-    finish(slot, Outcome::kCalledOff);
+    finish(slot, Outcome::kCancelled);
   }
 
   void finish(std::uint64_t slot, Outcome outcome) {
@@ -578,7 +578,7 @@
     ended.attempt = a.number;
     ended.outcome = outcome;
     ended.elapsed = now_ - a.sent;
-    ended.has_report = outcome == Outcome::kServed || outcome == Outcome::kTurnedAway;
+    ended.has_report = outcome == Outcome::kServed || outcome == Outcome::kRejected;
     ended.report = a.load;
     if (outcome == Outcome::kServed && !r.over) {
       r.over = true;
@@ -598,7 +598,7 @@
 
   // As the node does: three silences in a row, and a member counts as no capacity.
   void note_silence(ModelNode& node, std::uint32_t box, Outcome outcome) {
-    if (!node.subset || outcome == Outcome::kCalledOff) return;
+    if (!node.subset || outcome == Outcome::kCancelled) return;
     const bool silent = outcome == Outcome::kNoAnswer || outcome == Outcome::kNoConnection;
     const std::uint64_t key = (static_cast<std::uint64_t>(&node - nodes_.data()) << 32) | box;
     if (!silent) {
--- a/src/lab/summary.cpp
+++ b/src/lab/summary.cpp
@@ -167,7 +167,7 @@
     BoxFigure& box = summary.boxes.at(static_cast<std::size_t>(arrived.box));
     ++box.attempts;
     box.ran += arrived.began > 0;
-    box.turned_away += arrived.end == BoxEnd::kTurnedAway;
+    box.turned_away += arrived.end == BoxEnd::kRejected;
     box.lost += arrived.end == BoxEnd::kDropped || arrived.end == BoxEnd::kSpoilt ||
                 arrived.end == BoxEnd::kSwallowed;
     ++summary.box_ends[name_of(arrived.end)];
--- a/src/net/ending.cpp
+++ b/src/net/ending.cpp
@@ -8,7 +8,7 @@
       return "served";
     case Ending::kErred:
       return "erred";
-    case Ending::kTurnedAway:
+    case Ending::kRejected:
       return "turned_away";
     case Ending::kRefused:
       return "refused";
@@ -28,7 +28,7 @@
       return "malformed";
     case Ending::kTimeout:
       return "timeout";
-    case Ending::kCalledOff:
+    case Ending::kCancelled:
       return "called_off";
     case Ending::kPeerClosed:
       return "peer_closed";
--- a/src/net/ending.h
+++ b/src/net/ending.h
@@ -6,9 +6,9 @@
 
 enum class Ending {
   // An answer came whole.
-  kServed,      // 200
-  kErred,       // 500, or any other answer that does not exclude that the request ran
-  kTurnedAway,  // 503 or 504 that says the request was not processed
+  kServed,    // 200
+  kErred,     // 500, or any other answer that does not exclude that the request ran
+  kRejected,  // 503 or 504 that says the request was not processed
   // No answer, and the request's last byte was never written.
   kRefused,         // the other side's machine turned the connection down, or no way leads there
   kConnectTimeout,  // the connection did not come up in time
@@ -20,7 +20,7 @@
   kBroken,     // the connection broke or ended, within the answer too
   kMalformed,  // what came is no answer
   kTimeout,    // nothing came in time
-  kCalledOff,  // this node gave up
+  kCancelled,  // this node gave up
   // Nothing was under way, or this side ended it.
   kPeerClosed,  // the other side closed between messages, or a client went away
   kIdle,        // stood idle for long enough
--- a/src/node/box_source.cpp
+++ b/src/node/box_source.cpp
@@ -188,7 +188,7 @@
       config_.name, name_of(ending), end.after / 1000, end.silent / 1000, end.unfinished);
   // A connection that ends before a byte of an answer is what an agent shows that is down, and so is silence.
   const bool in_words =
-      ending == Ending::kTurnedAway || ending == Ending::kErred || ending == Ending::kMalformed;
+      ending == Ending::kRejected || ending == Ending::kErred || ending == Ending::kMalformed;
   unreached_ = !in_words;
   const double random = std::uniform_real_distribution<double>(0, 1)(jitter_);
   const auto wait =
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -82,7 +82,7 @@
   }
   if (!parser_.has_head()) return;
   if (parser_.head().status != 200) {
-    return end(parser_.head().status == 503 ? Ending::kTurnedAway : Ending::kErred);
+    return end(parser_.head().status == 503 ? Ending::kRejected : Ending::kErred);
   }
   last_told_ = loop_.now();
   // In chunks, or with a stated length as an answer that is no watch.
--- a/src/node/facade.cpp
+++ b/src/node/facade.cpp
@@ -62,7 +62,7 @@
   open.over = open.over || pass;
   event.request_over = open.over;
   roster_.heard(event.backend, event.outcome);
-  room_.ended(event.outcome == Outcome::kTurnedAway);
+  room_.ended(event.outcome == Outcome::kRejected);
   if (load != nullptr) room_.reported(load->busy);
   requests_.ended(request, open);
   feed(event, now);
--- a/src/node/link.cpp
+++ b/src/node/link.cpp
@@ -235,7 +235,7 @@
   if (status == 200) return Ending::kServed;
   const bool away =
       job->probe ? status == 503 : (status == 503 || status == 504) && answer.value("x-not-processed") == "1";
-  return away ? Ending::kTurnedAway : Ending::kErred;
+  return away ? Ending::kRejected : Ending::kErred;
 }
 
 // The stream is closed by now, so what was written is as it was before.
--- a/src/node/outcome.cpp
+++ b/src/node/outcome.cpp
@@ -10,8 +10,8 @@
       return Outcome::kServed;
     case Ending::kErred:
       return Outcome::kError;
-    case Ending::kTurnedAway:
-      return Outcome::kTurnedAway;
+    case Ending::kRejected:
+      return Outcome::kRejected;
     // The request's last byte was never written: the backend cannot have begun it.
     case Ending::kRefused:
     case Ending::kConnectTimeout:
@@ -21,9 +21,9 @@
     case Ending::kTimeout:
     case Ending::kSilent:
       return Outcome::kNoAnswer;
-    case Ending::kCalledOff:
+    case Ending::kCancelled:
     case Ending::kEvicted:
-      return Outcome::kCalledOff;
+      return Outcome::kCancelled;
     // Nor was it here, but for this node's own sake: nothing speaks against the backend.
     case Ending::kNoDescriptor:
     case Ending::kLocalFailure:
--- a/src/node/outcome.h
+++ b/src/node/outcome.h
@@ -13,7 +13,7 @@
 
 // Whether an attempt that ended so cannot have run, nor will.
 inline bool never_ran(Outcome outcome) {
-  return outcome == Outcome::kTurnedAway || outcome == Outcome::kNoConnection || outcome == Outcome::kNotSent;
+  return outcome == Outcome::kRejected || outcome == Outcome::kNoConnection || outcome == Outcome::kNotSent;
 }
 inline bool never_ran(net::Ending ending) { return never_ran(outcome_of(ending)); }
 BackendState state_of(const std::string& health);
--- a/src/node/pool_record.h
+++ b/src/node/pool_record.h
@@ -37,7 +37,7 @@
   void validity(const ListValidity& validity) { listed_.validity(validity); }
   void probed(const std::string& host, const Result& result, Millis now) {
     if (result.ending == Ending::kServed) listed_.confirmed(host, now - result.elapsed);
-    if (result.ending == Ending::kTurnedAway) listed_.denied(host);
+    if (result.ending == Ending::kRejected) listed_.denied(host);
   }
   bool withdrawn(const std::string& host, Millis now) const { return listed_.withdrawn(host, now); }
 
--- a/src/node/roster.cpp
+++ b/src/node/roster.cpp
@@ -176,7 +176,7 @@
 
 // Whether a member answers, for the subset's count of its capacity. Any word from it will do.
 void Roster::heard(BackendId backend, Outcome outcome) {
-  if (!part_ || outcome == Outcome::kCalledOff || outcome == Outcome::kNotSent) return;
+  if (!part_ || outcome == Outcome::kCancelled || outcome == Outcome::kNotSent) return;
   Known& known = backends_[backend];
   const bool silent = outcome == Outcome::kNoAnswer || outcome == Outcome::kNoConnection;
   const int before = std::exchange(known.silences, silent ? known.silences + 1 : 0);
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -195,7 +195,7 @@
       std::find_if(first, last, [attempt](const auto& one) { return one.second->job->attempt == attempt; });
   if (found == last) return;
   const std::shared_ptr<Link> hold = found->second->shared_from_this();
-  finish(*hold, hold->written() ? Ending::kCalledOff : Ending::kStoppedUnsent, nullptr, false);
+  finish(*hold, hold->written() ? Ending::kCancelled : Ending::kStoppedUnsent, nullptr, false);
 }
 
 void Upstream::withdraw(const std::vector<BackendId>& unwanted) {
--- a/src/node/watch_waits.h
+++ b/src/node/watch_waits.h
@@ -38,7 +38,7 @@
     if (ending == Ending::kSilent || ending == Ending::kTimeout) return spread * random;
     if (ending == Ending::kConnectTimeout) return (asked ? kUnconnected : 1) * spread * random;
     if (asked) return std::nullopt;
-    const Millis most = ending == Ending::kTurnedAway ? kMost : std::max(kLeast, spread);
+    const Millis most = ending == Ending::kRejected ? kMost : std::max(kLeast, spread);
     wait_ = std::clamp(wait_ * 2, kLeast, most);
     return wait_ * (0.5 + random);
   }
--- a/src/policy/confirmations.h
+++ b/src/policy/confirmations.h
@@ -20,7 +20,7 @@
   void probed(BackendId i, Outcome outcome, Millis elapsed) {
     Checked& checked = of_[i];
     if (outcome == Outcome::kServed) return checked.last.passed(c_.now - elapsed);
-    if (outcome == Outcome::kTurnedAway) checked.last.failed();
+    if (outcome == Outcome::kRejected) checked.last.failed();
     checked.again_at = c_.now + kCheckAgain;
   }
 
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -26,11 +26,11 @@
 enum class Outcome {
   kServed,
   kError,
-  kTurnedAway,
+  kRejected,
   kNoAnswer,
   kNoConnection,
   kConnectionLost,
-  kCalledOff,
+  kCancelled,
   kNotSent
 };
 
--- a/src/policy/requests.h
+++ b/src/policy/requests.h
@@ -183,7 +183,7 @@
   }
 
   void learn(Request& r, Attempt& a, const AttemptEnded& e) {
-    const bool turned_away = e.outcome == Outcome::kTurnedAway;
+    const bool turned_away = e.outcome == Outcome::kRejected;
     a.out = false;
     // Exception "drains untold": turned away though that very answer shows a free core and nobody waiting. It
     // drains, and the list is late to say so; it would draw attempt after attempt while others are idle.
--- a/tests/crossings/answers_test.cpp
+++ b/tests/crossings/answers_test.cpp
@@ -95,7 +95,7 @@
       {"200 OK\r\n", Ending::kServed},
       {"500 No\r\n", Ending::kErred},
       {"503 Full\r\n", Ending::kErred},
-      {"503 Full\r\nX-Not-Processed: 1\r\n", Ending::kTurnedAway},
+      {"503 Full\r\nX-Not-Processed: 1\r\n", Ending::kRejected},
   };
   for (const auto& [start, ending] : cases) {
     Peer peer;
--- a/tests/crossings/attempts_test.cpp
+++ b/tests/crossings/attempts_test.cpp
@@ -198,7 +198,7 @@
     b.upstream.call_off(1, 0);
     b.upstream.call_off(1, 0);
   });
-  EXPECT_EQ(b.run(), Ending::kCalledOff);
+  EXPECT_EQ(b.run(), Ending::kCancelled);
   EXPECT_EQ(b.told, 1);
   EXPECT_EQ(b.upstream.connections(), 0U);
 }
--- a/tests/crossings/endings_test.cpp
+++ b/tests/crossings/endings_test.cpp
@@ -55,7 +55,7 @@
 // What the protocol says of each: these cannot have run.
 bool cannot_have_run(Ending ending) {
   switch (ending) {
-    case Ending::kTurnedAway:
+    case Ending::kRejected:
     case Ending::kRefused:
     case Ending::kConnectTimeout:
     case Ending::kNoDescriptor:
@@ -68,10 +68,10 @@
   }
 }
 
-const Ending kEndings[] = {Ending::kErred,          Ending::kTurnedAway,   Ending::kRefused,
+const Ending kEndings[] = {Ending::kErred,          Ending::kRejected,     Ending::kRefused,
                            Ending::kConnectTimeout, Ending::kNoDescriptor, Ending::kBrokenUnsent,
                            Ending::kStoppedUnsent,  Ending::kBroken,       Ending::kMalformed,
-                           Ending::kTimeout,        Ending::kCalledOff,    Ending::kPeerClosed,
+                           Ending::kTimeout,        Ending::kCancelled,    Ending::kPeerClosed,
                            Ending::kIdle,           Ending::kEvicted,      Ending::kSilent,
                            Ending::kDone,           Ending::kNotSent};
 
--- a/tests/crossings/lists_fleet.h
+++ b/tests/crossings/lists_fleet.h
@@ -109,7 +109,7 @@
     if (ill) {
       const std::map<Trouble, std::pair<Millis, net::Ending>> ends = {
           {Trouble::kRefuses, {0, net::Ending::kRefused}},
-          {Trouble::kTurnsAway, {2000, net::Ending::kTurnedAway}},
+          {Trouble::kTurnsAway, {2000, net::Ending::kRejected}},
           {Trouble::kCutOff, {1000, net::Ending::kConnectTimeout}},
           {Trouble::kMute, {3000, net::Ending::kTimeout}}};
       const auto [takes, ending] = ends.at(a_.trouble);
@@ -122,7 +122,7 @@
     const Millis done = std::max(free_, now_) + a_.call;
     const bool in_time = done <= now_ + 2000;
     if (in_time || a_.dead_work) free_ = done;
-    if (!in_time) return later(now_ + 2000, [this, &one] { ended(one, net::Ending::kTurnedAway); });
+    if (!in_time) return later(now_ + 2000, [this, &one] { ended(one, net::Ending::kRejected); });
     later(done, [this, &one] {
       one.waits.told();
       one.listed = now_;
--- a/tests/crossings/settings_judge.h
+++ b/tests/crossings/settings_judge.h
@@ -64,7 +64,7 @@
   }
 
   void ended(std::uint32_t id, int attempt, net::Ending ending) {
-    static const std::set<net::Ending> kNeverRan = {net::Ending::kTurnedAway,     net::Ending::kRefused,
+    static const std::set<net::Ending> kNeverRan = {net::Ending::kRejected,       net::Ending::kRefused,
                                                     net::Ending::kConnectTimeout, net::Ending::kBrokenUnsent,
                                                     net::Ending::kStoppedUnsent,  net::Ending::kNoDescriptor};
     Attempt& a = requests_.at(id).attempts.at(static_cast<std::size_t>(attempt));
--- a/tests/crossings/settings_order_test.cpp
+++ b/tests/crossings/settings_order_test.cpp
@@ -90,7 +90,7 @@
   f.pass(f.now + 5);
   ASSERT_EQ(f.sent.size(), 1U);
   f.facade.adopt(Held::settings(true), Held::host(), f.now);
-  const Choice next = f.facade.report(1, 0, Ending::kTurnedAway, 5, nullptr, f.now);
+  const Choice next = f.facade.report(1, 0, Ending::kRejected, 5, nullptr, f.now);
   if (next.kind == Choice::Kind::kSend) f.sent.push_back(next);
   f.pass(f.now + 980);
   EXPECT_EQ(f.sent.size(), 2U) << "the second is out, and came under settings that allow one at once";
--- a/tests/crossings/settings_world.h
+++ b/tests/crossings/settings_world.h
@@ -128,7 +128,7 @@
     for (auto it = ends_.begin(); it != ends_.end(); ++it) {
       if (it->second.request != id || it->second.attempt != attempt) continue;
       End end = it->second;
-      end.ending = Ending::kCalledOff;
+      end.ending = Ending::kCancelled;
       ends_.erase(it);
       return finish(end);
     }
@@ -203,10 +203,10 @@
   }
 
   inline static const std::vector<Ending> kEndings = {
-      Ending::kServed,       Ending::kServed,     Ending::kServed,       Ending::kServed,
-      Ending::kErred,        Ending::kTurnedAway, Ending::kTimeout,      Ending::kConnectTimeout,
-      Ending::kBrokenUnsent, Ending::kBroken,     Ending::kPeerClosed,   Ending::kStoppedUnsent,
-      Ending::kRefused,      Ending::kMalformed,  Ending::kNoDescriptor, Ending::kServed};
+      Ending::kServed,       Ending::kServed,    Ending::kServed,       Ending::kServed,
+      Ending::kErred,        Ending::kRejected,  Ending::kTimeout,      Ending::kConnectTimeout,
+      Ending::kBrokenUnsent, Ending::kBroken,    Ending::kPeerClosed,   Ending::kStoppedUnsent,
+      Ending::kRefused,      Ending::kMalformed, Ending::kNoDescriptor, Ending::kServed};
 
   Chance chance_;
   Made made_;
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -65,7 +65,7 @@
 TEST(Discovery, ATurnedAwayCallEndsTheWatch) {
   Watched w;
   w.answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-  EXPECT_EQ(w.ending, Ending::kTurnedAway);
+  EXPECT_EQ(w.ending, Ending::kRejected);
 }
 
 TEST(Discovery, LinesMaySpanChunks) {
--- a/tests/facade_test.cpp
+++ b/tests/facade_test.cpp
@@ -155,10 +155,10 @@
 // Rule "no effect twice": an unsafe request goes on only if its last byte was never written.
 TEST(Facade, EveryEndingOfAnUnsafeRequest) {
   const std::vector<std::pair<Ending, bool>> endings = {
-      {Ending::kTurnedAway, true},   {Ending::kRefused, true},      {Ending::kConnectTimeout, true},
+      {Ending::kRejected, true},     {Ending::kRefused, true},      {Ending::kConnectTimeout, true},
       {Ending::kNoDescriptor, true}, {Ending::kBrokenUnsent, true}, {Ending::kStoppedUnsent, true},
       {Ending::kErred, false},       {Ending::kBroken, false},      {Ending::kMalformed, false},
-      {Ending::kTimeout, false},     {Ending::kCalledOff, false},   {Ending::kPeerClosed, false},
+      {Ending::kTimeout, false},     {Ending::kCancelled, false},   {Ending::kPeerClosed, false},
       {Ending::kIdle, false},        {Ending::kEvicted, false},     {Ending::kSilent, false},
       {Ending::kDone, false},
   };
@@ -190,7 +190,7 @@
   const Errands errands = f.facade.tick(f.now);
   ASSERT_EQ(errands.call_off.size(), settings().cancelling ? 1U : 0U);
   EXPECT_TRUE(errands.choices.empty());
-  const Choice after = f.report(0, Ending::kCalledOff);
+  const Choice after = f.report(0, Ending::kCancelled);
   EXPECT_TRUE(after.kind == Choice::Kind::kHold || after.kind == Choice::Kind::kOver);
   EXPECT_EQ(f.facade.open_requests(), 0U);
 }
--- a/tests/home_test.cpp
+++ b/tests/home_test.cpp
@@ -48,7 +48,7 @@
     Choice choice = facade->pick(++last, ask, now);
     while (choice.kind == Choice::Kind::kSend) {
       all.push_back(facade->host(choice.backend));
-      choice = facade->report(last, choice.attempt, Ending::kTurnedAway, 1, nullptr, now);
+      choice = facade->report(last, choice.attempt, Ending::kRejected, 1, nullptr, now);
     }
     EXPECT_EQ(choice.kind, Choice::Kind::kRefuse);
     return all;
--- a/tests/lab/audit_test.cpp
+++ b/tests/lab/audit_test.cpp
@@ -211,7 +211,7 @@
       {"unsafe_again_after_being_turned_away",
        kUnsafe,
        [](Run& r) {
-         r.arrived[0].end = BoxEnd::kTurnedAway;
+         r.arrived[0].end = BoxEnd::kRejected;
          r.arrived[0].began = 0;
          another(r, 152, 1);
          r.asked[0].run = 2;
@@ -235,9 +235,7 @@
       {"failed_after_a_run", kUnsafe, [](Run& r) { r.asked[0].status = 502; }, {}},
       {"refused_after_being_turned_away",
        kUnsafe,
-       [](Run& r) {
-         r.asked[0].status = 503, r.arrived[0].end = BoxEnd::kTurnedAway, r.arrived[0].began = 0;
-       },
+       [](Run& r) { r.asked[0].status = 503, r.arrived[0].end = BoxEnd::kRejected, r.arrived[0].began = 0; },
        {}},
       {"keyed_again_in_its_zone",
        kKeyed,
--- a/tests/lab/fleet_records.h
+++ b/tests/lab/fleet_records.h
@@ -53,7 +53,7 @@
 // One more attempt of the last request: the one before was turned away when it came.
 inline void again(Run& run, int box) {
   Arrived next = run.arrived.back();
-  run.arrived.back().end = BoxEnd::kTurnedAway;
+  run.arrived.back().end = BoxEnd::kRejected;
   run.arrived.back().began = 0;
   run.arrived.back().answered = run.arrived.back().first_byte;
   next.serial += 1;
--- a/tests/policy/confirmations_test.cpp
+++ b/tests/policy/confirmations_test.cpp
@@ -73,7 +73,7 @@
     const BackendId backend = open.back();
     open.pop_back();
     ++failed;
-    const auto actions = node.check_ends(backend, Outcome::kTurnedAway);
+    const auto actions = node.check_ends(backend, Outcome::kRejected);
     EXPECT_FALSE(Outdated::sent(actions));
     for (const BackendId more : Outdated::checked(actions)) open.push_back(more);
     refused = refused || !none<Refuse>(actions);
@@ -102,7 +102,7 @@
   const BackendId chosen = checked.front();
   node.check_ends(chosen, Outcome::kServed);
   for (const BackendId other : checked) {
-    if (other != chosen) node.check_ends(other, Outcome::kTurnedAway);
+    if (other != chosen) node.check_ends(other, Outcome::kRejected);
   }
   node.run_to(node.now + kConfirmedFor - 10);
   node.end(1, chosen, Outcome::kServed);
@@ -118,7 +118,7 @@
   ASSERT_GE(checked.size(), 2U);
   const auto more = Outdated::checked(node.check_ends(checked[0], Outcome::kServed));
   ASSERT_EQ(more.size(), 1U) << "who has not been asked yet";
-  for (std::size_t n = 1; n < checked.size(); ++n) node.check_ends(checked[n], Outcome::kTurnedAway);
+  for (std::size_t n = 1; n < checked.size(); ++n) node.check_ends(checked[n], Outcome::kRejected);
   EXPECT_FALSE(Outdated::sent(node.end(1, checked[0], Outcome::kError)));
   EXPECT_EQ(Outdated::sent(node.check_ends(more.front(), Outcome::kServed)), more.front());
 }
--- a/tests/policy/stream_host.cpp
+++ b/tests/policy/stream_host.cpp
@@ -6,9 +6,9 @@
 namespace shorelead::stream {
 namespace {
 
-constexpr Outcome kBadEnds[] = {Outcome::kError,          Outcome::kTurnedAway, Outcome::kNoAnswer,
-                                Outcome::kNoConnection,   Outcome::kNotSent,    Outcome::kCalledOff,
-                                Outcome::kConnectionLost, Outcome::kNoAnswer,   Outcome::kError};
+constexpr Outcome kBadEnds[] = {Outcome::kError,          Outcome::kRejected, Outcome::kNoAnswer,
+                                Outcome::kNoConnection,   Outcome::kNotSent,  Outcome::kCancelled,
+                                Outcome::kConnectionLost, Outcome::kNoAnswer, Outcome::kError};
 
 }  // namespace
 
@@ -113,14 +113,14 @@
   const bool bad = chance(box.trouble) || (r.request_class == box.bad_class && chance(0.95));
   if (bad) ended.outcome = kBadEnds[random_.below(std::size(kBadEnds))];
   if (ended.outcome == Outcome::kNoConnection) ended.elapsed = chance(0.5) ? 1 : 150;
-  if (ended.outcome == Outcome::kTurnedAway || box.entry.state != BackendState::kReady) {
-    ended.outcome = Outcome::kTurnedAway, ended.elapsed = 1;
+  if (ended.outcome == Outcome::kRejected || box.entry.state != BackendState::kReady) {
+    ended.outcome = Outcome::kRejected, ended.elapsed = 1;
   }
   const Millis stop = send.stop_at > 0 ? std::max(now_, std::min(send.stop_at, r.due)) : r.due;
   if (box.hangs || ended.outcome == Outcome::kNoAnswer || now_ + ended.elapsed > stop) {
     ended.outcome = Outcome::kNoAnswer, ended.elapsed = std::max(0.0, stop - now_);
   }
-  const bool answered = ended.outcome == Outcome::kServed || ended.outcome == Outcome::kTurnedAway;
+  const bool answered = ended.outcome == Outcome::kServed || ended.outcome == Outcome::kRejected;
   ended.has_report = answered && settings_.reports_with_answers && chance(0.95);
   if (ended.has_report) ended.report = report(box);
   ended.request_over = ended.outcome == Outcome::kServed || now_ + ended.elapsed >= r.due || chance(0.01);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -169,7 +169,7 @@
   node.list(entries(3));
   const BackendId b = only<SendAttempt>(node.arrive(1))->backend;
   EXPECT_TRUE(only<CancelAttempt>(node.feed(RequestGone{1})));
-  const auto after = node.end(1, b, Outcome::kCalledOff);
+  const auto after = node.end(1, b, Outcome::kCancelled);
   EXPECT_TRUE(none<SendAttempt>(after) && none<Fail>(after) && none<Refuse>(after));
 }
 
@@ -208,7 +208,7 @@
 // ---- rule: no effect twice ----
 
 TEST(NoEffectTwice, UnsafeIsResentOnlyAfterProofThatItNeverRan) {
-  for (const Outcome proof : {Outcome::kTurnedAway, Outcome::kNoConnection, Outcome::kNotSent}) {
+  for (const Outcome proof : {Outcome::kRejected, Outcome::kNoConnection, Outcome::kNotSent}) {
     Node node;
     node.list(entries(3));
     const BackendId b = only<SendAttempt>(node.arrive(1, 1))->backend;
@@ -217,7 +217,7 @@
     EXPECT_NE(again->backend, b);
   }
   for (const Outcome doubt :
-       {Outcome::kError, Outcome::kNoAnswer, Outcome::kConnectionLost, Outcome::kCalledOff}) {
+       {Outcome::kError, Outcome::kNoAnswer, Outcome::kConnectionLost, Outcome::kCancelled}) {
     Node node;
     node.list(entries(3));
     const BackendId b = only<SendAttempt>(node.arrive(1, 1))->backend;
@@ -286,7 +286,7 @@
   leaving.backend = 1 - b;
   leaving.state = BackendState::kDraining;
   node.list({leaving}, ListKind::kDelta);
-  EXPECT_TRUE(none<SendAttempt>(node.end(1, b, Outcome::kTurnedAway)));
+  EXPECT_TRUE(none<SendAttempt>(node.end(1, b, Outcome::kRejected)));
 }
 
 // ---- rule: cold backends ----
@@ -303,7 +303,7 @@
   for (RequestId i = 0; i < 50; ++i) {
     const auto actions = node.arrive(i);
     if (only<SendAttempt>(actions) != std::nullopt) ++sent;
-    if (only<SendAttempt>(actions) != std::nullopt) node.end(i, 0, Outcome::kTurnedAway);
+    if (only<SendAttempt>(actions) != std::nullopt) node.end(i, 0, Outcome::kRejected);
     node.now += 10;
   }
   EXPECT_LE(sent, 5);
@@ -484,7 +484,7 @@
   int sent = 0;
   for (int n = 0; n < 50; ++n, ++id) {
     const auto attempt = only<SendAttempt>(node.arrive(id));
-    if (attempt) node.end(id, attempt->backend, Outcome::kTurnedAway);
+    if (attempt) node.end(id, attempt->backend, Outcome::kRejected);
     sent += attempt ? 1 : 0;
     node.now += 10;
   }
@@ -924,7 +924,7 @@
   const auto first = only<SendAttempt>(node.log);
   ASSERT_TRUE(first);
   node.log.clear();
-  node.end(1, first->backend, Outcome::kTurnedAway);
+  node.end(1, first->backend, Outcome::kRejected);
   node.run_to(node.now + 16);
   EXPECT_FALSE(none<SendAttempt>(node.log) && none<Refuse>(node.log));
 }
@@ -971,7 +971,7 @@
   BackendId b = only<SendAttempt>(node.arrive(1))->backend;
   int attempts = 1;
   for (;;) {
-    const auto actions = node.end(1, b, Outcome::kTurnedAway, attempts - 1);
+    const auto actions = node.end(1, b, Outcome::kRejected, attempts - 1);
     const auto again = only<SendAttempt>(actions);
     if (again == std::nullopt) break;
     b = again->backend;
@@ -1006,7 +1006,7 @@
       int attempt = 0;
       for (; sent->backend == 0; ++attempt) {
         ++turned_away;
-        sent = only<SendAttempt>(node.end(id, 0, Outcome::kTurnedAway, attempt));
+        sent = only<SendAttempt>(node.end(id, 0, Outcome::kRejected, attempt));
         ASSERT_TRUE(sent);
       }
       node.end(id, sent->backend, Outcome::kServed, attempt);
@@ -1026,7 +1026,7 @@
     node.now += 200;
     const auto first = only<SendAttempt>(node.arrive(id, 1));
     if (first == std::nullopt) continue;
-    const auto again = only<SendAttempt>(node.end(id, first->backend, Outcome::kTurnedAway));
+    const auto again = only<SendAttempt>(node.end(id, first->backend, Outcome::kRejected));
     if (again == std::nullopt) continue;
     ++resends;
     node.end(id, again->backend, Outcome::kError, 1);
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -186,8 +186,8 @@
     EXPECT_LE(waits.ended(Ending::kConnectTimeout, true, 3, random).value_or(1e9), 450);
     EXPECT_LE(waits.ended(Ending::kConnectTimeout, true, 300, random).value_or(1e9), 3000);
     waits.told();
-    EXPECT_FALSE(waits.ended(Ending::kTurnedAway, true, 3, random)) << "a call that failed";
-    EXPECT_LE(waits.ended(Ending::kTurnedAway, false, 300, random).value_or(1e9), 300) << "pushed";
+    EXPECT_FALSE(waits.ended(Ending::kRejected, true, 3, random)) << "a call that failed";
+    EXPECT_LE(waits.ended(Ending::kRejected, false, 300, random).value_or(1e9), 300) << "pushed";
   }
 }
 
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -95,7 +95,7 @@
     EXPECT_FALSE(there.request().empty());
     b.upstream.call_off(1, 0);
   });
-  EXPECT_EQ(b.run(), Ending::kCalledOff);
+  EXPECT_EQ(b.run(), Ending::kCancelled);
   EXPECT_EQ(there.rest(), "");
 }
 
