--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -177,7 +177,7 @@
   if (message == "Inbox") {
     const auto told = peers::read(parse_hex(text(line, "Raw")));
     if (!told) return std::nullopt;
-    return PeerTold{as_index(need(line, "Neighbour"), "Neighbour"), *told};
+    return PeerMessageReceived{as_index(need(line, "Neighbour"), "Neighbour"), *told};
   }
   throw FieldError("unknown message \"" + std::string(message) + "\"");
 }
@@ -248,7 +248,7 @@
     open("CloseIdle");
     text("NodeId", instance);
     text("Backend", names.address(idle->backend));
-  } else if (const auto* tell = std::get_if<TellPeer>(&action)) {
+  } else if (const auto* tell = std::get_if<SendPeerMessage>(&action)) {
     static constexpr char kDigits[] = "0123456789abcdef";
     std::string raw;
     for (const char c : peers::write(tell->message)) {
--- a/src/node/further.h
+++ b/src/node/further.h
@@ -23,17 +23,17 @@
 class FurtherBound {
  public:
   // From now on. What the module is to be told at once, if anything.
-  std::optional<FurtherAllowed> set(Further further) {
+  std::optional<RetriesAllowed> set(Further further) {
     further_ = std::move(further);
     if (further_.left) return std::nullopt;
-    return FurtherAllowed{told_ = std::numeric_limits<double>::infinity()};
+    return RetriesAllowed{told_ = std::numeric_limits<double>::infinity()};
   }
   // Before each event: what the module does not know yet.
-  std::optional<FurtherAllowed> news() {
+  std::optional<RetriesAllowed> news() {
     if (!further_.left) return std::nullopt;
     const double left = further_.left();
     if (left == told_) return std::nullopt;
-    return FurtherAllowed{told_ = left};
+    return RetriesAllowed{told_ = left};
   }
   void made() {
     if (further_.made) further_.made();
--- a/src/policy/fellows.h
+++ b/src/policy/fellows.h
@@ -26,7 +26,7 @@
   }
 
   // Takes a message in; true if it was an answer about a backend.
-  bool hear(const PeerTold& e) {
+  bool hear(const PeerMessageReceived& e) {
     const PeerMessage& m = e.message;
     if (!c_.by_keepers || e.peer < 0 || e.peer >= c_.settings.instances) return false;
     const bool rates = m.kind == PeerMessage::Kind::kRate || m.kind == PeerMessage::Kind::kTotal;
@@ -84,8 +84,8 @@
     return static_cast<int>(Random(about).next() % static_cast<std::uint64_t>(c_.settings.instances));
   }
   bool say(int peer, const PeerMessage& m) {
-    if (peer == c_.settings.instance) return hear(PeerTold{peer, m});
-    c_.act(TellPeer{peer, m});
+    if (peer == c_.settings.instance) return hear(PeerMessageReceived{peer, m});
+    c_.act(SendPeerMessage{peer, m});
     return false;
   }
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -89,7 +89,7 @@
     if (counts) probes_.record(e);
   }
 
-  void on(const PeerTold& e) {
+  void on(const PeerMessageReceived& e) {
     if (fellows_.hear(e)) requests_.look_again();
   }
 
@@ -97,7 +97,7 @@
   void on(const AttemptEnded& e) { requests_.ended(e); }
   void on(const StreamStarted& e) { requests_.streams(e.request); }
   void on(const RequestGone& e) { requests_.gone(e.request); }
-  void on(const FurtherAllowed& e) { retries_.allow(e.left); }
+  void on(const RetriesAllowed& e) { retries_.allow(e.left); }
   void on(const ListValidity& e) { confirmations_.change(e); }
 
   policy::Context c_;
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -105,7 +105,7 @@
   bool has_report = false;
   LoadReport report;
 };
-struct PeerTold {
+struct PeerMessageReceived {
   int peer = 0;
   PeerMessage message;
 };
@@ -116,14 +116,15 @@
 };
 // So many further attempts are left of what a fleet allows together, from now on; without it only the
 // module's own bound counts.
-struct FurtherAllowed {
+struct RetriesAllowed {
   double left = 0;
 };
 struct TimerFired {
   std::uint64_t cookie = 0;
 };
-using Event = std::variant<Started, ListUpdate, RequestArrived, StreamStarted, AttemptEnded, RequestGone,
-                           ProbeEnded, TimerFired, SettingsChanged, PeerTold, FurtherAllowed, ListValidity>;
+using Event =
+    std::variant<Started, ListUpdate, RequestArrived, StreamStarted, AttemptEnded, RequestGone, ProbeEnded,
+                 TimerFired, SettingsChanged, PeerMessageReceived, RetriesAllowed, ListValidity>;
 
 struct SendAttempt {
   RequestId request = 0;
@@ -152,7 +153,7 @@
 };
 struct SubscribeList {};
 // To another node; it may be lost.
-struct TellPeer {
+struct SendPeerMessage {
   int peer = 0;
   PeerMessage message;
 };
@@ -164,7 +165,7 @@
   std::string text;
 };
 using Action = std::variant<SendAttempt, CancelAttempt, Refuse, Fail, SendProbe, SubscribeList, SetTimer,
-                            Note, TellPeer, CloseIdle>;
+                            Note, SendPeerMessage, CloseIdle>;
 
 class Policy {
  public:
--- a/tests/policy/stream_host.cpp
+++ b/tests/policy/stream_host.cpp
@@ -70,7 +70,7 @@
 
 void Host::react(const Action& action) {
   if (const auto* sent = std::get_if<SendAttempt>(&action)) return send(*sent);
-  if (const auto* told = std::get_if<TellPeer>(&action)) return answer(*told);
+  if (const auto* told = std::get_if<SendPeerMessage>(&action)) return answer(*told);
   if (const auto* timer = std::get_if<SetTimer>(&action)) {
     return later(std::max(0.0, timer->at - now_), TimerFired{timer->cookie});
   }
@@ -131,7 +131,7 @@
   later(ended.elapsed, ended);
 }
 
-void Host::answer(const TellPeer& told) {
+void Host::answer(const SendPeerMessage& told) {
   if (chance(0.1)) return;  // lost
   PeerMessage m{.about = told.message.about};
   if (told.message.kind == PeerMessage::Kind::kAsk) {
@@ -145,7 +145,7 @@
   } else {
     return;
   }
-  later(0.5 + wait(2), PeerTold{told.peer, m});
+  later(0.5 + wait(2), PeerMessageReceived{told.peer, m});
 }
 
 LoadReport Host::report(const Box& box) {
--- a/tests/policy/stream_host.h
+++ b/tests/policy/stream_host.h
@@ -59,7 +59,7 @@
   void feed(const Event& event);
   void react(const Action& action);
   void send(const SendAttempt& send);
-  void answer(const TellPeer& told);
+  void answer(const SendPeerMessage& told);
   void step(int kind);
   void arrive(RequestArrived request);
   void churn();
--- a/tests/policy/stream_steps.cpp
+++ b/tests/policy/stream_steps.cpp
@@ -89,7 +89,8 @@
   m.ratio = chance(0.3) ? 0 : 0.4 + 2 * random_.unit();
   m.ending = static_cast<PeerMessage::Ending>(random_.below(3));
   m.rate = static_cast<double>(random_.below(200));
-  feed(PeerTold{static_cast<int>(random_.below(static_cast<std::size_t>(settings_.instances) + 2)) - 1, m});
+  feed(PeerMessageReceived{
+      static_cast<int>(random_.below(static_cast<std::size_t>(settings_.instances) + 2)) - 1, m});
 }
 
 void Host::turn_settings() {
--- a/tests/policy/stream_text.cpp
+++ b/tests/policy/stream_text.cpp
@@ -49,8 +49,10 @@
     return format("probed %u: %d after %.17g %s", e.backend, static_cast<int>(e.outcome), e.elapsed,
                   e.has_report ? words(e.report).c_str() : "");
   }
-  std::string operator()(const PeerTold& e) { return format("told by %d ", e.peer) + words(e.message); }
-  std::string operator()(const FurtherAllowed& e) { return format("further allowed %.17g", e.left); }
+  std::string operator()(const PeerMessageReceived& e) {
+    return format("told by %d ", e.peer) + words(e.message);
+  }
+  std::string operator()(const RetriesAllowed& e) { return format("further allowed %.17g", e.left); }
   std::string operator()(const ListValidity& e) {
     return format("list until %.17g confirmed for %.17g after %.17g", e.until, e.confirmed_for,
                   e.confirmed_after);
@@ -75,7 +77,7 @@
   std::string operator()(const SendProbe& a) { return format("probe %u", a.backend); }
   std::string operator()(const CloseIdle& a) { return format("close idle %u", a.backend); }
   std::string operator()(const SubscribeList&) { return "subscribe"; }
-  std::string operator()(const TellPeer& a) { return format("tell %d ", a.peer) + words(a.message); }
+  std::string operator()(const SendPeerMessage& a) { return format("tell %d ", a.peer) + words(a.message); }
   std::string operator()(const SetTimer& a) {
     return format("timer %llu at %.17g", static_cast<unsigned long long>(a.cookie), a.at);
   }
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1061,7 +1061,7 @@
 }
 
 // The backends are fast: what many hold would still be answered in time.
-PeerTold told(const TellPeer& asked, double held, double ratio = 0.1) {
+PeerMessageReceived told(const SendPeerMessage& asked, double held, double ratio = 0.1) {
   PeerMessage m;
   m.kind = PeerMessage::Kind::kAnswer;
   m.about = asked.message.about;
@@ -1076,7 +1076,7 @@
   std::vector<Action> todo = first;
   std::vector<Action> last = first;
   for (std::size_t n = 0; n < todo.size(); ++n) {
-    const auto* tell = std::get_if<TellPeer>(&todo[n]);
+    const auto* tell = std::get_if<SendPeerMessage>(&todo[n]);
     if (tell == nullptr || tell->message.kind != PeerMessage::Kind::kAsk) continue;
     last = node.feed(told(*tell, held(tell->message.about / 1000 - 1)));
     todo.insert(todo.end(), last.begin(), last.end());
@@ -1127,19 +1127,20 @@
 TEST(Fellows, WhatIsMalformedOrUnknownIsIgnored) {
   Node node(fellow_settings());
   node.list(tagged(3));
-  for (const int peer : {-1, 3, 1000000}) EXPECT_TRUE(node.feed(PeerTold{peer, {}}).empty());
+  for (const int peer : {-1, 3, 1000000}) EXPECT_TRUE(node.feed(PeerMessageReceived{peer, {}}).empty());
   PeerMessage unknown;
   unknown.about = 12345;  // no backend that a list has named
-  EXPECT_TRUE(node.feed(PeerTold{1, unknown}).empty());
+  EXPECT_TRUE(node.feed(PeerMessageReceived{1, unknown}).empty());
   unknown.kind = PeerMessage::Kind::kRate;  // nor a tenant
-  EXPECT_TRUE(node.feed(PeerTold{1, unknown}).empty());
+  EXPECT_TRUE(node.feed(PeerMessageReceived{1, unknown}).empty());
   Settings silent = fellow_settings();
   silent.peer_messages = false;
   Node mute(silent);
   mute.list(tagged(3));
   PeerMessage ask;
   ask.about = tagged(1)[0].tag;
-  EXPECT_TRUE(mute.feed(PeerTold{1, ask}).empty()) << "where messages are not allowed, none is answered";
+  EXPECT_TRUE(mute.feed(PeerMessageReceived{1, ask}).empty())
+      << "where messages are not allowed, none is answered";
 }
 
 // From big-2 (mass_restart+fast_errors): with crowds rightly taken out of times, queues grew until backends
@@ -1272,7 +1273,7 @@
     int refused = 0;
     for (RequestId id = 1; id <= 400;
          ++id) {  // 40 a second of this node's own; two and a half held everywhere
-      node.feed(PeerTold{1, total});
+      node.feed(PeerMessageReceived{1, total});
       ask_keepers(node, node.arrive(id), [](BackendId) { return 2.5; });
       node.run_to(node.now + 25);
       for (; seen < node.log.size(); ++seen) {
