--- a/src/policy/choosing.h
+++ b/src/policy/backend_selector.h
@@ -19,7 +19,7 @@
 constexpr Millis kLookTime = 10;    // slower probes than this are not waited for
 constexpr double kLookAge = 0.2;    // service times: a younger report is news enough
 
-struct Choosing {
+struct BackendSelector {
   // The next in the rotation, or the best of those looked at; and whether it is good enough without more
   // news.
   std::pair<std::optional<BackendId>, bool> pick(const Request& r) const {
@@ -76,7 +76,7 @@
       if (a.backend == i) return false;
     }
     if (health_.rests_for(i, r.request_class) || !retries_.in_group(r, i)) return false;
-    return !known_.cold(i) || cold_.room(i);
+    return !known_.cold(i) || slow_start_.room(i);
   }
 
   // Whether any in the rotation may still have it.
@@ -102,7 +102,7 @@
   const Probes& probes_;
   const Confirmations& confirmations_;
   Rotation& rotation_;
-  ColdBudgets& cold_;
+  SlowStartBudgets& slow_start_;
   const Health& health_;
   const Retries& retries_;
   const estimate::Backends& known_;
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -96,9 +96,9 @@
 
 // Rule "a cold backend is not pushed over": no more than this node's part in any fall span. A part under
 // one request comes in turns, open for some two requests and then lost: kept, all would come at once.
-class ColdBudgets {
+class SlowStartBudgets {
  public:
-  ColdBudgets(Context& context, const estimate::Backends& known) : c_(context), known_(known) {}
+  SlowStartBudgets(Context& context, const estimate::Backends& known) : c_(context), known_(known) {}
   void welcome(BackendId i) { of_[i].begin(c_.random.unit(), c_.now, known_.started(i)); }
   // Of a cold one.
   bool room(BackendId i) {
--- a/src/policy/fellows.h
+++ b/src/policy/peer_exchange.h
@@ -13,16 +13,16 @@
 constexpr double kQuotaBurst = 2;  // seconds of its quota that a tenant may send at once
 constexpr double kLeastBurst = 5;  // requests that it may send at once however small its quota
 
-class Fellows {
+class PeerExchange {
  public:
-  Fellows(Context& context, const Lists& lists, estimate::Backends& known)
+  PeerExchange(Context& context, const Lists& lists, estimate::Backends& known)
       : c_(context), lists_(lists), known_(known) {
     settings_changed();
   }
   void welcome(BackendId i) { until_[i] = 0, keeper_.forget(i); }
   void settings_changed() {
-    purses_.resize(c_.settings.tenants.size());
-    keeper_.set_tenants(purses_.size());
+    quotas_.resize(c_.settings.tenants.size());
+    keeper_.set_tenants(quotas_.size());
   }
 
   // Takes a message in; true if it was an answer about a backend.
@@ -31,8 +31,8 @@
     if (!c_.by_keepers || e.peer < 0 || e.peer >= c_.settings.instances) return false;
     const bool rates = m.kind == PeerMessage::Kind::kRate || m.kind == PeerMessage::Kind::kTotal;
     const std::optional<BackendId> i = lists_.tagged(m.about);
-    if (rates ? m.about >= purses_.size() : !i) return false;
-    if (m.kind == PeerMessage::Kind::kTotal) return purses_[m.about].all = m.rate, false;
+    if (rates ? m.about >= quotas_.size() : !i) return false;
+    if (m.kind == PeerMessage::Kind::kTotal) return quotas_[m.about].all = m.rate, false;
     if (m.kind == PeerMessage::Kind::kAnswer)
       return until_[*i] = 0, known_.told(*i, m.work, m.held, m.ratio), true;
     const auto answer = keeper_.take(e.peer, m, rates ? m.about : *i, kLookShare * c_.shortest_aim, c_.now);
@@ -56,16 +56,16 @@
   }
 
   void tell_rates() {
-    for (std::uint32_t n = 0; c_.by_keepers && n < purses_.size(); ++n) {
-      purses_[n].rate = std::exchange(purses_[n].came, 0) * 1000 / kPeriod;
-      say(keeper(n), {.kind = PeerMessage::Kind::kRate, .about = n, .rate = purses_[n].rate});
+    for (std::uint32_t n = 0; c_.by_keepers && n < quotas_.size(); ++n) {
+      quotas_[n].rate = std::exchange(quotas_[n].came, 0) * 1000 / kPeriod;
+      say(keeper(n), {.kind = PeerMessage::Kind::kRate, .about = n, .rate = quotas_[n].rate});
     }
   }
 
   // Exception "shares": a keeper hears all rates of a tenant, and its quota is parted as the traffic is.
   bool within_share(int tenant) {
-    if (tenant < 0 || static_cast<std::size_t>(tenant) >= purses_.size()) return true;
-    Purse& p = purses_[static_cast<std::size_t>(tenant)];
+    if (tenant < 0 || static_cast<std::size_t>(tenant) >= quotas_.size()) return true;
+    TenantQuota& p = quotas_[static_cast<std::size_t>(tenant)];
     p.came += 1;
     const double quota = c_.settings.tenants[static_cast<std::size_t>(tenant)].quota_rps;
     if (quota <= 0 || p.all <= quota || p.rate <= 0) return true;
@@ -74,7 +74,7 @@
   }
 
  private:
-  struct Purse {
+  struct TenantQuota {
     double came = 0;  // in this period
     double rate = 0;  // in the last one, of this node
     double all = 0;   // and of all, as its keeper told
@@ -94,7 +94,7 @@
   estimate::Backends& known_;
   Grown<Millis> until_;  // of each backend: an answer is waited for
   peers::Keeper keeper_;
-  std::vector<Purse> purses_;  // of each tenant
+  std::vector<TenantQuota> quotas_;  // of each tenant
 };
 
 }  // namespace shorelead::policy
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -32,7 +32,7 @@
   void on(const SettingsChanged& changed) {
     c_.change(changed.settings);
     known_.set_classes(c_.settings.classes.size());
-    fellows_.settings_changed();
+    peer_exchange_.settings_changed();
     health_.settings_changed();
   }
 
@@ -56,10 +56,10 @@
     probes_.welcome(i);
     confirmations_.welcome(i);
     rotation_.welcome(i);
-    cold_.welcome(i);
+    slow_start_.welcome(i);
     known_.welcome(i);
     health_.welcome(i);
-    fellows_.welcome(i);
+    peer_exchange_.welcome(i);
   }
 
   void on(const TimerFired& fired) {
@@ -74,7 +74,7 @@
 
   void close_period() {
     rotation_.renew();
-    fellows_.tell_rates();
+    peer_exchange_.tell_rates();
     known_.close_period([this](std::size_t i) { return rotation_.usable(static_cast<BackendId>(i)); },
                         lists_.size(), rotation_.mean_share());
     probes_.set_round(known_.rate(), rotation_.mean_share());
@@ -90,7 +90,7 @@
   }
 
   void on(const PeerMessageReceived& e) {
-    if (fellows_.hear(e)) requests_.look_again();
+    if (peer_exchange_.hear(e)) requests_.look_again();
   }
 
   void on(const RequestArrived& e) { requests_.arrived(e); }
@@ -106,15 +106,16 @@
   policy::Confirmations confirmations_{c_};
   policy::Rotation rotation_{c_, lists_, probes_};
   estimate::Backends known_{c_, c_.first_guess(), c_.settings.classes.size()};
-  policy::ColdBudgets cold_{c_, known_};
+  policy::SlowStartBudgets slow_start_{c_, known_};
   policy::Health health_{c_, lists_};
-  policy::Fellows fellows_{c_, lists_, known_};
+  policy::PeerExchange peer_exchange_{c_, lists_, known_};
   policy::Retries retries_{c_, lists_};
-  policy::Choosing choosing_{c_,    lists_,  probes_,  confirmations_, rotation_,
-                             cold_, health_, retries_, known_};
-  policy::Looking looking_{c_, lists_, probes_, confirmations_, rotation_, fellows_, known_, choosing_};
-  policy::Requests requests_{
-      {c_, lists_, probes_, rotation_, cold_, health_, fellows_, retries_, known_, choosing_, looking_}};
+  policy::BackendSelector selector_{c_,          lists_,  probes_,  confirmations_, rotation_,
+                                    slow_start_, health_, retries_, known_};
+  policy::ProbeBeforeSend probe_before_send_{c_,        lists_,         probes_, confirmations_,
+                                             rotation_, peer_exchange_, known_,  selector_};
+  policy::Requests requests_{{c_, lists_, probes_, rotation_, slow_start_, health_, peer_exchange_, retries_,
+                              known_, selector_, probe_before_send_}};
   int tick_ = 0;
 };
 
--- a/src/policy/looking.h
+++ b/src/policy/probe_before_send.h
@@ -2,8 +2,8 @@
 // state, and must never choose among those looked at.
 #pragma once
 
-#include "policy/choosing.h"
-#include "policy/fellows.h"
+#include "policy/backend_selector.h"
+#include "policy/peer_exchange.h"
 
 namespace shorelead::policy {
 
@@ -12,7 +12,7 @@
 constexpr int kAsks = 3;          // where only probes bring reports: whose keepers are asked in each round,
 constexpr int kLookRounds = 2;    // and rounds for one request
 
-struct Looking {
+struct ProbeBeforeSend {
   Millis longest(const Request& r) const {
     const Millis share = kLookShare * c_.request_class(r.request_class).aim;
     if (c_.looks_first()) return share;
@@ -54,20 +54,20 @@
   // Asks for news of a backend, its keeper or itself; true if that keeper is this node, and all is told.
   bool ask(BackendId i) const {
     if (!c_.by_keepers) return probes_.look(i), false;
-    return !fellows_.awaits(i, 0) && fellows_.ask(i);
+    return !peer_exchange_.awaits(i, 0) && peer_exchange_.ask(i);
   }
   // Whether an answer is to come once it was asked; and whether it is still worth waiting for.
-  bool to_come(BackendId i) const { return !c_.by_keepers || fellows_.asked(i); }
-  bool awaited(BackendId i) const { return probes_.looked_at(i) || fellows_.awaits(i, kTimerSlack); }
+  bool to_come(BackendId i) const { return !c_.by_keepers || peer_exchange_.asked(i); }
+  bool awaited(BackendId i) const { return probes_.looked_at(i) || peer_exchange_.awaits(i, kTimerSlack); }
 
   Context& c_;
   const Lists& lists_;
   Probes& probes_;
   const Confirmations& confirmations_;
   Rotation& rotation_;
-  Fellows& fellows_;
+  PeerExchange& peer_exchange_;
   const estimate::Backends& known_;
-  const Choosing& choosing_;
+  const BackendSelector& selector_;
 
  private:
   // One whose health check would let it have the request, from a place drawn anew; `under_way`: also one that
@@ -78,7 +78,7 @@
     for (std::size_t n = 0; n < count; ++n) {
       const auto i = static_cast<BackendId>((start + n) % count);
       if (r.was_asked(i) || (!under_way && probes_.looked_at(i))) continue;
-      if (choosing_.unconfirmed(r, i)) return i;
+      if (selector_.unconfirmed(r, i)) return i;
     }
     return std::nullopt;
   }
@@ -86,7 +86,7 @@
   // The next in the rotation; they lose their turns.
   void next_turns(Request& r, std::size_t most) const {
     rotation_.walk([&](BackendId i) {
-      if (r.was_asked(i) || !choosing_.eligible(r, i)) return Rotation::Turn::kKept;
+      if (r.was_asked(i) || !selector_.eligible(r, i)) return Rotation::Turn::kKept;
       r.asked.push_back(i);
       return r.asked.size() < most ? Rotation::Turn::kLost : Rotation::Turn::kTaken;
     });
@@ -99,7 +99,7 @@
     for (std::size_t n = 0; n < std::min(turns.size(), kMostWeighed); ++n) {
       const std::pair<double, BackendId> one{std::round(known_.crowd(turns[n], 1) * kLookSteps), turns[n]};
       const bool twice = std::find(stale.begin(), stale.end(), one) != stale.end();
-      if (!twice && choosing_.may_look(one.second) && choosing_.allowed(r, one.second)) stale.push_back(one);
+      if (!twice && selector_.may_look(one.second) && selector_.allowed(r, one.second)) stale.push_back(one);
     }
     std::stable_sort(stale.begin(), stale.end(), [](auto x, auto y) { return x.first < y.first; });
     for (std::size_t n = 0; n < stale.size() && r.asked.size() < most; ++n)
@@ -112,7 +112,7 @@
     std::vector<std::pair<double, BackendId>> order;
     for (BackendId i = 0; i < lists_.size(); ++i) {
       const double share = rotation_.share(i);
-      if (!rotation_.usable(i) || share <= 0 || r.was_asked(i) || !choosing_.eligible(r, i)) continue;
+      if (!rotation_.usable(i) || share <= 0 || r.was_asked(i) || !selector_.eligible(r, i)) continue;
       Random draw(r.key ^ (lists_[i].tag * 0x9e3779b97f4a7c15ULL));
       order.emplace_back(-std::log(1 - draw.unit()) / share, i);
     }
--- a/src/policy/requests.h
+++ b/src/policy/requests.h
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <unordered_map>
 
-#include "policy/looking.h"
+#include "policy/probe_before_send.h"
 
 namespace shorelead::policy {
 
@@ -15,23 +15,23 @@
 constexpr double kEarlyEnd = 0.5;  // an attempt ends after this part of its time
 
 // The parts that it asks and tells.
-struct Sight {
+struct PolicyParts {
   Context& c_;
   const Lists& lists_;
   Probes& probes_;
   Rotation& rotation_;
-  ColdBudgets& cold_;
+  SlowStartBudgets& slow_start_;
   Health& health_;
-  Fellows& fellows_;
+  PeerExchange& peer_exchange_;
   Retries& retries_;
   estimate::Backends& known_;
-  const Choosing& choosing_;
-  const Looking& looking_;
+  const BackendSelector& selector_;
+  const ProbeBeforeSend& probe_before_send_;
 };
 
-class Requests : Sight {
+class Requests : PolicyParts {
  public:
-  explicit Requests(const Sight& sight) : Sight(sight) {}
+  explicit Requests(const PolicyParts& parts) : PolicyParts(parts) {}
   void arrived(const RequestArrived& e) {
     if (e.request_class < 0 || static_cast<std::size_t>(e.request_class) >= c_.settings.classes.size()) {
       throw std::out_of_range("request of an unknown class");
@@ -42,7 +42,7 @@
     r.aim_at = c_.now + c_.request_class(e.request_class).aim;
     r.key = e.key, r.home = e.home, r.worth = e.worth, r.client_retry = e.client_retry;
     r.work = known_.arrived(e.expected_work), retries_.earn();
-    r.over_share = c_.by_keepers && !e.client_retry && !fellows_.within_share(e.tenant);
+    r.over_share = c_.by_keepers && !e.client_retry && !peer_exchange_.within_share(e.tenant);
     proceed(open_.insert_or_assign(e.request, std::move(r)).first->second);
   }
 
@@ -53,9 +53,9 @@
     Request* const r = find(e.request);
     Attempt* const a = r == nullptr ? nullptr : &r->attempts.at(static_cast<std::size_t>(e.attempt));
     const double ratio = a != nullptr && served ? known_.ratio(a->sent, e.elapsed) : 0;
-    fellows_.tell(e.backend,
-                  a != nullptr && served ? PeerMessage::Ending::kAnswered : PeerMessage::Ending::kSent,
-                  ratio);
+    peer_exchange_.tell(e.backend,
+                        a != nullptr && served ? PeerMessage::Ending::kAnswered : PeerMessage::Ending::kSent,
+                        ratio);
     const bool at_once = e.outcome == Outcome::kNoConnection && e.elapsed < c_.settings.connect_timeout / 2;
     if (at_once && c_.settings.streams_per_connection == 1 && !c_.settings.full_tables_answer) full_table();
     if (c_.now < tables_full_until_ && known_.own(e.backend).none()) c_.act(CloseIdle{e.backend});
@@ -81,7 +81,7 @@
     if (!a.out || r->streaming || c_.now >= r->aim_at) return;
     if (!std::exchange(a.overdue, true)) {
       known_.overdue(a.backend, a.sent.at);
-      fellows_.tell(a.backend, PeerMessage::Ending::kLost);
+      peer_exchange_.tell(a.backend, PeerMessage::Ending::kLost);
     }
     copy_timer(*r, known_.mean_time());  // if it does not come to it now
     if (!retries_.may_send(*r) || c_.now < r->look_until - kTimerSlack) return;
@@ -96,11 +96,11 @@
     for (const RequestId id : waiting) {
       Request* const r = find(id);
       if (r == nullptr) continue;
-      const bool open =
-          std::any_of(r->asked.begin(), r->asked.end(), [this](BackendId i) { return looking_.awaited(i); });
+      const bool open = std::any_of(r->asked.begin(), r->asked.end(),
+                                    [this](BackendId i) { return probe_before_send_.awaited(i); });
       if (!open || c_.now > r->look_until - kTimerSlack || !retries_.may_send(*r)) {
         proceed(*r);
-      } else if (const auto i = c_.looks_first() ? std::nullopt : choosing_.next(*r)) {
+      } else if (const auto i = c_.looks_first() ? std::nullopt : selector_.next(*r)) {
         send(*r, *i);
       } else {
         held_.push_back(id);
@@ -113,9 +113,9 @@
   void proceed(Request& r) {
     if (r.out() > 0 && !(r.attempts.back().overdue && retries_.may_hedge(r))) return;
     if (retries_.may_send(r)) {
-      const auto [pick, good] = choosing_.pick(r);
+      const auto [pick, good] = selector_.pick(r);
       if (!good && hold(r)) return;
-      if (const auto i = choosing_.settle(r, pick)) return send(r, *i);
+      if (const auto i = selector_.settle(r, pick)) return send(r, *i);
     }
     if (r.out() == 0) finish(r);
   }
@@ -123,15 +123,15 @@
   // Asks for news and holds the request for it; false: no use, or no time.
   bool hold(Request& r) {
     const std::size_t old = r.asked.size();
-    const Millis wait = looking_.longest(r);
-    looking_.add(r);
+    const Millis wait = probe_before_send_.longest(r);
+    probe_before_send_.add(r);
     if (r.asked.size() == old) return false;
     bool open = false;
     for (std::size_t n = old; n < r.asked.size(); ++n) {
-      if (looking_.ask(r.asked[n])) look_again();
-      open |= looking_.to_come(r.asked[n]);
+      if (probe_before_send_.ask(r.asked[n])) look_again();
+      open |= probe_before_send_.to_come(r.asked[n]);
     }
-    if (c_.looks_first() || r.looks == 0 || looking_.confirmations_.list_outdated())
+    if (c_.looks_first() || r.looks == 0 || probe_before_send_.confirmations_.list_outdated())
       r.look_until = c_.now + (open ? wait : 0);
     if (r.look_until == c_.now + wait) c_.timer(kLookTimer, r.look_until);
     r.looks += 1;
@@ -140,22 +140,22 @@
   }
 
   void send(Request& r, BackendId i) {
-    const Millis expected = choosing_.expected(r, i), begin_by = retries_.begin_by(r);
-    looking_.check_another(r);
-    cold_.sent(i), r.asked.clear(), r.looks = 0;
+    const Millis expected = selector_.expected(r, i), begin_by = retries_.begin_by(r);
+    probe_before_send_.check_another(r);
+    slow_start_.sent(i), r.asked.clear(), r.looks = 0;
     r.attempts.push_back({i, known_.sent(i, r.request_class, r.work)});
     if (r.attempts.size() > 1) retries_.spend();
     // Exception "early end": answers get lost, this one is expected before, and somebody else may have it.
     const Millis stop = retries_.stop_at(r);
     const Millis early = kEarlyEnd * (stop - c_.now);
     const bool ends =
-        known_.losing() > kLosing && expected < early && retries_.may_send(r) && choosing_.anybody(r);
+        known_.losing() > kLosing && expected < early && retries_.may_send(r) && selector_.anybody(r);
     c_.act(SendAttempt{r.id, i, ends ? c_.now + early : stop, begin_by});
     const bool repeatable = c_.request_class(r.request_class).effect != Effect::kUnsafe;
     if (c_.looks_first() && r.parallel && repeatable) {
       copy_timer(r, kOverdue * std::max(expected, known_.mean_time()));
     }
-    fellows_.tell(i, PeerMessage::Ending::kSent);
+    peer_exchange_.tell(i, PeerMessage::Ending::kSent);
   }
 
   // The final answer of a request that will not be served: a refusal where that is harmless, else a failure.
--- a/tests/policy/stream_shapes.cpp
+++ b/tests/policy/stream_shapes.cpp
@@ -54,7 +54,7 @@
 }
 
 // Fellows are asked, as probes are too dear.
-void by_fellows(Shape& shape) {
+void by_peers(Shape& shape) {
   shape.settings.reports_with_answers = false;
   shape.settings.probe_price = 0.05;
   shape.settings.peer_messages = true;
@@ -70,7 +70,7 @@
       return values.begin()[random.below(values.size())];
     };
     Settings& s = shape.settings;
-    if (coin()) by_fellows(shape);
+    if (coin()) by_peers(shape);
     s.instances = static_cast<int>(one_of({1, 2, 4, 30}));
     s.instance = static_cast<int>(random.below(static_cast<std::size_t>(s.instances)));
     s.list_on_request = coin();
@@ -111,11 +111,11 @@
   add("no-boxes", [](Shape& s) { s.boxes = 1, s.churn = 50, s.odd_lists = true; });
   add("probes", by_probes);
   add("probes-keys", [](Shape& s) { by_probes(s), s.settings.warm_keys = true, s.boxes = 30; });
-  add("fellows", by_fellows);
+  add("fellows", by_peers);
   add("fellows-keys",
-      [](Shape& s) { by_fellows(s), s.settings.warm_keys = true, s.service = 30, s.rate = 900; });
+      [](Shape& s) { by_peers(s), s.settings.warm_keys = true, s.service = 30, s.rate = 900; });
   add("fellows-many",
-      [](Shape& s) { by_fellows(s), s.settings.instances = 40, s.boxes = 60, s.trouble = 0.1; });
+      [](Shape& s) { by_peers(s), s.settings.instances = 40, s.boxes = 60, s.trouble = 0.1; });
   add("silent", [](Shape& s) { s.settings.probing = false, s.settings.reports_with_answers = false; });
   add("lossy", [](Shape& s) { s.trouble = 0.4, s.settings.probing = false, s.settings.cancelling = false; });
   add("list-on-request", [](Shape& s) {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -898,7 +898,7 @@
   EXPECT_EQ(got.size(), 4U);
 }
 
-TEST(Look, ABlindPickWaitsForFreshNewsAndTakesIt) {
+TEST(ProbeBeforeSend, ABlindPickWaitsForFreshNewsAndTakesIt) {
   Node node;
   node.list(entries(4));
   node.report_in_hand(4, 3);
@@ -910,7 +910,7 @@
   EXPECT_TRUE(only<SendAttempt>(actions));
 }
 
-TEST(Look, ARequestHeldForNewsThatNeverComesIsStillDecided) {
+TEST(ProbeBeforeSend, ARequestHeldForNewsThatNeverComesIsStillDecided) {
   // Seen on the bench: a request looked for after its first attempt was never taken up again.
   Node node;
   node.list(entries(4));
@@ -1040,7 +1040,7 @@
 constexpr Millis kTestLook = 0.06 * 400;  // of the aim: longest that a request is held for news
 
 // Node 0 of three; probes are too dear to ask first, so keepers are asked.
-Settings fellow_settings() {
+Settings peer_settings() {
   Settings s = plain_settings();
   s.instances = 3;
   s.reports_with_answers = false;
@@ -1084,8 +1084,8 @@
   return last;
 }
 
-TEST(Fellows, ARequestGoesWhereItsKeepersSayLeastIsHeld) {
-  Node node(fellow_settings());
+TEST(PeerExchange, ARequestGoesWhereItsKeepersSayLeastIsHeld) {
+  Node node(peer_settings());
   node.list(tagged(3));
   node.run_to(node.now + kTestPeriod);
   int least = 0;
@@ -1103,8 +1103,8 @@
   EXPECT_GT(least, 55) << "of 60; 20 are chance";
 }
 
-TEST(Fellows, WithAllMessagesLostARequestIsStillDecidedInTime) {
-  Node node(fellow_settings());
+TEST(PeerExchange, WithAllMessagesLostARequestIsStillDecidedInTime) {
+  Node node(peer_settings());
   node.list(tagged(6));
   node.run_to(node.now + kTestPeriod);
   const Millis start = node.now;
@@ -1116,16 +1116,16 @@
 
 // From hf6cff8 (zone_cut): an attempt ended shortly before the client's time, and the request was held for
 // news until after it.
-TEST(Fellows, NoRequestIsHeldForNewsPastTheClientsTime) {
-  Node node(fellow_settings());
+TEST(PeerExchange, NoRequestIsHeldForNewsPastTheClientsTime) {
+  Node node(peer_settings());
   node.list(tagged(6));
   node.run_to(node.now + kTestPeriod);
   const auto actions = node.arrive(1, 0, 0, kTestLook / 2);
   EXPECT_TRUE(!none<SendAttempt>(actions) || !none<Refuse>(actions) || !none<Fail>(actions));
 }
 
-TEST(Fellows, WhatIsMalformedOrUnknownIsIgnored) {
-  Node node(fellow_settings());
+TEST(PeerExchange, WhatIsMalformedOrUnknownIsIgnored) {
+  Node node(peer_settings());
   node.list(tagged(3));
   for (const int peer : {-1, 3, 1000000}) EXPECT_TRUE(node.feed(PeerMessageReceived{peer, {}}).empty());
   PeerMessage unknown;
@@ -1133,7 +1133,7 @@
   EXPECT_TRUE(node.feed(PeerMessageReceived{1, unknown}).empty());
   unknown.kind = PeerMessage::Kind::kRate;  // nor a tenant
   EXPECT_TRUE(node.feed(PeerMessageReceived{1, unknown}).empty());
-  Settings silent = fellow_settings();
+  Settings silent = peer_settings();
   silent.peer_messages = false;
   Node mute(silent);
   mute.list(tagged(3));
@@ -1147,7 +1147,7 @@
 // turned slow for seconds.
 TEST(Full, NobodyIsSentWhereFarMoreWaitThanThereAreCores) {
   for (const double promises : {0.0, 0.2}) {
-    Settings s = fellow_settings();
+    Settings s = peer_settings();
     s.kept_promises = promises;
     Node node(s);
     node.list(tagged(9));
@@ -1170,14 +1170,14 @@
 
 // From answer_lost days: a node meets a backend again after many seconds, so nothing tells that an answer is
 // lost until the client's time is up.
-TEST(SecondCopy, GoesOutOnceAnAttemptIsFarOverdueAndOnlyWhereItMay) {
+TEST(Hedge, GoesOutOnceAnAttemptIsFarOverdueAndOnlyWhereItMay) {
   struct Case {
     int request_class;
     bool parallel;
     int copies;
   };
   for (const Case c : {Case{0, true, 1}, Case{0, false, 0}, Case{1, true, 0}}) {
-    Settings s = fellow_settings();
+    Settings s = peer_settings();
     s.probe_price = 0;  // probes are cheap: they are asked
     s.parallel_attempts = c.parallel;
     for (RequestClass& k : s.classes) k.late_value = 0.3, k.aim = 4000, k.deadline = 9000;
@@ -1209,7 +1209,7 @@
 // From i0aef52: idle connections of 187 nodes filled every backend's table.
 TEST(Connections, IdleOnesAreClosedOnceOneIsTurnedDownAtOnce) {
   for (const auto& [elapsed, streams] : std::vector<std::pair<Millis, int>>{{2, 1}, {249, 1}, {2, 100}}) {
-    Settings s = fellow_settings();
+    Settings s = peer_settings();
     s.streams_per_connection = streams;
     Node node(s);
     node.list(tagged(3));
@@ -1229,7 +1229,7 @@
 }
 
 TEST(Keys, AllNodesPreferTheSameBackendsForAKey) {
-  Settings s = fellow_settings();
+  Settings s = peer_settings();
   s.probe_price = 0;
   s.warm_keys = true;
   std::map<std::uint64_t, std::set<BackendId>> to;
@@ -1259,7 +1259,7 @@
 
 // Equal parts of a quota refused a quarter of all where few nodes carry most traffic.
 TEST(Shares, AQuotaIsPartedAsTheTrafficIsAndRepeatsAreInNoShare) {
-  Settings s = fellow_settings();
+  Settings s = peer_settings();
   s.tenants = {{100}};
   s.over_share_worth = 0.05;
   for (const double all : {50.0, 400.0}) {
