--- a/src/guard/checker.cpp
+++ b/src/guard/checker.cpp
@@ -24,7 +24,7 @@
 }
 
 void Checker::close_if_over(Record& record) {
-  if (record.out == 0 && (record.answered || record.left_at > 0)) record.open = false;
+  if (record.in_flight == 0 && (record.answered || record.left_at > 0)) record.open = false;
 }
 
 void Checker::taken(RequestId request, const RequestRules& rules) {
@@ -52,22 +52,22 @@
   if (record->left_at > 0 && now > record->left_at + kLeftSlack) violated(Rule::kAfterClientLeft, request);
   if (now > rules.due) violated(Rule::kAfterDue, request);
   if (told > rules.due - now + kDeadlineSlack) violated(Rule::kDeadlineTooLong, request);
-  if (record->out > 0 && !rules.parallel) violated(Rule::kTwoAtOnce, request);
-  if (rules.run_once && (record->may_have_run || record->out > 0)) violated(Rule::kRunTwice, request);
-  const bool repeats = record->may_have_run || record->out > 0;
+  if (record->in_flight > 0 && !rules.parallel) violated(Rule::kTwoAtOnce, request);
+  if (rules.run_once && (record->may_have_run || record->in_flight > 0)) violated(Rule::kRunTwice, request);
+  const bool repeats = record->may_have_run || record->in_flight > 0;
   if (rules.window > 0 && repeats && now > record->first_written + rules.window)
     violated(Rule::kOutsideWindow, request);
-  if (record->attempts >= rules.most_attempts) violated(Rule::kTooManyAttempts, request);
+  if (record->attempts >= rules.max_attempts) violated(Rule::kTooManyAttempts, request);
   if (!repeats) record->first_written = now;
   ++record->attempts;
-  ++record->out;
+  ++record->in_flight;
   record->open = true;
 }
 
 void Checker::over(RequestId request, bool never_ran) {
   Record* const record = find(request);
-  if (record == nullptr || record->out == 0) return;
-  --record->out;
+  if (record == nullptr || record->in_flight == 0) return;
+  --record->in_flight;
   record->may_have_run = record->may_have_run || !never_ran;
   close_if_over(*record);
 }
@@ -76,7 +76,7 @@
   Record* const record = find(request);
   if (record == nullptr) return;
   if (record->answered) violated(Rule::kAnsweredTwice, request);
-  const bool ran = record->may_have_run || record->out > 0;
+  const bool ran = record->may_have_run || record->in_flight > 0;
   if (answer == Answer::kRefused && ran && !record->rules.refusal_repeats)
     violated(Rule::kRefusedAfterRun, request);
   record->answered = true;
--- a/src/guard/checker.h
+++ b/src/guard/checker.h
@@ -41,7 +41,7 @@
   bool run_once = false;        // unsafe: never again once an attempt may have run
   bool parallel = false;        // two attempts may be out at once
   bool refusal_repeats = true;  // a client's repeat is harmless even if an attempt has run
-  int most_attempts = 1;
+  int max_attempts = 1;
   Millis window = 0;  // keyed: for how long its key is known after the first attempt; 0 = it is not keyed
   Millis due = 0;     // its client waits until then
 };
@@ -77,7 +77,7 @@
     bool answered = false;
     bool may_have_run = false;
     std::uint8_t attempts = 0;
-    std::uint8_t out = 0;
+    std::uint8_t in_flight = 0;
     RequestRules rules;
     Millis first_written = 0;  // of those that may have run
     Millis left_at = 0;        // 0: its client is there
--- a/src/guard/guard.cpp
+++ b/src/guard/guard.cpp
@@ -15,7 +15,7 @@
   if (request.answered) return no(Reason::kAnswered);
   if (!request.client_waits) return no(Reason::kClientGone);
   if (now >= request.due) return no(Reason::kDeadline);
-  if (request.attempts >= request.most_attempts) return no(Reason::kAttemptsSpent);
+  if (request.attempts >= request.max_attempts) return no(Reason::kAttemptsSpent);
   if (request.run_once && request.may_have_run) return no(Reason::kMayHaveRun);
   if (now >= request.repeat_until) return no(Reason::kRepeatWindow);
   if (!request.slot_open) return no(Reason::kSlotClosed);
@@ -28,7 +28,7 @@
   if (!backend.wanted) return no(Reason::kBackendWithdrawn);
   if (!backend.confirmed) return no(Reason::kListOutdated);
   if (request.body_taken) return no(Reason::kBodyTaken);
-  if (request.out > 0 && !request.parallel) return no(Reason::kAnotherOut);
+  if (request.in_flight > 0 && !request.parallel) return no(Reason::kAnotherOut);
   return may_begin(request, now);
 }
 
@@ -38,7 +38,7 @@
 }
 
 Verdict may_hedge(const RequestState& request, Millis now) {
-  if (request.out > 1 || (request.out == 1 && !request.parallel)) return no(Reason::kAnotherOut);
+  if (request.in_flight > 1 || (request.in_flight == 1 && !request.parallel)) return no(Reason::kAnotherOut);
   return may_send(request, now);
 }
 
@@ -63,7 +63,7 @@
 Verdict may_reuse(const ConnectionState& connection) {
   if (connection.under_way) return no(Reason::kRequestUnderWay);
   if (!connection.address_holds) return no(Reason::kOtherAddress);
-  if (connection.idle >= connection.most_idle) return no(Reason::kTooOld);
+  if (connection.idle >= connection.max_idle) return no(Reason::kTooOld);
   return connection.unread ? no(Reason::kInputUnread) : Verdict{};
 }
 
--- a/src/guard/guard.h
+++ b/src/guard/guard.h
@@ -54,7 +54,7 @@
   std::uint64_t generation = 0;  // of the settings under which it came
   bool run_once = false;         // it must not run twice, and no backend can tell a repeat
   bool parallel = false;         // two attempts may be out at once
-  int most_attempts = 1;
+  int max_attempts = 1;
   bool refusal_repeats = true;  // a client that repeats it after a refusal does no harm, whatever ran
 
   bool answered = false;
@@ -62,7 +62,7 @@
   Millis due = kNever;           // no attempt begins from then on
   Millis repeat_until = kNever;  // nor a repeat of one that may have run
   int attempts = 0;              // begun before, or decided
-  int out = 0;                   // of those, written and without an outcome
+  int in_flight = 0;             // of those, written and without an outcome
   bool may_have_run = false;     // any of those
   double retries_left = kNever;  // that the budgets allow
   bool body_taken = false;
@@ -91,8 +91,8 @@
   bool under_way = false;
   bool unread = false;  // input that nobody has handled, or an end
   bool unsent = false;
-  Millis idle = 0;            // for so long
-  Millis most_idle = kNever;  // so long its other side is trusted to keep it
+  Millis idle = 0;           // for so long
+  Millis max_idle = kNever;  // so long its other side is trusted to keep it
   bool address_holds = true;
 };
 
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -240,7 +240,7 @@
     s.fall_multiple = 3;
     s.fall_span = 1000;
     s.sizes_listed = true;
-    s.most_probes_backend = o_.probes_per_box;
+    s.max_probes_per_backend = o_.probes_per_box;
     node.policy = std::make_unique<Policy>(s, draws_.whole(std::uint64_t{1} << 62));
     feed(n, Started{});
     const auto members = members_of(n);
--- a/src/node/class_numbers.h
+++ b/src/node/class_numbers.h
@@ -16,7 +16,7 @@
  public:
   ClassNumbers(const Settings& settings, const HostSettings& host)
       : settings_(settings), names_(host.classes) {
-    settings_.full_tables_answer = true;
+    settings_.reports_full_table = true;
   }
 
   const Settings& settings() const { return settings_; }
@@ -39,7 +39,7 @@
       numbers.push_back(static_cast<int>(at));
     }
     settings_ = next;
-    settings_.full_tables_answer = true;
+    settings_.reports_full_table = true;
     return numbers;
   }
 
--- a/src/node/connections.cpp
+++ b/src/node/connections.cpp
@@ -59,7 +59,7 @@
     const Millis age = now - best->unused_since;
     guard::ConnectionState state;
     state.idle = age;
-    state.most_idle = kept_.fit(age, now) ? most_idle_ : 0;
+    state.max_idle = kept_.fit(age, now) ? most_idle_ : 0;
     state.address_holds = best->dial == dial;
     // An end that has come in but was not read yet would make of this request one that may have run.
     state.unread = !best->stream.quiet();
--- a/src/node/difference.cpp
+++ b/src/node/difference.cpp
@@ -99,8 +99,9 @@
   put("cold warm_up", ms(s.warm_up));
   put("cold fall_multiple", text(s.fall_multiple));
   put("cold fall_span", ms(s.fall_span));
-  put("probes per_second", s.most_probes > 0 ? text(s.most_probes, " rps") : "no ceiling");
-  put("probes per_box", s.most_probes_backend > 0 ? text(s.most_probes_backend, " rps") : "no ceiling");
+  put("probes per_second",
+      s.max_probes_per_second > 0 ? text(s.max_probes_per_second, " rps") : "no ceiling");
+  put("probes per_box", s.max_probes_per_backend > 0 ? text(s.max_probes_per_backend, " rps") : "no ceiling");
   if (pool.fleet.subset) {
     put("subset size", text(pool.fleet.subset->target));
     put("subset above", text(pool.fleet.subset->whole_up_to));
--- a/src/node/facade.cpp
+++ b/src/node/facade.cpp
@@ -225,7 +225,7 @@
   choice.begin_by = send.begin_by;
   open.attempts.push_back(send.backend);
   roster_.use(send.backend);
-  if (open.over || choice.until <= now || choice.attempt >= open.rules.most_attempts ||
+  if (open.over || choice.until <= now || choice.attempt >= open.rules.max_attempts ||
       !open.hold.may_send()) {
     unsent_.emplace_back(AttemptEnded{
         send.request, send.backend, choice.attempt, outcome_of(Ending::kNotSent), 0, open.over, false, {}});
--- a/src/node/key_gate.cpp
+++ b/src/node/key_gate.cpp
@@ -114,7 +114,7 @@
     // It was seen a moment ago, on this thread.
     const To to = said.to;
     out.home = pool->see(kind_of(to), *said.unit)->unit;
-    out.home.only = said.go == Go::kOnly;
+    out.home.required = said.go == Go::kOnly;
   }
   if (said.place >= 0) {
     const auto n = static_cast<std::size_t>(said.place);
--- a/src/node/link.cpp
+++ b/src/node/link.cpp
@@ -35,9 +35,9 @@
   request.due = job->until;
   request.repeat_until = job->begin_by;
   request.attempts = job->attempt;
-  request.most_attempts = job->attempt + 1;
+  request.max_attempts = job->attempt + 1;
   request.parallel = true;  // as far as the connection knows
-  request.out = owner.others_out(*this);
+  request.in_flight = owner.others_out(*this);
   // Of two attempts only one can have a body that comes by parts.
   const auto& flow = job->message->flow;
   request.body_taken = flow && (flow->touched() || flow->has_sink());
--- a/src/node/open_requests.cpp
+++ b/src/node/open_requests.cpp
@@ -59,10 +59,10 @@
   const guard::RequestState here = open.state();
   state.run_once = here.run_once;
   state.parallel = here.parallel;
-  state.most_attempts = here.most_attempts;
+  state.max_attempts = here.max_attempts;
   state.answered = here.answered;
   state.slot_open = here.slot_open;
-  state.may_have_run = open.may_have_run || state.out > 0;
+  state.may_have_run = open.may_have_run || state.in_flight > 0;
 }
 
 void OpenRequests::forget(RequestId request, Open& open) {
--- a/src/node/own.cpp
+++ b/src/node/own.cpp
@@ -106,8 +106,8 @@
   }
   if (const toml::table* const probes = table("probes")) {
     const Table limits(*probes, "probes", file, {"per_second", "per_box"});
-    config.settings.most_probes = limits.number("per_second", 0.1, 1e6).value_or(0);
-    config.settings.most_probes_backend = limits.number("per_box", 0.01, 1e4).value_or(0);
+    config.settings.max_probes_per_second = limits.number("per_second", 0.1, 1e6).value_or(0);
+    config.settings.max_probes_per_backend = limits.number("per_box", 0.01, 1e4).value_or(0);
   }
 }
 
--- a/src/node/shore_pool.cpp
+++ b/src/node/shore_pool.cpp
@@ -52,8 +52,8 @@
     s.fall_span = *cold->number("fall_span");
   }
   if (const Section* const probes = pool.find("probes")) {
-    s.most_probes = probes->number("per_second").value_or(0);
-    s.most_probes_backend = probes->number("per_box").value_or(0);
+    s.max_probes_per_second = probes->number("per_second").value_or(0);
+    s.max_probes_per_backend = probes->number("per_box").value_or(0);
   }
 }
 
--- a/src/policy/confirmations.h
+++ b/src/policy/confirmations.h
@@ -8,37 +8,38 @@
 
 namespace shorelead::policy {
 
-constexpr Millis kCheckAgain = 500;  // after a health check that did not pass, before the next for a request
+constexpr Millis kRecheckDelay =
+    500;  // after a health check that did not pass, before the next for a request
 
 class Confirmations {
  public:
-  explicit Confirmations(const Context& context) : c_(context) {}
+  explicit Confirmations(const Context& context) : context_(context) {}
 
-  void change(const ListValidity& validity) { validity_ = validity; }
-  void welcome(BackendId i) { of_[i] = {}; }
+  void set_validity(const ListValidity& validity) { validity_ = validity; }
+  void reset(BackendId i) { records_[i] = {}; }
   // A health check has ended, which was sent `elapsed` ago.
-  void probed(BackendId i, Outcome outcome, Millis elapsed) {
-    Checked& checked = of_[i];
-    if (outcome == Outcome::kServed) return checked.last.passed(c_.now - elapsed);
-    if (outcome == Outcome::kRejected) checked.last.failed();
-    checked.again_at = c_.now + kCheckAgain;
+  void check_ended(BackendId i, Outcome outcome, Millis elapsed) {
+    CheckRecord& record = records_[i];
+    if (outcome == Outcome::kServed) return record.last.passed(context_.now - elapsed);
+    if (outcome == Outcome::kRejected) record.last.failed();
+    record.next_check_at = context_.now + kRecheckDelay;
   }
 
-  bool list_outdated() const { return c_.now >= validity_.until; }
-  bool holds(BackendId i, Millis now) const {
-    return now < validity_.until || of_[i].last.within(validity_, now);
+  bool list_outdated() const { return context_.now >= validity_.until; }
+  bool confirmed(BackendId i, Millis now) const {
+    return now < validity_.until || records_[i].last.within(validity_, now);
   }
   // Whether a check of one that does not hold is worth its while: the last did not fail just now.
-  bool worth_a_check(BackendId i) const { return c_.now >= of_[i].again_at; }
+  bool may_check(BackendId i) const { return context_.now >= records_[i].next_check_at; }
 
  private:
-  struct Checked {
+  struct CheckRecord {
     LastConfirmation last;
-    Millis again_at = 0;  // after one that failed
+    Millis next_check_at = 0;  // after one that failed
   };
 
-  const Context& c_;
-  Grown<Checked> of_;
+  const Context& context_;
+  Grown<CheckRecord> records_;
   ListValidity validity_;
 };
 
--- a/src/policy/lists.h
+++ b/src/policy/lists.h
@@ -9,50 +9,52 @@
 
 namespace shorelead::policy {
 
-constexpr Millis kListRetryMin = 200;    // a wait before asking for the list again doubles to this at least
-constexpr Millis kListRetryMost = 4000;  // longest: with a call's 2 s, as long as news is not held to be told
-constexpr double kListCalls = 20;        // calls a second that the list service is taken to bear
+constexpr Millis kMinListRetry = 200;   // a wait before asking for the list again doubles to this at least
+constexpr Millis kMaxListRetry = 4000;  // longest: with a call's 2 s, as long as news is not held to be told
+constexpr double kListCallsPerSecond = 20;  // calls a second that the list service is taken to bear
 
 class Lists {
  public:
-  explicit Lists(Context& context) : c_(context) {}
+  explicit Lists(Context& context) : context_(context) {}
   void start() {
-    const Millis first = std::min({spread(), kListRetryMost, 0.75 * told_anew()});
-    if (c_.settings.list_on_request) c_.timer(kListTimer, c_.now + c_.random.unit() * first);
+    const Millis first = std::min({call_spread(), kMaxListRetry, 0.75 * max_list_age()});
+    if (context_.settings.list_on_request)
+      context_.set_timer(kListTimer, context_.now + context_.random.unit() * first);
   }
-  void ask() {
-    if (c_.settings.list_on_request && asked_at_ < 0) c_.act(SubscribeList{}), asked_at_ = c_.now;
+  void subscribe() {
+    if (context_.settings.list_on_request && subscribed_at_ < 0)
+      context_.emit(SubscribeList{}), subscribed_at_ = context_.now;
   }
   // Takes a list in. Of each entry in turn `named` is told the backend, and whether it is new or returned.
-  template <typename Named>
-  void take(const ListUpdate& update, Named named) {
+  template <typename OnEntry>
+  void apply(const ListUpdate& update, OnEntry on_entry) {
     if (update.kind == ListKind::kFailed) return retry();
-    if (update.kind != ListKind::kStored) wait_ = 0;
-    if (update.kind == ListKind::kStored && update.entries.empty()) ask();
-    c_.share(update.sharing);
-    const bool whole = update.kind != ListKind::kDelta;
-    std::vector<char> still(whole ? entries_.size() : 0, 0);
+    if (update.kind != ListKind::kStored) retry_wait_ = 0;
+    if (update.kind == ListKind::kStored && update.entries.empty()) subscribe();
+    context_.set_sharing_nodes(update.sharing);
+    const bool full = update.kind != ListKind::kDelta;
+    std::vector<char> still_listed(full ? entries_.size() : 0, 0);
     for (const BackendEntry& entry : update.entries) {
       const BackendId i = entry.backend;
       if (i >= entries_.size()) entries_.resize(i + std::size_t{1}, {.state = BackendState::kGone});
-      if (whole) still.resize(std::max(still.size(), i + std::size_t{1})), still[i] = 1;
+      if (full) still_listed.resize(std::max(still_listed.size(), i + std::size_t{1})), still_listed[i] = 1;
       BackendEntry& e = entries_[i];
       const bool returned = entry.state == BackendState::kReady && (!ready(i) || e.started != entry.started);
       e = entry;
       e.size = entry.size > 0 ? entry.size : 1;
       by_tag_[entry.tag] = i;
-      named(i, returned);
+      on_entry(i, returned);
     }
-    for (std::size_t i = 0; i < still.size(); ++i)
-      if (!still[i]) entries_[i].state = BackendState::kGone;
+    for (std::size_t i = 0; i < still_listed.size(); ++i)
+      if (!still_listed[i]) entries_[i].state = BackendState::kGone;
   }
 
   std::size_t size() const { return entries_.size(); }
   const BackendEntry& operator[](BackendId i) const { return entries_[i]; }
-  void require(BackendId i) const { (void)entries_.at(i); }  // throws std::out_of_range
+  void require_known(BackendId i) const { (void)entries_.at(i); }  // throws std::out_of_range
   bool ready(BackendId i) const { return entries_[i].state == BackendState::kReady; }
   // Whose tag it is, unless that number is another's by now.
-  std::optional<BackendId> tagged(std::uint32_t tag) const {
+  std::optional<BackendId> find_by_tag(std::uint32_t tag) const {
     const auto it = by_tag_.find(tag);
     if (it == by_tag_.end() || entries_[it->second].tag != tag) return std::nullopt;
     return it->second;
@@ -61,23 +63,27 @@
  private:
   // Again, soon, out of step; less so if it kept the call waiting, or has failed for long: it may be behind.
   void retry() {
-    const bool at_once = c_.now - std::exchange(asked_at_, -1e9) < kListRetryMin;
-    if (at_once || wait_ == 0) failing_since_ = c_.now;
-    const Millis soon = c_.now - failing_since_ > 1.5 * told_anew() ? 1.5 * told_anew() : kListRetryMost;
-    const Millis most = std::max(kListRetryMin, std::min(soon, (at_once ? 1 : 5) * spread()));
-    const double part = wait_ < most ? c_.random.unit() : 1 - 0.1 * c_.random.unit();
-    c_.timer(kListTimer, c_.now + part * (wait_ = std::clamp(wait_ * 2, std::min(spread(), most), most)));
+    const bool at_once = context_.now - std::exchange(subscribed_at_, -1e9) < kMinListRetry;
+    if (at_once || retry_wait_ == 0) failing_since_ = context_.now;
+    const Millis soon =
+        context_.now - failing_since_ > 1.5 * max_list_age() ? 1.5 * max_list_age() : kMaxListRetry;
+    const Millis max_wait = std::max(kMinListRetry, std::min(soon, (at_once ? 1 : 5) * call_spread()));
+    const double jitter = retry_wait_ < max_wait ? context_.random.unit() : 1 - 0.1 * context_.random.unit();
+    context_.set_timer(
+        kListTimer,
+        context_.now + jitter * (retry_wait_ = std::clamp(retry_wait_ * 2, std::min(call_spread(), max_wait),
+                                                          max_wait)));
   }
-  Millis told_anew() const { return c_.settings.ask_every > 0 ? c_.settings.ask_every : 1e9; }
+  Millis max_list_age() const { return context_.settings.ask_every > 0 ? context_.settings.ask_every : 1e9; }
   // Calls are spread over what the list service bears: one that is behind works on calls given up long ago.
-  Millis spread() const { return c_.stated_nodes() / kListCalls * 1000; }
+  Millis call_spread() const { return context_.configured_nodes() / kListCallsPerSecond * 1000; }
 
-  Context& c_;
+  Context& context_;
   std::vector<BackendEntry> entries_;
   std::unordered_map<std::uint32_t, BackendId> by_tag_;
-  Millis wait_ = 0;
+  Millis retry_wait_ = 0;
   Millis failing_since_ = 0;
-  Millis asked_at_ = -1e9;  // for the subscription that stands, or is under way
+  Millis subscribed_at_ = -1e9;  // for the subscription that stands, or is under way
 };
 
 }  // namespace shorelead::policy
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -55,10 +55,10 @@
   BackendId backend = 0;
   int zone = 0;
   int cell = 0;
-  bool only = false;  // it may go nowhere else; without it, rather there
+  bool required = false;  // it may go nowhere else; without it, rather there
 
-  bool any() const { return kind != Kind::kAny; }
-  bool has(const BackendEntry& entry) const {
+  bool is_set() const { return kind != Kind::kAny; }
+  bool contains(const BackendEntry& entry) const {
     if (kind == Kind::kBackend) return entry.backend == backend;
     return kind != Kind::kAny && entry.zone == zone && (kind == Kind::kZone || entry.cell == cell);
   }
--- a/src/policy/rotation.h
+++ b/src/policy/rotation.h
@@ -9,63 +9,63 @@
 
 namespace shorelead::policy {
 
-constexpr Millis kThreshold = 150;        // above ordinary probe times, so Equation 5 applies when quiet
-constexpr double kDifferenceFloor = 0.5;  // of the median of (response - delay), Equation 6
-constexpr double kShareCap = 1.5;         // no share above this multiple of the mean
-constexpr std::size_t kNewPeriods = 3;    // probes: till then a backend gets at most the mean share
-constexpr double kRounding = 1e-9;        // a credit this close to a whole turn is one
-constexpr Millis kTiniestTime = 0.01;     // floor of a difference, so no share is infinite
+constexpr Millis kResponseThreshold = 150;    // above ordinary probe times, so Equation 5 applies when quiet
+constexpr double kDifferenceFloor = 0.5;      // of the median of (response - delay), Equation 6
+constexpr double kShareCap = 1.5;             // no share above this multiple of the mean
+constexpr std::size_t kNewBackendProbes = 3;  // probes: till then a backend gets at most the mean share
+constexpr double kCreditTolerance = 1e-9;     // a credit this close to a whole turn is one
+constexpr Millis kMinTimeDifference = 0.01;   // floor of a difference, so no share is infinite
 
 class Rotation {
  public:
   Rotation(Context& context, const Lists& lists, const Probes& probes)
-      : c_(context), lists_(lists), probes_(probes) {}
-  void welcome(BackendId i) { of_[i] = {mean_share_, 0, false}; }
-  void leave(BackendId i) { of_[i].share = of_[i].credit = 0; }
+      : context_(context), lists_(lists), probes_(probes) {}
+  void reset(BackendId i) { records_[i] = {mean_share_, 0, false}; }
+  void remove(BackendId i) { records_[i].share = records_[i].credit = 0; }
   // Drops who did not answer, weighs the others by Equation 5 or 6, starts a rotation.
-  void renew() {
+  void renew_shares() {
     std::vector<BackendId> ready;
     std::size_t missed = 0;
     for (BackendId i = 0; i < lists_.size(); ++i) {
       if (!lists_.ready(i)) continue;
       ready.push_back(i);
-      of_[i].dropped = probes_.silent(i);
-      missed += of_[i].dropped;
+      records_[i].dropped = probes_.unanswered(i);
+      missed += records_[i].dropped;
     }
     if (missed * 2 > ready.size()) {
       // Over half unanswered says more of this node or its paths than of the backends: keep the last shares.
-      for (const BackendId i : ready) of_[i].dropped = false;
+      for (const BackendId i : ready) records_[i].dropped = false;
     } else {
-      weigh(ready);
+      compute_shares(ready);
     }
     // Unsent turns go back to the credits; a new round is earned only once less than half of one is left.
     const bool earn = turns_.size() * 2 < lists_.size();
-    for (const BackendId i : turns_) of_[i].credit += 1;
+    for (const BackendId i : turns_) records_[i].credit += 1;
     turns_.clear();
-    deal(earn);
+    add_round(earn);
   }
 
   // It gets nothing this period.
-  void drop(BackendId i) { of_[i].dropped = true; }
-  bool usable(BackendId i) const { return lists_.ready(i) && !of_[i].dropped; }
-  double share(BackendId i) const { return of_[i].share; }
+  void drop(BackendId i) { records_[i].dropped = true; }
+  bool usable(BackendId i) const { return lists_.ready(i) && !records_[i].dropped; }
+  double share(BackendId i) const { return records_[i].share; }
   double mean_share() const { return mean_share_; }
   const std::deque<BackendId>& turns() const { return turns_; }
-  void turn_taken_early(BackendId i) { of_[i].credit -= 1; }
+  void charge_turn(BackendId i) { records_[i].credit -= 1; }
 
   // Goes along the rotation, with another round where it ends, till `visit` takes a turn.
   enum class Turn { kTaken, kKept, kLost };
   template <typename Visit>
   void walk(Visit visit) {
-    std::size_t weighed = 0;
-    for (int round = 0; round < 2 && weighed < kMostWeighed; ++round) {
+    std::size_t visited = 0;
+    for (int round = 0; round < 2 && visited < kMaxCandidates; ++round) {
       std::size_t kept = 0;
       bool taken = false;
       std::size_t n = 0;
-      for (; n < turns_.size() && weighed < kMostWeighed && !taken; ++n) {
+      for (; n < turns_.size() && visited < kMaxCandidates && !taken; ++n) {
         const BackendId i = turns_[n];
         if (!usable(i)) continue;
-        ++weighed;
+        ++visited;
         const Turn turn = visit(i);
         if (turn == Turn::kKept) turns_[kept++] = i;
         taken = turn == Turn::kTaken;
@@ -74,77 +74,78 @@
       const auto at = [this](std::size_t t) { return turns_.begin() + static_cast<std::ptrdiff_t>(t); };
       turns_.erase(at(kept), at(n));
       if (taken) return;
-      if (weighed < kMostWeighed && kept < lists_.size()) deal(true);
+      if (visited < kMaxCandidates && kept < lists_.size()) add_round(true);
     }
   }
 
  private:
-  struct Part {
+  struct ShareRecord {
     double share = 0;
     double credit = 0;
     bool dropped = false;
   };
 
-  void weigh(const std::vector<BackendId>& ready) {
-    std::vector<BackendId> in;
+  void compute_shares(const std::vector<BackendId>& ready) {
+    std::vector<BackendId> included;
     std::vector<double> differences;
     bool quiet = false;
     for (const BackendId i : ready) {
       const estimate::ResponseTimes& times = probes_.times(i);
-      if (!of_[i].dropped) in.push_back(i);
-      if (of_[i].dropped || !times.known()) continue;
-      quiet = quiet || times.response() < kThreshold;
+      if (!records_[i].dropped) included.push_back(i);
+      if (records_[i].dropped || !times.known()) continue;
+      quiet = quiet || times.response() < kResponseThreshold;
       differences.push_back(times.response() - times.delay());
     }
-    const double floor = std::max(kTiniestTime, kDifferenceFloor * median(differences));
+    const double floor = std::max(kMinTimeDifference, kDifferenceFloor * median(differences));
     double sum = 0;
-    for (const BackendId i : in) {
+    for (const BackendId i : included) {
       if (!probes_.times(i).known()) continue;
       const Millis response = probes_.times(i).response();
       const Millis delay = probes_.times(i).delay();
-      of_[i].share = lists_[i].size / (delay * (quiet ? response : std::max(response - delay, floor)));
-      sum += of_[i].share;
+      records_[i].share = lists_[i].size / (delay * (quiet ? response : std::max(response - delay, floor)));
+      sum += records_[i].share;
     }
-    for (const BackendId i : in) {
+    for (const BackendId i : included) {
       if (!probes_.times(i).known())
-        of_[i].share = sum > 0 ? sum / static_cast<double>(differences.size()) : 1;
+        records_[i].share = sum > 0 ? sum / static_cast<double>(differences.size()) : 1;
     }
-    const double mean = mean_share_ = 1.0 / std::max(1.0, static_cast<double>(in.size()));
+    const double mean = mean_share_ = 1.0 / std::max(1.0, static_cast<double>(included.size()));
     std::vector<double> shares;
     std::vector<double> bounds;
-    for (const BackendId i : in) {
-      shares.push_back(of_[i].share);
-      bounds.push_back(mean * (probes_.times(i).probes() <= kNewPeriods ? 1.0 : kShareCap));
+    for (const BackendId i : included) {
+      shares.push_back(records_[i].share);
+      bounds.push_back(mean * (probes_.times(i).probes() <= kNewBackendProbes ? 1.0 : kShareCap));
     }
     scale_to_one(shares, bounds);
-    for (std::size_t n = 0; n < in.size(); ++n) of_[in[n]].share = shares[n];
+    for (std::size_t n = 0; n < included.size(); ++n) records_[included[n]].share = shares[n];
   }
 
   // Adds one round to the rotation: each backend earns its share of as many turns as there are backends.
-  void deal(bool earn) {
+  void add_round(bool earn) {
     const std::size_t old = turns_.size();
     std::size_t count = 0;
     for (BackendId i = 0; i < lists_.size(); ++i) count += usable(i) ? 1 : 0;
     for (BackendId i = 0; i < lists_.size(); ++i) {
-      Part& part = of_[i];
-      double& credit = part.credit;
+      ShareRecord& record = records_[i];
+      double& credit = record.credit;
       if (!usable(i)) {
         credit = 0;
         continue;
       }
       // Bounded both ways: neither a hoard of turns nor a long penance for turns taken early.
-      if (earn) credit = std::clamp(credit + part.share * static_cast<double>(count), -1.0, 1.0 + kShareCap);
-      for (; credit > 1 - kRounding; credit -= 1) turns_.push_back(i);
+      if (earn)
+        credit = std::clamp(credit + record.share * static_cast<double>(count), -1.0, 1.0 + kShareCap);
+      for (; credit > 1 - kCreditTolerance; credit -= 1) turns_.push_back(i);
     }
     for (std::size_t n = turns_.size() - old; n > 1; --n) {
-      std::swap(turns_[old + n - 1], turns_[old + c_.random.below(n)]);
+      std::swap(turns_[old + n - 1], turns_[old + context_.random.below(n)]);
     }
   }
 
-  Context& c_;
+  Context& context_;
   const Lists& lists_;
   const Probes& probes_;
-  Grown<Part> of_;
+  Grown<ShareRecord> records_;
   std::deque<BackendId> turns_;
   double mean_share_ = 1;  // of the backends in the rotation
 };
--- a/src/policy/settings.h
+++ b/src/policy/settings.h
@@ -53,20 +53,20 @@
   Millis connect_timeout = 0;
   Millis idle_timeout = 0;           // an idle connection closes by itself after this
   int streams_per_connection = 100;  // requests that one carries at once
-  bool full_tables_answer =
+  bool reports_full_table =
       false;           // a backend whose table of connections is full says so; else it turns down
   Millis warm_up = 0;  // a started backend is warm no later than this
   double cold_share = 1;
-  double fall_multiple = 1;          // a cold backend sent more than this multiple of its present capacity
-  Millis fall_span = 0;              // for this long falls over
-  bool sizes_listed = false;         // list entries carry comparable sizes
-  double probe_price = 0;            // taken off the result for each probe per request
-  double most_probes = 0;            // a second, of this node; 0 = no ceiling
-  double most_probes_backend = 0;    // a second, to one backend from all nodes; 0 = no ceiling
-  bool reports_with_answers = true;  // else only probes bring load reports
-  bool warm_keys = false;            // a backend does less work for a key that it has lately met
-  bool peer_messages = false;        // nodes may send one another short messages, which may be lost
-  double peer_price = 0;             // taken off the result for each 256 bytes delivered per request
+  double fall_multiple = 1;           // a cold backend sent more than this multiple of its present capacity
+  Millis fall_span = 0;               // for this long falls over
+  bool sizes_listed = false;          // list entries carry comparable sizes
+  double probe_price = 0;             // taken off the result for each probe per request
+  double max_probes_per_second = 0;   // a second, of this node; 0 = no ceiling
+  double max_probes_per_backend = 0;  // a second, to one backend from all nodes; 0 = no ceiling
+  bool reports_with_answers = true;   // else only probes bring load reports
+  bool warm_keys = false;             // a backend does less work for a key that it has lately met
+  bool peer_messages = false;         // nodes may send one another short messages, which may be lost
+  double peer_price = 0;              // taken off the result for each 256 bytes delivered per request
   double kept_promises = 0;  // weight of worth by class and 5 s that counts in full while few miss the aim
   double borne_misses = 0;   // that many, as a share; at five times of it that worth counts nothing
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -244,7 +244,7 @@
   apply_own("[subset]\nnodes = 1000\n[probes]\nper_box = 2.5", "own.toml", read);
   EXPECT_EQ(read.settings.instances, 1000);
   EXPECT_FALSE(read.fleet.place.index);
-  EXPECT_EQ(read.settings.most_probes_backend, 2.5);
+  EXPECT_EQ(read.settings.max_probes_per_backend, 2.5);
 }
 
 // ---- the same in our own language ----
@@ -282,8 +282,8 @@
   const auto all = [](const Settings& s) {
     return std::tuple(s.instances, s.instance, s.zone, s.list_on_request, s.probing, s.cancelling,
                       s.parallel_attempts, s.advise_wait, s.max_wait_advice, s.max_attempts, s.ask_every,
-                      s.connect_timeout, s.warm_up, s.cold_share, s.fall_multiple, s.fall_span, s.most_probes,
-                      s.most_probes_backend);
+                      s.connect_timeout, s.warm_up, s.cold_share, s.fall_multiple, s.fall_span,
+                      s.max_probes_per_second, s.max_probes_per_backend);
   };
   EXPECT_EQ(all(a.settings), all(b.settings));
   ASSERT_EQ(a.settings.classes.size(), b.settings.classes.size());
--- a/tests/guard/checker_test.cpp
+++ b/tests/guard/checker_test.cpp
@@ -29,8 +29,8 @@
 };
 
 using Broken = std::vector<Rule>;
-const RequestRules kUnsafe{.run_once = true, .refusal_repeats = false, .most_attempts = 3};
-const RequestRules kKeyed{.refusal_repeats = false, .most_attempts = 3, .window = 300};
+const RequestRules kUnsafe{.run_once = true, .refusal_repeats = false, .max_attempts = 3};
+const RequestRules kKeyed{.refusal_repeats = false, .max_attempts = 3, .window = 300};
 
 TEST(Checker, AnAnswerIsTheLastOfARequest) {
   Case c(kKeyed);
@@ -93,7 +93,7 @@
   window.checker.over(kRequest, false);
   window.write(kStart + 301);
   EXPECT_EQ(window.broken, Broken({Rule::kOutsideWindow}));
-  Case many({.most_attempts = 1});
+  Case many({.max_attempts = 1});
   many.write(kStart);
   many.checker.over(kRequest, false);
   many.write(kStart + 1);
--- a/tests/guard/guard_test.cpp
+++ b/tests/guard/guard_test.cpp
@@ -20,7 +20,7 @@
 // A keyed repeat, well within everything.
 RequestState allowed() {
   RequestState request;
-  request.most_attempts = 3;
+  request.max_attempts = 3;
   request.attempts = 1;
   request.due = kNow + 100;
   request.repeat_until = kNow + 50;
@@ -42,7 +42,7 @@
   EXPECT_TRUE(may_write(allowed(), BackendState(), kNow));
   std::vector<Denied> cases = kAnyAttempt;
   cases.push_back({Reason::kBodyTaken, [](auto& r) { r.body_taken = true; }});
-  cases.push_back({Reason::kAnotherOut, [](auto& r) { r.out = 1; }});
+  cases.push_back({Reason::kAnotherOut, [](auto& r) { r.in_flight = 1; }});
   for (const Denied& one : cases) {
     RequestState request = allowed();
     one.change(request);
@@ -51,7 +51,7 @@
   EXPECT_EQ(may_write(allowed(), {.wanted = false}, kNow).reason, Reason::kBackendWithdrawn);
   EXPECT_EQ(may_write(allowed(), {.confirmed = false}, kNow).reason, Reason::kListOutdated);
   RequestState beside = allowed();
-  beside.out = 1;
+  beside.in_flight = 1;
   beside.parallel = true;
   EXPECT_TRUE(may_write(beside, BackendState(), kNow));
 }
@@ -72,11 +72,11 @@
 
 TEST(Guard, AHedgeStandsBesideOneWhereThatIsAllowed) {
   RequestState request = allowed();
-  request.out = 1;
+  request.in_flight = 1;
   EXPECT_EQ(may_hedge(request, kNow).reason, Reason::kAnotherOut);
   request.parallel = true;
   EXPECT_TRUE(may_hedge(request, kNow));
-  request.out = 2;
+  request.in_flight = 2;
   EXPECT_EQ(may_hedge(request, kNow).reason, Reason::kAnotherOut);
 }
 
@@ -99,8 +99,8 @@
   EXPECT_EQ(may_close_client({.under_way = true}).reason, Reason::kRequestUnderWay);
   EXPECT_EQ(may_close_client({.unread = true}).reason, Reason::kInputUnread);
   EXPECT_EQ(may_close_client({.unsent = true}).reason, Reason::kOutputUnsent);
-  EXPECT_TRUE(may_reuse({.idle = 9, .most_idle = 10}));
-  EXPECT_EQ(may_reuse({.idle = 10, .most_idle = 10}).reason, Reason::kTooOld);
+  EXPECT_TRUE(may_reuse({.idle = 9, .max_idle = 10}));
+  EXPECT_EQ(may_reuse({.idle = 10, .max_idle = 10}).reason, Reason::kTooOld);
   EXPECT_EQ(may_reuse({.unread = true}).reason, Reason::kInputUnread);
   EXPECT_EQ(may_reuse({.address_holds = false}).reason, Reason::kOtherAddress);
   EXPECT_EQ(may_reuse({.under_way = true}).reason, Reason::kRequestUnderWay);
--- a/tests/home_test.cpp
+++ b/tests/home_test.cpp
@@ -62,9 +62,9 @@
     facade->report(last, choice.attempt, Ending::kServed, 2, nullptr, now += 2);
     return facade->host(choice.backend);
   }
-  Unit unit(Unit::Kind kind, const std::string& name, bool only) {
+  Unit unit(Unit::Kind kind, const std::string& name, bool required) {
     Unit unit = facade->see(kind, name)->unit;
-    unit.only = only;
+    unit.required = required;
     return unit;
   }
 
--- a/tests/policy/stream_shapes.cpp
+++ b/tests/policy/stream_shapes.cpp
@@ -83,8 +83,8 @@
     s.warm_keys = coin();
     s.sizes_listed = coin();
     s.probe_price = one_of({0, 0.001, 0.004, 0.009, 0.05});
-    s.most_probes = one_of({0, 0, 5, 40});
-    s.most_probes_backend = one_of({0, 0, 2});
+    s.max_probes_per_second = one_of({0, 0, 5, 40});
+    s.max_probes_per_backend = one_of({0, 0, 2});
     s.streams_per_connection = static_cast<int>(one_of({1, 100}));
     s.kept_promises = one_of({0, 1});
     s.warm_up = one_of({0, 8000, 20000});
@@ -122,7 +122,8 @@
     s.settings.list_on_request = true, s.settings.instances = 40, s.settings.ask_every = 900;
   });
   add("ceilings", [](Shape& s) {
-    s.boxes = 120, s.settings.most_probes = 30, s.settings.most_probes_backend = 1, s.settings.instances = 3;
+    s.boxes = 120, s.settings.max_probes_per_second = 30, s.settings.max_probes_per_backend = 1,
+    s.settings.instances = 3;
   });
   add("one-stream", [](Shape& s) { s.settings.streams_per_connection = 1, s.trouble = 0.15; });
   add("cold", [](Shape& s) {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -706,7 +706,7 @@
 // Ceilings of probes hold in every second, also where a list is new all at once, and everybody has a turn.
 TEST(Probes, ACeilingHoldsAndNobodyIsLeftOut) {
   Settings s = plain_settings();
-  s.most_probes = 100;
+  s.max_probes_per_second = 100;
   Node node(s);
   node.list(entries(500));
   for (BackendId i = 0; i < 500; ++i) node.probe_time[i] = 1;
