--- a/src/policy/backend_selector.h
+++ b/src/policy/backend_selector.h
@@ -1,5 +1,5 @@
-// Which backend a request goes to, of those that may have it: the rotation's next, with the exceptions
-// "skip", "admission", "full" and "look first". It holds no state, and must never send nor wait for news.
+// Selects the backend for a request: the next in the rotation, with the exceptions "skip", "admission",
+// "full", "home" and "probe before send". Holds no state, sends nothing and does not wait.
 #pragma once
 
 #include <tuple>
@@ -11,18 +11,21 @@
 
 namespace shorelead::policy {
 
-constexpr double kSkipShare =
-    0.35;  // a pick expected to need more of the time left to the aim is passed over
-constexpr double kMinWorthShare =
-    0.5;  // of that time, that a request worth nothing beside the dearest may wait
-constexpr double kKeyRankFactor = 1.3;  // each further backend in a key's order must be so much better
-constexpr double kMaxQueueFactor = 3;   // times the root of its cores that may wait at a backend
-constexpr Millis kMaxProbeTime = 10;    // slower probes than this are not waited for
-constexpr double kMinReportAge = 0.2;   // service times: a younger report is news enough
+// Of the time left to the aim: a backend that is expected to need more is passed over.
+constexpr double kSkipShare = 0.35;
+// Of the time left to the aim: how long a request of no worth may take. One of the highest worth may take all
+// of it.
+constexpr double kMinWorthShare = 0.5;
+// In the preference order of a key, each further backend must be better by this factor.
+constexpr double kKeyRankFactor = 1.3;
+// Times the square root of its lanes: how many requests may wait at a backend.
+constexpr double kMaxQueueFactor = 3;
+constexpr Millis kMaxProbeTime = 10;   // a backend whose probes take longer is not probed for a request
+constexpr double kMinReportAge = 0.2;  // in mean service times: a younger report is recent enough
 
 struct BackendSelector {
-  // The next in the rotation, or the best of those looked at; and whether it is good enough without more
-  // news.
+  // Returns the next in the rotation, or the best of the candidates that were probed, and whether it is good
+  // enough without further reports.
   std::pair<std::optional<BackendId>, bool> pick(const Request& r) const {
     const Millis time_limit = kSkipShare * (r.aim_at - context_.now);
     if (const auto i = r.home.is_set() ? lowest_expected_response(r, time_limit, true) : std::nullopt)
@@ -35,7 +38,7 @@
     return {i, i && meets_deadline(r, *i, time_limit)};
   }
 
-  // The pick where no more news is to be had; none: the request is better turned away.
+  // The choice where no further reports are to be had. None: the request is better refused.
   std::optional<BackendId> select_fallback(const Request& r, std::optional<BackendId> pick) const {
     if (pick && context_.probes_before_send() && !meets_deadline(r, *pick, admission_limit(r))) pick.reset();
     return pick || (context_.probes_before_send() && !r.candidates.empty())
@@ -43,7 +46,8 @@
                : lowest_expected_response(r, admission_limit(r));
   }
 
-  // The next in the rotation; or of few that are confirmed, of whom it soon has no turn left, the soonest.
+  // The next in the rotation. While the list has expired, only a few backends are confirmed and soon have no
+  // turn left: then the confirmed one with the lowest expected response time.
   std::optional<BackendId> next_backend(const Request& r) const {
     const std::optional<BackendId> i = next_in_rotation(r);
     if (i || !confirmations_.list_outdated()) return i;
@@ -52,14 +56,15 @@
                                            : kSkipShare * (r.aim_at - context_.now));
   }
 
-  // The next in the rotation that may have it and can answer in time (exception "skip": it loses its turn).
+  // The next in the rotation that may have the request and is expected to answer in time. Exception "skip":
+  // one that is not loses its turn.
   std::optional<BackendId> next_in_rotation(const Request& r) const {
     const Millis time_limit = kSkipShare * (r.aim_at - context_.now);
     std::optional<BackendId> pick;
     rotation_.walk([&](BackendId i) {
       const bool may = allowed(r, i);
       if (may && expected_response(r, i) <= time_limit) return pick = i, Rotation::Turn::kTaken;
-      // It keeps its turn for another request, as does one that a look may clear.
+      // One that may not have this request keeps its turn for another, as does one that a probe may clear.
       return !may || may_probe(i) ? Rotation::Turn::kKept : Rotation::Turn::kLost;
     });
     return pick;
@@ -69,13 +74,13 @@
     return confirmations_.confirmed(i, context_.now) && eligible(r, i);
   }
 
-  // A health check would let it have the request.
+  // Whether only a health check is missing for it to get the request.
   bool needs_check(const Request& r, BackendId i) const {
     return context_.settings.probing && !confirmations_.confirmed(i, context_.now) &&
            confirmations_.may_check(i) && rotation_.usable(i) && eligible(r, i);
   }
 
-  // Whether it may have it by all but the age of the list.
+  // Whether it may get the request if the list is valid.
   bool eligible(const Request& r, BackendId i) const {
     if (r.home.required && !r.home.contains(lists_[i])) return false;
     for (const Attempt& a : r.attempts) {
@@ -85,14 +90,14 @@
     return !estimates_.cold(i) || slow_start_.has_budget(i);
   }
 
-  // Whether any in the rotation may still have it.
+  // Whether any backend in the rotation may still get the request.
   bool any_allowed(const Request& r) const {
     BackendId i = 0;
     while (i < lists_.size() && !(rotation_.usable(i) && allowed(r, i))) ++i;
     return i < lists_.size();
   }
 
-  // Whether news of it, where answers bring reports, is old enough to ask for.
+  // Whether its last report, where reports come with answers, is old enough for a probe.
   bool may_probe(BackendId i) const {
     const estimate::ResponseTimes& times = probes_.times(i);
     const estimate::Load& load = estimates_.load(i);
@@ -116,10 +121,10 @@
   const estimate::Backends& estimates_;
 
  private:
-  // Without a pick from the rotation: who is expected to answer first. Exception "admission": nobody, if even
-  // that would be too late, since trying would only slow the others. Dropped backends are a last resort.
-  // Exception "home": first of all the best of what it belongs to, where that is as good as the rotation's
-  // next.
+  // The allowed backend with the lowest expected response time; dropped ones only if there is no other.
+  // Exception "admission": none if even that is above `within`, as the attempt would only slow the others.
+  // Exception "home": with `home`, only backends that the request is bound to, and none that was dropped;
+  // these are tried before the rotation.
   std::optional<BackendId> lowest_expected_response(const Request& r, Millis within,
                                                     bool home = false) const {
     std::optional<BackendId> best;
@@ -140,7 +145,7 @@
     return best;
   }
 
-  // Who of those looked at is best, if there is one that may have the request.
+  // The best of the probed candidates that may get the request.
   std::optional<BackendId> best_candidate(const Request& r) const {
     std::optional<BackendId> best;
     std::tuple<bool, bool, Millis> lowest;
@@ -160,8 +165,9 @@
     return !full(r, i) && expected_response(r, i) <= within;
   }
 
-  // Exception "full": a backend with far more waiting than cores was seen to turn slow for long, so it gets
-  // no more; what is worth little is turned away sooner, the more so the fuller the fleet.
+  // Exception "full": a backend with many more requests waiting than it has lanes becomes slow for a long
+  // time, so it gets no more. Requests of low worth are refused earlier, the more so the higher the load of
+  // the fleet.
   bool full(const Request& r, BackendId i) const {
     const double lanes = estimates_.load(i).lanes;
     const double max_waiting = kMaxQueueFactor * std::sqrt(lanes);
@@ -169,15 +175,17 @@
     return estimates_.held(i) > lanes + max_waiting * (1 - (1 - relative_worth(r)) * crowded);
   }
 
-  // Its worth beside the dearest class within its tenant's share, in time.
+  // Its worth relative to the highest class, considering its tenant's share and whether the client repeats
+  // it.
   double relative_worth(const Request& r) const {
     const RequestClass& c = context_.request_class(r.request_class);
-    const double late = r.client_retry ? c.late_value : 1;  // its time for the aim ran with the first try
+    const double late = r.client_retry ? c.late_value : 1;  // the first try has used up the time to the aim
     const double worth = r.worth < 0 ? c.worth / context_.max_worth : r.worth;
     return worth * late * (r.over_share ? context_.settings.over_share_worth : 1);
   }
 
-  // Exception "admission": an answer must be expected in this time, less for what is worth less.
+  // Exception "admission": the answer must be expected within this time, which is shorter for requests of low
+  // worth.
   Millis admission_limit(const Request& r) const {
     return (kMinWorthShare + (1 - kMinWorthShare) * relative_worth(r)) * (r.aim_at - context_.now);
   }
--- a/src/policy/confirmations.h
+++ b/src/policy/confirmations.h
@@ -1,15 +1,15 @@
-// Which backends may get something new although the list may be out of date: those whose health check has
-// passed lately enough. A backend that drains fails its health check before discovery tells of it, while it
-// still serves what it is sent, so that an answer to a request confirms nothing. Owns the last check of each
-// backend; it must never send one.
+// Which backends may get new requests although the list has expired: those that passed a health check
+// recently. A draining backend fails its health check before discovery reports the drain, while it still
+// serves the requests that it is sent; hence an answered request confirms nothing. Owns the last check of
+// each backend; sends none itself.
 #pragma once
 
 #include "policy/context.h"
 
 namespace shorelead::policy {
 
-constexpr Millis kRecheckDelay =
-    500;  // after a health check that did not pass, before the next for a request
+// Time after a failed health check in which no request causes another one.
+constexpr Millis kRecheckDelay = 500;
 
 class Confirmations {
  public:
@@ -17,7 +17,7 @@
 
   void set_validity(const ListValidity& validity) { validity_ = validity; }
   void reset(BackendId i) { records_[i] = {}; }
-  // A health check has ended, which was sent `elapsed` ago.
+  // A health check that was sent `elapsed` ago has ended.
   void check_ended(BackendId i, Outcome outcome, Millis elapsed) {
     CheckRecord& record = records_[i];
     if (outcome == Outcome::kServed) return record.last.passed(context_.now - elapsed);
@@ -29,13 +29,13 @@
   bool confirmed(BackendId i, Millis now) const {
     return now < validity_.until || records_[i].last.within(validity_, now);
   }
-  // Whether a check of one that does not hold is worth its while: the last did not fail just now.
+  // Whether a backend that is not confirmed may be checked again: its last check did not fail just now.
   bool may_check(BackendId i) const { return context_.now >= records_[i].next_check_at; }
 
  private:
   struct CheckRecord {
     LastConfirmation last;
-    Millis next_check_at = 0;  // after one that failed
+    Millis next_check_at = 0;  // after a check that failed
   };
 
   const Context& context_;
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -1,5 +1,5 @@
-// What all parts of the module work with: the settings, the time of the event, chance, and where actions go.
-// How news of backends is had follows from the settings alone. It must never hold what was learnt.
+// State that all parts of the module share: the settings, the time of the event, the random numbers and the
+// list of actions. Holds nothing that was measured.
 #pragma once
 
 #include <algorithm>
@@ -12,17 +12,19 @@
 
 namespace shorelead::policy {
 
-constexpr Millis kPeriod = 1000;               // shares are renewed this often, and probes at the most
-constexpr int kTicksPerPeriod = 10;            // moments in a period at which probes that are due go out
-constexpr Millis kTimerTolerance = 1;          // a timer may fire a rounding early
-constexpr double kInitialServiceShare = 0.25;  // of the shortest aim: service time before any was seen
-constexpr std::size_t kMaxCandidates = 512;    // backends weighed for one request, however many there are
-constexpr double kProbeBudget = 0.02;          // most that looks may cost together, a request
-constexpr int kProbesPerRequest = 3;           // backends asked at once for one request
-constexpr int kProbesPerAttempt = 2;           // or, where only probes bring reports, before each attempt
-constexpr double kProbeWaitShare = 0.06;       // of the aim: longest that it is held for their answers then
+constexpr Millis kPeriod = 1000;       // between renewals of the shares; also the shortest round of probes
+constexpr int kTicksPerPeriod = 10;    // moments in a period at which due probes are sent
+constexpr Millis kTimerTolerance = 1;  // a timer may fire early by a rounding error
+// Of the shortest aim: service time assumed before the first answer.
+constexpr double kInitialServiceShare = 0.25;
+constexpr std::size_t kMaxCandidates = 512;  // backends compared for one request, however large the fleet
+// Of the result: the cost of all probes for one request may not exceed it.
+constexpr double kProbeBudget = 0.02;
+constexpr int kProbesPerRequest = 3;      // sent at once for one request
+constexpr int kProbesPerAttempt = 2;      // where only probes carry load reports: sent before each attempt
+constexpr double kProbeWaitShare = 0.06;  // of the aim: longest time that a request waits for their answers
 
-// A timer for one request has its number above the kind.
+// The cookie of a timer for one request holds the request's number above the eight bits of the kind.
 enum TimerKind : std::uint64_t { kTickTimer, kListTimer, kProbeWaitTimer, kHedgeTimer };
 
 struct Context : estimate::View {
@@ -43,13 +45,14 @@
         settings.instances > 1 && settings.peer_messages && !settings.reports_with_answers && seldom_told;
     set_sharing_nodes(sharing_nodes);
   }
-  // So many nodes have each of these backends before them; 0: all.
+  // `nodes`: how many nodes use each of these backends; 0 = all.
   void set_sharing_nodes(double nodes) {
     sharing_nodes = nodes, sharers = nodes > 0 ? nodes : configured_nodes();
   }
 
-  // Exception "look first": where only probes bring reports, all is old news; some are looked at before each
-  // attempt, by probes where those are cheap, else by asking the fellow that keeps what all tell.
+  // Exception "probe before send": where only probes carry load reports, every report is old. Before each
+  // attempt a few backends are probed, or, where probes exceed their budget, the peer that owns the backend's
+  // ledger is queried.
   bool probes_before_send() const {
     return by_keepers ||
            (!settings.reports_with_answers && settings.probing && !exceeds_probe_budget(kProbesPerAttempt));
@@ -68,10 +71,10 @@
   Random random;
   std::vector<Action>* actions = nullptr;
   Millis shortest_aim = 0;
-  double max_worth = 0;  // of any class
+  double max_worth = 0;  // highest of any class
   double sharing_nodes = 0;
 
-  // Mean service time before any was seen.
+  // Mean service time assumed before the first answer.
   Millis initial_service_time() const { return std::max(1.0, kInitialServiceShare * shortest_aim); }
 };
 
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -1,6 +1,6 @@
-// Which backends are spared: those that fail much rest, as the outcomes of our own attempts tell, and cold
-// ones are sent no more than their budget. It owns both records; it must never let one off for a request's
-// sake.
+// Outlier ejection and slow start: ejects backends that fail much more often than the others, by the outcomes
+// of this node's own attempts, and limits what a cold backend is sent to its budget. Owns both records. No
+// request is exempt from either.
 #pragma once
 
 #include "base/kept_median.h"
@@ -9,18 +9,24 @@
 
 namespace shorelead::policy {
 
-constexpr double kFailureGain = 0.25;   // weight of one outcome in the share of failures
-constexpr double kErrorGain = 0.5;      // and of an error, which no crowd explains
-constexpr double kBaselineGain = 0.05;  // weight of one in what is baseline; where that is failing, a further
-constexpr double kBaselineDamping = 20;    // failure says less: by one plus this times what is baseline
-constexpr std::size_t kMedianParts = 128;  // a median is worked out anew once one in so many had an outcome
-constexpr double kEjectionFailureShare = 0.8;  // failing more than this, and
-constexpr double kEjectionMargin = 0.4;        // this much more than the fleet, a backend rests
-constexpr Millis kMinEjection = 1000;          // first rest; doubles while it goes on failing
-constexpr Millis kMaxEjection = 8000;          // longest rest
-constexpr double kSlowStartSafety = 0.5;       // of a cold backend's budget, for what a node cannot see
-constexpr double kSlowStartTurn =
-    2;  // requests for which a turn to a cold backend is open, a fall span at most
+constexpr double kFailureGain = 0.25;  // weight of one outcome in a backend's failure rate
+// Weight of an error, which, unlike a missing answer, load does not explain.
+constexpr double kErrorGain = 0.5;
+constexpr double kBaselineGain = 0.05;  // weight of one outcome in the long-term failure rate
+// Divides the weight of a failure by one plus this times the fleet's long-term failure rate: where failures
+// are common, a single one says less.
+constexpr double kBaselineDamping = 20;
+// A median is computed again once one outcome for every so many backends has been recorded.
+constexpr std::size_t kMedianParts = 128;
+constexpr double kEjectionFailureShare = 0.8;  // a backend is ejected above this failure rate,
+constexpr double kEjectionMargin = 0.4;        // if that also exceeds the fleet's median by this margin
+constexpr Millis kMinEjection = 1000;          // first ejection; doubles while the backend goes on failing
+constexpr Millis kMaxEjection = 8000;          // upper bound of an ejection
+// Part of a cold backend's budget that is used: a node does not see all load that it gets.
+constexpr double kSlowStartSafety = 0.5;
+// Time for which a turn at a cold backend stays open, in mean times between two requests; at most a fall
+// span.
+constexpr double kSlowStartTurn = 2;
 
 class Health {
  public:
@@ -33,7 +39,7 @@
       records.resize(record_index(static_cast<int>(context_.settings.classes.size())));
   }
 
-  // Of a backend that is ready: whatever is asked, or for this class.
+  // For a ready backend: whether it is ejected for all classes, or for this class.
   bool ejected(BackendId i, Millis now) const {
     return now < std::max(records_[i][0].ejected_until, records_[i][1].ejected_until);
   }
@@ -44,8 +50,9 @@
                                     all[n + 1].ejected_until});
   }
 
-  // Exception "health": a backend may fail, hang or fail one class while its probes pass. One that fails much
-  // more than the others rests, ever longer; after a rest one more failure suffices for the next.
+  // Exception "health": a backend may fail, hang, or fail one class only, while its probes pass. One that
+  // fails much more often than the others is ejected, for a time that doubles; after an ejection one more
+  // failure suffices for the next.
   void record_outcome(BackendId i, int request_class, Outcome outcome) {
     const bool silent = outcome == Outcome::kNoAnswer;
     const bool unreachable = outcome == Outcome::kNoConnection;
@@ -61,33 +68,35 @@
 
  private:
   struct Record {
-    double failing = 0;
-    double baseline = 0;       // the same over more of them
-    Millis ejected_until = 0;  // it rests
-    Millis ejection = 0;
+    double failure_rate = 0;
+    double baseline_rate = 0;  // long-term failure rate
+    Millis ejected_until = 0;
+    Millis ejection_time = 0;
   };
-  // Silences (even) and errors (odd), as a crowd explains only the first; over all classes, then of each.
+  // Index of the first record of a class: missing answers (even) and errors (odd), first over all classes,
+  // then for each class. The two are kept apart as load explains only missing answers.
   static std::size_t record_index(int request_class) {
     return 2 * static_cast<std::size_t>(request_class) + 2;
   }
 
-  void update(Record& h, std::size_t n, bool bad, double gain) {
-    h.baseline += kBaselineGain * ((bad ? 1.0 : 0.0) - h.baseline);
-    // Where connections break everywhere, some failures in a row are chance.
-    if (bad) gain /= 1 + kBaselineDamping * median_of(n, &Record::baseline);
-    h.failing += gain * ((bad ? 1.0 : 0.0) - h.failing);
-    if (!bad && h.failing < 1 - kEjectionFailureShare) h.ejection = 0;
-    if (!bad || h.failing <= kEjectionFailureShare || context_.now < h.ejected_until) return;
-    // Compared with the median backend, so most never rest at once.
-    if (h.failing <= median_of(n, &Record::failing) + kEjectionMargin) return;
-    h.ejection = std::clamp(h.ejection * 2, kMinEjection, kMaxEjection);
-    h.ejected_until = context_.now + h.ejection;
-    h.failing = kEjectionFailureShare;
+  void update(Record& record, std::size_t n, bool failed, double gain) {
+    record.baseline_rate += kBaselineGain * ((failed ? 1.0 : 0.0) - record.baseline_rate);
+    // Where connections fail everywhere, several failures in a row may be chance.
+    if (failed) gain /= 1 + kBaselineDamping * median_of(n, &Record::baseline_rate);
+    record.failure_rate += gain * ((failed ? 1.0 : 0.0) - record.failure_rate);
+    if (!failed && record.failure_rate < 1 - kEjectionFailureShare) record.ejection_time = 0;
+    if (!failed || record.failure_rate <= kEjectionFailureShare || context_.now < record.ejected_until) return;
+    // Compared with the median backend, so that never more than half are ejected at once.
+    if (record.failure_rate <= median_of(n, &Record::failure_rate) + kEjectionMargin) return;
+    record.ejection_time = std::clamp(record.ejection_time * 2, kMinEjection, kMaxEjection);
+    record.ejected_until = context_.now + record.ejection_time;
+    record.failure_rate = kEjectionFailureShare;
   }
 
-  // Over all ready backends; worked out anew once one in kMedianParts of them had an outcome.
+  // Median over all ready backends, cached until one outcome for every kMedianParts of them has been
+  // recorded.
   double median_of(std::size_t n, double Record::*figure) {
-    return medians_[n * 2 + (figure == &Record::baseline)].at(outcomes_, kMedianParts, [&] {
+    return medians_[n * 2 + (figure == &Record::baseline_rate)].at(outcomes_, kMedianParts, [&] {
       std::vector<double> all;
       for (BackendId i = 0; i < lists_.size(); ++i) {
         if (lists_.ready(i)) all.push_back(records_[i][n].*figure);
@@ -100,17 +109,18 @@
   const Lists& lists_;
   Grown<std::vector<Record>> records_;
   Grown<KeptMedian> medians_;
-  std::uint64_t outcomes_ = 0;  // judged so far
+  std::uint64_t outcomes_ = 0;  // recorded so far
 };
 
-// Rule "a cold backend is not pushed over": no more than this node's part in any fall span. A part under
-// one request comes in turns, open for some two requests and then lost: kept, all would come at once.
+// Slow start, rule "a cold backend is not pushed over": within any fall span this node sends it at most its
+// part of the budget. A part below one request is used in turns that stay open for about two requests and are
+// then lost. If they were kept, all nodes would use theirs at the same time.
 class SlowStartBudgets {
  public:
-  SlowStartBudgets(Context& context, const estimate::Backends& known)
-      : context_(context), estimates_(known) {}
+  SlowStartBudgets(Context& context, const estimate::Backends& estimates)
+      : context_(context), estimates_(estimates) {}
   void begin(BackendId i) { records_[i].begin(context_.random.unit(), context_.now, estimates_.started(i)); }
-  // Of a cold one.
+  // Whether the budget of a cold backend allows one more request now.
   bool has_budget(BackendId i) {
     const Settings& s = context_.settings;
     const double capacity = estimates_.finishes(i, s.fall_span);
--- a/src/policy/lists.h
+++ b/src/policy/lists.h
@@ -1,5 +1,5 @@
-// Who is there, as lists tell it, and when a list is asked for. It owns the entries of all backends; it must
-// never hold what the node sees of them itself.
+// The backends and their states according to the lists, and when the node subscribes to a list. Owns the
+// entries of all backends. What this node observes of a backend itself is kept elsewhere.
 #pragma once
 
 #include <optional>
@@ -9,9 +9,12 @@
 
 namespace shorelead::policy {
 
-constexpr Millis kMinListRetry = 200;   // a wait before asking for the list again doubles to this at least
-constexpr Millis kMaxListRetry = 4000;  // longest: with a call's 2 s, as long as news is not held to be told
-constexpr double kListCallsPerSecond = 20;  // calls a second that the list service is taken to bear
+// Lower bound of the wait before a failed subscription is repeated, which doubles.
+constexpr Millis kMinListRetry = 200;
+// Upper bound. With the 2 s that a call may take it makes 6 s, the time within which a node must learn of a
+// change.
+constexpr Millis kMaxListRetry = 4000;
+constexpr double kListCallsPerSecond = 20;  // that the discovery service can serve
 
 class Lists {
  public:
@@ -25,7 +28,7 @@
     if (context_.settings.list_on_request && subscribed_at_ < 0)
       context_.emit(SubscribeList{}), subscribed_at_ = context_.now;
   }
-  // Takes a list in. Of each entry in turn `named` is told the backend, and whether it is new or returned.
+  // Applies a list. Calls `on_entry` for each entry with the backend and whether it is new or has returned.
   template <typename OnEntry>
   void apply(const ListUpdate& update, OnEntry on_entry) {
     if (update.kind == ListKind::kFailed) return retry();
@@ -51,9 +54,10 @@
 
   std::size_t size() const { return entries_.size(); }
   const BackendEntry& operator[](BackendId i) const { return entries_[i]; }
-  void require_known(BackendId i) const { (void)entries_.at(i); }  // throws std::out_of_range
+  // Throws std::out_of_range if no list has named it.
+  void require_known(BackendId i) const { (void)entries_.at(i); }
   bool ready(BackendId i) const { return entries_[i].state == BackendState::kReady; }
-  // Whose tag it is, unless that number is another's by now.
+  // The backend with this tag, unless its index has been given to another address since.
   std::optional<BackendId> find_by_tag(std::uint32_t tag) const {
     const auto it = by_tag_.find(tag);
     if (it == by_tag_.end() || entries_[it->second].tag != tag) return std::nullopt;
@@ -61,7 +65,9 @@
   }
 
  private:
-  // Again, soon, out of step; less so if it kept the call waiting, or has failed for long: it may be behind.
+  // Schedules the next call, at a random time so that nodes do not call in step. The wait is longer if the
+  // call was kept waiting, and while calls fail for longer than a list may be used: the service may be
+  // overloaded.
   void retry() {
     const bool at_once = context_.now - std::exchange(subscribed_at_, -1e9) < kMinListRetry;
     if (at_once || retry_wait_ == 0) failing_since_ = context_.now;
@@ -75,7 +81,8 @@
                                                           max_wait)));
   }
   Millis max_list_age() const { return context_.settings.ask_every > 0 ? context_.settings.ask_every : 1e9; }
-  // Calls are spread over what the list service bears: one that is behind works on calls given up long ago.
+  // Calls of all nodes are spread over the rate that the service can bear. One that is overloaded still works
+  // on calls that were abandoned long ago, so early repeats would keep it so.
   Millis call_spread() const { return context_.configured_nodes() / kListCallsPerSecond * 1000; }
 
   Context& context_;
@@ -83,7 +90,7 @@
   std::unordered_map<std::uint32_t, BackendId> by_tag_;
   Millis retry_wait_ = 0;
   Millis failing_since_ = 0;
-  Millis subscribed_at_ = -1e9;  // for the subscription that stands, or is under way
+  Millis subscribed_at_ = -1e9;  // of the subscription that is open or being opened; negative = none
 };
 
 }  // namespace shorelead::policy
--- a/src/policy/peer_exchange.h
+++ b/src/policy/peer_exchange.h
@@ -1,7 +1,7 @@
-// What nodes tell one another, and what follows for tenants' shares. One of the nodes keeps what all tell of
-// a backend, or of a tenant, and each works out the same keeper. It owns the ledgers kept here, the asks
-// under way and what came of each tenant; it must never
-// turn a request away.
+// The messages between nodes, and the tenants' shares that follow from them. For each backend and tenant one
+// node, its owner, keeps a ledger of what all nodes report; every node computes the same owner. Owns the
+// ledgers kept on this node, the open queries, and the request rate of each tenant. Refuses no request
+// itself.
 #pragma once
 
 #include "base/token_bucket.h"
@@ -11,12 +11,12 @@
 namespace shorelead::policy {
 
 constexpr double kQuotaBurst = 2;  // seconds of its quota that a tenant may send at once
-constexpr double kMinBurst = 5;    // requests that it may send at once however small its quota
+constexpr double kMinBurst = 5;    // requests that it may send at once, however small its quota
 
 class PeerExchange {
  public:
-  PeerExchange(Context& context, const Lists& lists, estimate::Backends& known)
-      : context_(context), lists_(lists), estimates_(known) {
+  PeerExchange(Context& context, const Lists& lists, estimate::Backends& estimates)
+      : context_(context), lists_(lists), estimates_(estimates) {
     settings_changed();
   }
   void reset(BackendId i) { reply_until_[i] = 0, ledgers_.forget(i); }
@@ -25,7 +25,7 @@
     ledgers_.set_tenants(quotas_.size());
   }
 
-  // Takes a message in; true if it was an answer about a backend.
+  // Handles a message. Returns true if it was an answer about a backend.
   bool receive(const PeerMessageReceived& e) {
     const PeerMessage& m = e.message;
     if (!context_.by_keepers || e.peer < 0 || e.peer >= context_.settings.instances) return false;
@@ -40,7 +40,7 @@
     return answer && send(e.peer, *answer);
   }
 
-  // Asks a backend's keeper; true if that is this node, and the answer is here.
+  // Queries a backend's owner. Returns true if that is this node, so that the answer is known already.
   bool query_owner(BackendId i) {
     reply_until_[i] = context_.now + kProbeWaitShare * context_.shortest_aim;
     return send(owner_of(lists_[i].tag), {.kind = PeerMessage::Kind::kAsk, .about = lists_[i].tag});
@@ -48,7 +48,7 @@
   bool queried(BackendId i) const { return reply_until_[i] > 0; }
   bool reply_pending(BackendId i, Millis slack) const { return context_.now < reply_until_[i] - slack; }
 
-  // Tells the keeper what this node has out there, and how an attempt ended.
+  // Reports this node's attempts at a backend to its owner, and how the last one ended.
   void report_attempts(BackendId i, PeerMessage::Ending ending, double ratio = 0) {
     if (!context_.by_keepers) return;
     const estimate::OwnAttempts& own = estimates_.own(i);
@@ -63,7 +63,8 @@
     }
   }
 
-  // Exception "shares": a keeper hears all rates of a tenant, and its quota is parted as the traffic is.
+  // Exception "shares": a tenant's owner knows its rate at all nodes, and the quota is divided in proportion
+  // to them. Equal parts would refuse much where a few nodes carry most of the traffic.
   bool within_share(int tenant) {
     if (tenant < 0 || static_cast<std::size_t>(tenant) >= quotas_.size()) return true;
     TenantQuota& tenant_quota = quotas_[static_cast<std::size_t>(tenant)];
@@ -76,9 +77,9 @@
 
  private:
   struct TenantQuota {
-    double arrived = 0;  // in this period
-    double rate = 0;     // in the last one, of this node
-    double all = 0;      // and of all, as its keeper told
+    double arrived = 0;  // requests in this period
+    double rate = 0;     // of this node, in the last period
+    double all = 0;      // of all nodes, as reported by its owner
     TokenBucket bucket;
   };
   int owner_of(std::uint32_t about) const {
@@ -93,9 +94,9 @@
   Context& context_;
   const Lists& lists_;
   estimate::Backends& estimates_;
-  Grown<Millis> reply_until_;  // of each backend: an answer is waited for
+  Grown<Millis> reply_until_;  // for each backend: until when an answer is awaited
   peers::Keeper ledgers_;
-  std::vector<TenantQuota> quotas_;  // of each tenant
+  std::vector<TenantQuota> quotas_;  // for each tenant
 };
 
 }  // namespace shorelead::policy
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,6 +1,6 @@
-// shorelead's decisions, put together from their parts. The ordinary path is ALBL (Kontogiannis et al., see
-// docs/design.md): probe every ready backend each period, turn the timings into shares, send along a weighted
-// rotation that is reshuffled. Here each event is handed to the parts that it concerns, in order.
+// Assembles the decision module from its parts and passes each event to those that it concerns, in order. The
+// base algorithm is ALBL (Kontogiannis et al., see docs/design.md): probe every ready backend in each period,
+// turn the response times into shares, and send requests along a weighted rotation that is reshuffled.
 #include "policy/policy.h"
 
 #include "policy/requests.h"
@@ -28,7 +28,7 @@
   }
 
  private:
-  // What was learnt of backends and classes stays; a class not seen before is taken for an ordinary one.
+  // What was measured of backends and classes stays; a new class starts as an average one.
   void on(const SettingsChanged& changed) {
     context_.apply(changed.settings);
     estimates_.set_classes(context_.settings.classes.size());
@@ -38,7 +38,7 @@
 
   void on(const Started&) {
     lists_.start();
-    const double phase = context_.random.unit();  // so nodes started together do not probe in step
+    const double phase = context_.random.unit();  // so that nodes started together do not probe in step
     context_.set_timer(policy::kTickTimer, context_.now + phase * policy::kPeriod);
   }
 
@@ -51,7 +51,7 @@
     if (update.kind == ListKind::kStored) rotation_.renew_shares();
   }
 
-  // A new or returned backend starts over: what was measured before says nothing of it.
+  // A new or returned backend starts afresh: earlier measurements do not apply to it.
   void reset_backend(BackendId i) {
     probes_.reset(i);
     confirmations_.reset(i);
@@ -67,7 +67,7 @@
     if (fired.cookie == policy::kListTimer) return lists_.subscribe();
     if (fired.cookie != policy::kTickTimer) return requests_.hedge(fired.cookie >> 8);
     context_.set_timer(policy::kTickTimer, context_.now + policy::kPeriod / policy::kTicksPerPeriod);
-    // Also where probing is not allowed: rotation, rates and fading records live by the period.
+    // Also where probing is not allowed: the rotation, the request rate and fading records depend on it.
     if (tick_++ % policy::kTicksPerPeriod == 0) close_period();
     if (context_.settings.probing) probes_.send_due();
   }
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -1,7 +1,7 @@
-// The interface of shorelead's decision module: what a node is told (settings, events) and what it may
-// do (actions). Times are milliseconds on the host's clock. The module does no I/O, keeps no clock, starts
-// no threads and has no globals; a host (the node, or the drill on the bench) feeds it events and carries out
-// its actions in the order written.
+// The interface of shorelead's decision module: settings and events in, actions out. Times are milliseconds
+// on the host's clock. The module does no I/O, reads no clock, starts no threads and has no globals. A host
+// (the node, or the bench adapter) feeds it events and carries out its actions in the order in which they are
+// returned.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 namespace shorelead {
 
 using RequestId = std::uint32_t;
-// Dense index that the host gives each backend when a list first names it; it stays with that address.
+// Dense index that the host gives to each backend when a list first names it. It stays with that address.
 using BackendId = std::uint32_t;
 
 enum class Outcome {
@@ -41,21 +41,21 @@
   BackendState state = BackendState::kReady;
   int zone = 0;
   int cell = 0;
-  Millis started = 0;  // 0 = long past
+  Millis started = 0;  // 0 = a long time ago
   double size = 1;
-  std::uint32_t tag = 0;  // of its address, the same on every node
+  std::uint32_t tag = 0;  // hash of its address, the same on every node
 };
 
 enum class ListKind { kDelta, kFull, kStored, kFailed };
 
-// What a request belongs to, as its host knows: one backend, or all of a cell or zone.
+// What a request is bound to, as its host knows: one backend, or all backends of a cell or zone.
 struct Unit {
   enum class Kind { kAny, kBackend, kCell, kZone };
   Kind kind = Kind::kAny;
   BackendId backend = 0;
   int zone = 0;
   int cell = 0;
-  bool required = false;  // it may go nowhere else; without it, rather there
+  bool required = false;  // it may go nowhere else; otherwise it is preferred there
 
   bool is_set() const { return kind != Kind::kAny; }
   bool contains(const BackendEntry& entry) const {
@@ -68,18 +68,20 @@
 struct ListUpdate {
   ListKind kind = ListKind::kFull;
   std::vector<BackendEntry> entries;
-  double sharing = 0;  // nodes that work with each of these backends, where a node sees a part; 0 = all
+  // Nodes that use each of these backends, where a node uses a subset of them; 0 = all nodes.
+  double sharing = 0;
 };
 struct RequestArrived {
   RequestId request = 0;
   int request_class = 0;
   int tenant = 0;
-  Millis due = 0;             // the client gives this try up then
-  double expected_work = -1;  // on a standard core; negative = unknown
+  Millis due = 0;             // the client gives up on this attempt of its own then
+  double expected_work = -1;  // milliseconds on a standard core; negative = unknown
   bool client_retry = false;
-  std::uint64_t key = 0;  // of what it concerns, the same on every node; 0 = none
-  Unit home{};            // for every attempt
-  double worth = -1;      // beside the dearest, where a fleet has an order; negative = its class's
+  std::uint64_t key = 0;  // hash of the key of the data that it concerns, the same on every node; 0 = none
+  Unit home{};            // binding that holds for every attempt
+  // Relative to the highest worth, where the fleet has a plan; negative = the worth of its class.
+  double worth = -1;
 };
 struct StreamStarted {
   RequestId request = 0;
@@ -109,13 +111,13 @@
   int peer = 0;
   PeerMessage message;
 };
-// New settings from now on. Classes keep their numbers; new ones stand behind them. Requests that are open
-// keep theirs, and the number of attempts under which they came.
+// New settings, in force from now on. Classes keep their numbers, new ones are appended. Open requests keep
+// the settings of their class and the maximum of attempts that held when they arrived.
 struct SettingsChanged {
   Settings settings;
 };
-// So many further attempts are left of what a fleet allows together, from now on; without it only the
-// module's own bound counts.
+// Number of retries that the budget of the whole fleet still allows, from now on. Without this event only the
+// module's own retry budget applies.
 struct RetriesAllowed {
   double left = 0;
 };
@@ -129,8 +131,9 @@
 struct SendAttempt {
   RequestId request = 0;
   BackendId backend = 0;
-  Millis stop_at = 0;  // 0 = when the client gives up
-  // Its last byte may not go out from then on: a backend that begins it so late would run it again.
+  Millis stop_at = 0;  // 0 = at the client's deadline
+  // Its last byte may not be sent from then on: a backend that starts on it later has forgotten its key, and
+  // would run it twice.
   Millis begin_by = std::numeric_limits<Millis>::infinity();
 };
 struct CancelAttempt {
@@ -139,7 +142,7 @@
 };
 struct Refuse {
   RequestId request = 0;
-  Millis wait = 0;  // 0 = no advice
+  Millis wait = 0;  // after which the client may try again; 0 = no advice
 };
 struct Fail {
   RequestId request = 0;
@@ -147,12 +150,12 @@
 struct SendProbe {
   BackendId backend = 0;
 };
-// The node's idle connections to a backend are to be closed.
+// Asks the host to close the node's idle connections to a backend.
 struct CloseIdle {
   BackendId backend = 0;
 };
 struct SubscribeList {};
-// To another node; it may be lost.
+// Sends a message to another node. It may be lost.
 struct SendPeerMessage {
   int peer = 0;
   PeerMessage message;
@@ -174,13 +177,13 @@
   Policy(Policy&&) noexcept;
   Policy& operator=(Policy&&) noexcept;
 
-  // Takes one event at time `now` and appends what is to be done about it. The first event is `Started`.
+  // Handles one event at time `now` and appends the resulting actions. The first event is `Started`.
   void handle(const Event& event, Millis now, std::vector<Action>& actions);
 
-  // How many ready backends it passes over now whatever is asked: dropped for the period, or resting. For
-  // figures.
+  // Number of ready backends that currently get no request of any class: dropped for the period, or ejected.
+  // For metrics.
   std::size_t avoided(Millis now) const;
-  // Whether the list, or a health check since, still says that it may get something new.
+  // Whether the list, or a health check passed after it expired, still allows new requests to the backend.
   bool confirmed(BackendId backend, Millis now) const;
 
  private:
--- a/src/policy/probe_before_send.h
+++ b/src/policy/probe_before_send.h
@@ -1,5 +1,5 @@
-// Who is looked at for a request before it is sent, and for how long it is held for their news. It holds no
-// state, and must never choose among those looked at.
+// Which backends are probed for a request before it is sent, and how long it waits for their reports. Holds
+// no state. The choice among them is the selector's.
 #pragma once
 
 #include "policy/backend_selector.h"
@@ -7,9 +7,11 @@
 
 namespace shorelead::policy {
 
-constexpr double kCrowdSteps = 4;    // a service time: old news is told apart no finer
-constexpr Millis kMaxProbeWait = 8;  // longest that a request is held, where answers bring reports
-constexpr int kOwnerQueries = 3;    // where only probes bring reports: whose keepers are asked in each round,
+// Steps per service time in which expected loads are compared: old reports are no more precise.
+constexpr double kCrowdSteps = 4;
+constexpr Millis kMaxProbeWait = 8;  // longest wait for probes where reports come with answers
+// Where only probes carry load reports: backends whose owners are queried in each round,
+constexpr int kOwnerQueries = 3;
 constexpr int kMaxProbeRounds = 2;  // and rounds for one request
 
 struct ProbeBeforeSend {
@@ -19,10 +21,11 @@
     return confirmations_.list_outdated() ? std::max(share, kMaxProbeWait) : kMaxProbeWait;
   }
 
-  // Adds some to those asked for the request, if there are any of use and it has the time.
-  // Exception "look", with reports in answers: only if nobody in the rotation passes for want of fresh news.
+  // Adds candidates to those probed for the request, if any are of use and there is time.
+  // Exception "probe before send", where reports come with answers: only if no backend in the rotation is
+  // accepted for want of a recent report.
   void add_candidates(Request& r) const {
-    if (context_.now + max_wait(r) >= r.due) return;  // the news might come after the client's time
+    if (context_.now + max_wait(r) >= r.due) return;  // the reports might arrive after the deadline
     const std::size_t old = r.candidates.size();
     if (context_.probes_before_send()) {
       if (r.probe_rounds >= kMaxProbeRounds) return;
@@ -48,9 +51,9 @@
     }
   }
 
-  // While the list is out of date each request that is sent has one more backend checked, for those behind
-  // it: so there are as many to choose from as the traffic needs. Where checks are dear, the few that a
-  // request had to wait for will do.
+  // While the list has expired, each request that is sent has one more backend checked for the requests
+  // behind it, so that as many are confirmed as the traffic needs. Where checks exceed the probe budget, only
+  // those are made that a request has to wait for.
   void check_one_more(const Request& r) const {
     if (!confirmations_.list_outdated() || context_.probes_before_send() ||
         context_.exceeds_probe_budget(kProbesPerAttempt))
@@ -58,12 +61,13 @@
     if (const auto i = unconfirmed_backend(r, false)) probes_.probe_on_demand(*i);
   }
 
-  // Asks for news of a backend, its keeper or itself; true if that keeper is this node, and all is told.
+  // Requests a report on a backend: probes it, or queries its owner. Returns true if that owner is this node,
+  // so that the answer is known already.
   bool query(BackendId i) const {
     if (!context_.by_keepers) return probes_.probe_on_demand(i), false;
     return !peer_exchange_.reply_pending(i, 0) && peer_exchange_.query_owner(i);
   }
-  // Whether an answer is to come once it was asked; and whether it is still worth waiting for.
+  // Whether an answer will come at all; and whether it is still worth waiting for.
   bool reply_expected(BackendId i) const { return !context_.by_keepers || peer_exchange_.queried(i); }
   bool reply_pending(BackendId i) const {
     return probes_.on_demand_pending(i) || peer_exchange_.reply_pending(i, kTimerTolerance);
@@ -79,8 +83,8 @@
   const BackendSelector& selector_;
 
  private:
-  // One whose health check would let it have the request, from a place drawn anew; `under_way`: also one that
-  // is being checked.
+  // A backend, from a random position on, that only lacks a health check to get the request. `under_way`:
+  // also one that is being checked.
   std::optional<BackendId> unconfirmed_backend(const Request& r, bool under_way) const {
     const std::size_t count = lists_.size();
     const std::size_t start = count == 0 ? 0 : context_.random.below(count);
@@ -92,7 +96,7 @@
     return std::nullopt;
   }
 
-  // The next in the rotation; they lose their turns.
+  // Adds the next in the rotation, which lose their turns.
   void add_next_in_rotation(Request& r, std::size_t limit) const {
     rotation_.walk([&](BackendId i) {
       if (r.is_candidate(i) || !selector_.eligible(r, i)) return Rotation::Turn::kKept;
@@ -101,7 +105,7 @@
     });
   }
 
-  // Those in the rotation that a look may clear, the least crowded first; they keep their turns.
+  // Adds those in the rotation that a probe may clear, the least loaded first. They keep their turns.
   void add_stalest(Request& r, std::size_t limit) const {
     std::vector<std::pair<double, BackendId>> stale;
     const std::deque<BackendId>& turns = rotation_.turns();
@@ -116,8 +120,9 @@
       r.candidates.push_back(stale[n].second);
   }
 
-  // Exception "keys": those that most likely have met the key. Each node draws the same order for it, in
-  // which a backend stands first as often as its share says (weighted rendezvous hashing).
+  // Exception "keys": adds the backends that have most likely handled the key before. All nodes compute the
+  // same order for a key, in which each backend comes first as often as its share says (weighted rendezvous
+  // hashing).
   void add_preferred_for_key(Request& r, std::size_t limit) const {
     std::vector<std::pair<double, BackendId>> order;
     for (BackendId i = 0; i < lists_.size(); ++i) {
--- a/src/policy/probes.h
+++ b/src/policy/probes.h
@@ -1,5 +1,5 @@
-// When each backend is probed, and what came of it: ALBL's rounds, and looks out of turn. It must never judge
-// a backend beyond saying that it did not answer.
+// When each backend is probed, and the results: the rounds of ALBL, and probes on demand for a request that
+// waits. Judges a backend only by whether it answered in time.
 #pragma once
 
 #include <cmath>
@@ -9,9 +9,10 @@
 
 namespace shorelead::policy {
 
-constexpr double kProbeRoundCost = 0.0018;  // of the result, a request: what the probe rounds may cost
-constexpr Millis kMaxProbeRound = 30000;    // every ready backend is probed within this, whatever the price
-constexpr Millis kProbeTimeout = 250;       // a probe unanswered by then drops the backend for the period
+constexpr double kProbeRoundCost = 0.0018;  // of the result, per request: what the probe rounds may cost
+constexpr Millis kMaxProbeRound = 30000;    // every ready backend is probed within this, whatever the cost
+// A backend that does not answer a probe within this is dropped for the period.
+constexpr Millis kProbeTimeout = 250;
 
 class Probes {
  public:
@@ -21,9 +22,8 @@
     p = {p.pending, p.on_demand_pending, context_.now - context_.random.unit() * kMaxProbeRound, false, {}};
   }
 
-  // Exception "round": at many nodes of little traffic a round of probes a period costs more than it earns,
-  // so a round takes as long as keeps its price, spread over this node's own requests, within
-  // kProbeRoundCost.
+  // Exception "round": with many nodes and little traffic, a round of probes in each period costs more than
+  // it gains. The round is lengthened until its cost per request of this node is at most kProbeRoundCost.
   void set_round_duration(double requests_a_second, double mean_share) {
     const Settings& s = context_.settings;
     const double cost = s.probe_price / mean_share * 1000 / kPeriod / requests_a_second;
@@ -34,9 +34,10 @@
       round_duration_ = std::max(round_duration_, 1000 * context_.sharers / s.max_probes_per_backend);
   }
 
-  // Probes go out when a round has passed since the backend's last one, so each keeps a phase of its own.
+  // Sends the probes that are due: a round has passed since the backend's last one. So each backend keeps its
+  // own phase within the round.
   void send_due() {
-    // Under a ceiling, who comes too late for this tick is first in the next.
+    // With a ceiling, the next tick begins at the first backend for which no probe was left in this one.
     const double ceiling = context_.settings.max_probes_per_second;
     const std::size_t count = lists_.size();
     double left =
@@ -51,27 +52,29 @@
       next_first_ = i + std::size_t{1};
       p.pending = true;
       p.sent_at = context_.now;
-      if (!p.on_demand_pending) context_.emit(SendProbe{i});  // else that answer will do
+      if (!p.on_demand_pending)
+        context_.emit(SendProbe{i});  // otherwise the answer to the pending probe counts for both
     }
   }
 
-  // Out of turn.
+  // Probes a backend outside its round.
   void probe_on_demand(BackendId i) {
     ProbeRecord& p = records_[i];
     if (std::exchange(p.on_demand_pending, true)) return;
-    if (!p.pending) context_.emit(SendProbe{i});  // else that answer will do
-    // A look at a backend that was not probed for a period is its probe as well.
+    if (!p.pending) context_.emit(SendProbe{i});  // otherwise the answer to the pending probe is used
+    // Where the last probe of the round is a period old, this one counts for the round as well.
     if (context_.now - p.sent_at >= kPeriod) p.pending = true, p.sent_at = context_.now;
   }
   bool on_demand_pending(BackendId i) const { return records_[i].on_demand_pending; }
 
-  // An answer came, or none will; true if it counts for the round, where the rest of it is to be recorded.
+  // A probe has ended, with or without an answer. Returns true if it counts for the round; `record` is called
+  // then.
   bool ended(BackendId i) {
     records_[i].on_demand_pending = false;
     return std::exchange(records_[i].pending, false);
   }
   void record(const ProbeEnded& e) {
-    // One that this node had no descriptor for says nothing of the backend.
+    // Where this node had no file descriptor for the probe, that says nothing about the backend.
     if (e.outcome == Outcome::kNotSent) return;
     ProbeRecord& p = records_[e.backend];
     p.missed = e.outcome != Outcome::kServed || e.elapsed > kProbeTimeout;
@@ -88,16 +91,16 @@
  private:
   struct ProbeRecord {
     bool pending = false;
-    bool on_demand_pending = false;  // asked out of turn
-    Millis sent_at = 0;              // last probe that counts for its round
-    bool missed = false;             // and it was not served in time
+    bool on_demand_pending = false;  // sent outside the round
+    Millis sent_at = 0;              // of the last probe that counts for the round
+    bool missed = false;             // it was not answered in time
     estimate::ResponseTimes times;
   };
   Context& context_;
   const Lists& lists_;
   Grown<ProbeRecord> records_;
-  Millis round_duration_ = kPeriod;  // time from one probe of a backend to the next
-  std::size_t next_first_ = 0;       // where the next tick begins under a ceiling
+  Millis round_duration_ = kPeriod;  // time between two probes of the same backend
+  std::size_t next_first_ = 0;       // where the next tick begins, with a ceiling
 };
 
 }  // namespace shorelead::policy
--- a/src/policy/requests.h
+++ b/src/policy/requests.h
@@ -1,5 +1,5 @@
-// The way of each request, from its arrival to its final answer: attempts sent, held for news, doubled,
-// ended. It owns the open requests. It must never weigh backends: whom an attempt goes to is told by others.
+// The life of each request from arrival to final answer: its attempts, its waits for probes, hedges and
+// outcomes. Owns the open requests. Which backend an attempt goes to is decided by the selector.
 #pragma once
 
 #include <stdexcept>
@@ -9,12 +9,14 @@
 
 namespace shorelead::policy {
 
-constexpr double kOverdueFactor = 4;       // times what was expected: the attempt is lost or stuck
-constexpr double kRetryAdviceShare = 0.2;  // of the aim: when a refused client may still be served in time
-constexpr double kLossThreshold = 0.05;    // of attempts lost, above which
-constexpr double kEarlyEndShare = 0.5;     // an attempt ends after this part of its time
+// Times the expected time: an attempt that takes longer is lost or stuck.
+constexpr double kOverdueFactor = 4;
+// Of the aim: a client that retries within this may still be served in time.
+constexpr double kRetryAdviceShare = 0.2;
+constexpr double kLossThreshold = 0.05;  // share of attempts lost, above which
+constexpr double kEarlyEndShare = 0.5;   // an attempt ends after this part of its time
 
-// The parts that it asks and tells.
+// The parts of the module that requests work with.
 struct PolicyParts {
   Context& context_;
   const Lists& lists_;
@@ -77,7 +79,8 @@
     if (Request* const r = find(id)) forget(*r);
   }
 
-  // Exception "second copy": its timer says that an attempt may be out for far longer than was expected.
+  // Exception "hedged request": the timer of an attempt fired that takes far longer
+  // than expected. A second attempt is sent beside it where that is allowed.
   void hedge(std::uint64_t id) {
     Request* const r = find(static_cast<RequestId>(id));
     if (r == nullptr) return;
@@ -87,13 +90,13 @@
       estimates_.overdue(a.backend, a.sent.at);
       peer_exchange_.report_attempts(a.backend, PeerMessage::Ending::kLost);
     }
-    set_hedge_timer(*r, estimates_.mean_time());  // if it does not come to it now
+    set_hedge_timer(*r, estimates_.mean_time());  // in case that is not possible now
     if (!retries_.may_send(*r) || context_.now < r->wait_until - kTimerTolerance) return;
     r->probe_rounds = 0, r->candidates.clear();
     proceed(*r);
   }
 
-  // News came, or waiting for it is over.
+  // A report arrived, or the wait for it is over: decides on the requests that were held for one.
   void resume_held() {
     std::vector<RequestId> waiting;
     waiting.swap(held_);
@@ -113,7 +116,7 @@
   }
 
  private:
-  // Sends the request's next attempt, or gives its final answer at once.
+  // Sends the request's next attempt, or else gives its final answer.
   void proceed(Request& r) {
     if (r.in_flight() > 0 && !(r.attempts.back().overdue && retries_.may_hedge(r))) return;
     if (retries_.may_send(r)) {
@@ -124,7 +127,8 @@
     if (r.in_flight() == 0) answer_unserved(r);
   }
 
-  // Asks for news and holds the request for it; false: no use, or no time.
+  // Probes candidates and holds the request for their answers. Returns false if no candidate is left or there
+  // is no time.
   bool hold(Request& r) {
     const std::size_t old = r.candidates.size();
     const Millis wait = probe_before_send_.max_wait(r);
@@ -150,7 +154,8 @@
     slow_start_.sent(i), r.candidates.clear(), r.probe_rounds = 0;
     r.attempts.push_back({i, estimates_.sent(i, r.request_class, r.work)});
     if (r.attempts.size() > 1) retries_.spend();
-    // Exception "early end": answers get lost, this one is expected before, and somebody else may have it.
+    // Exception "early end": where answers are lost, an attempt that should be answered before ends early, so
+    // that there is time for a retry at another backend.
     const Millis stop = retries_.stop_at(r);
     const Millis early = kEarlyEndShare * (stop - context_.now);
     const bool ends = estimates_.losing() > kLossThreshold && expected < early && retries_.may_send(r) &&
@@ -163,10 +168,12 @@
     peer_exchange_.report_attempts(i, PeerMessage::Ending::kSent);
   }
 
-  // The final answer of a request that will not be served: a refusal where that is harmless, else a failure.
+  // Gives the final answer to a request that cannot be served: a refusal if a repeat does no harm, otherwise
+  // a failure.
   void answer_unserved(Request& r) {
     const Settings& s = context_.settings;
-    // Exception "come back": soon enough for the aim; where kept promises count, a late answer costs more.
+    // Exception "come back": the advised wait is short enough for a retry within the aim. Where kept promises
+    // count, it is not shortened, as a late answer costs more than a refusal.
     const bool soon = context_.probes_before_send() && s.kept_promises <= 0 && !r.over_share;
     const Millis in_time = kRetryAdviceShare * context_.request_class(r.request_class).aim;
     const Millis wait = soon ? std::min(s.max_wait_advice, in_time) : s.max_wait_advice;
@@ -178,7 +185,7 @@
     forget(r);
   }
 
-  // Forgets a request that is over; copies still out are called off.
+  // Removes a request that is over, and cancels its attempts in flight.
   void forget(Request& r) {
     for (std::size_t n = 0; n < r.attempts.size(); ++n) {
       const bool cancel = r.attempts[n].in_flight && !r.streaming && context_.settings.cancelling;
@@ -190,8 +197,9 @@
   void record_outcome(Request& r, Attempt& a, const AttemptEnded& e) {
     const bool rejected = e.outcome == Outcome::kRejected;
     a.in_flight = false;
-    // Exception "drains untold": turned away though that very answer shows a free core and nobody waiting. It
-    // drains, and the list is late to say so; it would draw attempt after attempt while others are idle.
+    // Exception "drains untold": the backend rejected a request although the same answer reports a free core
+    // and nothing waiting. It is draining and the list does not say so yet. Unless it is dropped, it attracts
+    // one attempt after another while other backends are idle.
     const bool idle = e.has_report && e.report.busy >= 0 && e.report.busy < 1 && e.report.waiting == 0;
     if (rejected && idle && context_.settings.probing &&
         context_.now >= estimates_.load(e.backend).doubted_until) {
@@ -204,7 +212,8 @@
     a.may_have_run = !(rejected || e.outcome == Outcome::kNoConnection || e.outcome == Outcome::kNotSent);
   }
 
-  // Exception "tables full": turned down at once, as idle connections of all nodes fill a backend's table.
+  // Exception "tables full": a connection was refused at once, because idle connections of all nodes fill the
+  // backend's connection table. Closes this node's idle connections.
   void close_idle_connections() {
     for (BackendId i = 0; context_.now >= tables_full_until_ && i < lists_.size(); ++i) {
       if (lists_.ready(i)) context_.emit(CloseIdle{i});
@@ -221,8 +230,8 @@
     context_.set_timer(kHedgeTimer | std::uint64_t{r.id} << 8, context_.now + in);
   }
 
-  std::unordered_map<RequestId, Request> open_;  // looked up, never walked
-  std::vector<RequestId> held_;                  // for fresh news, in order
+  std::unordered_map<RequestId, Request> open_;  // for look-up only: its order is not deterministic
+  std::vector<RequestId> held_;                  // waiting for reports, in order of arrival
   Millis tables_full_until_ = 0;
 };
 
--- a/src/policy/retries.h
+++ b/src/policy/retries.h
@@ -1,5 +1,5 @@
-// What is written down of an open request, and whether it may have a further attempt: the rule "no effect
-// twice", the retry budget, and the moment by which attempts stop. It must never say where an attempt goes.
+// The record of an open request, and whether it may have another attempt: rule "no effect twice", the retry
+// budget, and the time at which attempts stop. Does not choose backends.
 #pragma once
 
 #include <limits>
@@ -9,35 +9,35 @@
 
 namespace shorelead::policy {
 
-constexpr double kRetriesPerRequest = 0.2;  // further attempts earned by each request
-constexpr double kMaxSavedRetries = 10;     // and saved up at most
-constexpr int kMaxAttempts = 3;             // for one request
+constexpr double kRetriesPerRequest = 0.2;  // retries that each request adds to the budget
+constexpr double kMaxSavedRetries = 10;     // upper bound of the budget
+constexpr int kMaxAttempts = 3;             // of one request
 
 struct Attempt {
   BackendId backend = 0;
   estimate::Sent sent;
   bool overdue = false;
   bool in_flight = true;
-  bool may_have_run = true;  // until an outcome proves that it never ran
+  bool may_have_run = true;  // until an outcome proves that it did not run
 };
 
 struct Request {
   RequestId id = 0;
   int request_class = 0;
   Millis due = 0;
-  Millis aim_at = 0;  // an answer after this is worth less or nothing
+  Millis aim_at = 0;  // an answer after this is worth less, or nothing
   int max_attempts = 1;
-  bool parallel = false;  // two may be out at once
-  double work = 1;        // of a mean request, by its hint
+  bool parallel = false;  // two attempts may be in flight at once
+  double work = 1;        // in mean requests, from its hint
   std::uint64_t key = 0;
   Unit home;
-  double worth = -1;  // beside the dearest; negative: its class's
+  double worth = -1;  // relative to the highest; negative = the worth of its class
   bool client_retry = false;
-  bool over_share = false;            // beyond its tenant's share
-  std::vector<BackendId> candidates;  // candidates whose news it waits for
+  bool over_share = false;            // beyond its tenant's share of the quota
+  std::vector<BackendId> candidates;  // backends whose load reports it waits for
   bool streaming = false;
-  int probe_rounds = 0;   // asked for it so far
-  Millis wait_until = 0;  // it waits, or has waited, for their answers until then
+  int probe_rounds = 0;   // rounds of probes or queries sent for it so far
+  Millis wait_until = 0;  // it waits, or waited, for the answers until then
   std::vector<Attempt> attempts;
 
   bool may_have_run() const {
@@ -56,20 +56,22 @@
   Retries(const Context& context, const Lists& lists) : context_(context), lists_(lists) {}
   void earn() { left_ = std::min(kMaxSavedRetries, left_ + kRetriesPerRequest); }
   void spend() { left_ -= 1, allowed_ -= 1; }
-  void set_allowed(double left) { allowed_ = left; }  // by the whole fleet
+  void set_allowed(double left) { allowed_ = left; }  // by the fleet's budget
   int max_attempts() const { return std::min(context_.settings.max_attempts, kMaxAttempts); }
 
   bool may_send(const Request& r) const { return bool(guard::may_send(guard_state(r), context_.now)); }
-  // One beside another that is out.
+  // Whether it may have an attempt beside another one in flight.
   bool may_hedge(const Request& r) const { return bool(guard::may_hedge(guard_state(r), context_.now)); }
 
-  // Work on an answer that has lost all its worth only delays the others, so attempts end at the aim then.
+  // Once an answer has lost all worth, work on it only delays other requests; so attempts end at the aim
+  // where late answers are worth nothing.
   Millis stop_at(const Request& r) const {
     const RequestClass& c = context_.request_class(r.request_class);
     return c.late_value > 0 || c.streamed ? r.due : std::min(r.due, r.aim_at);
   }
 
-  // Until when one may begin: a keyed one is dropped as a repeat within the window of each that may have run.
+  // The time until which a backend may begin the attempt: a repeat of a keyed request is dropped only within
+  // the window of every attempt that may have run.
   Millis begin_by(const Request& r) const {
     const RequestClass& c = context_.request_class(r.request_class);
     Millis by = std::numeric_limits<Millis>::infinity();
@@ -77,7 +79,8 @@
     return c.effect == Effect::kKeyed ? by : std::numeric_limits<Millis>::infinity();
   }
 
-  // Rule "no effect twice": after a keyed attempt that may have run only its group will do, in its window.
+  // Rule "no effect twice": after a keyed attempt that may have run, retries stay in its deduplication group
+  // and within the window.
   bool in_group(const Request& r, BackendId i) const {
     const RequestClass& c = context_.request_class(r.request_class);
     if (c.effect != Effect::kKeyed) return true;
@@ -91,11 +94,11 @@
     return true;
   }
 
-  // Whether the client may send it again.
+  // Whether a client that repeats the request after a refusal does no harm.
   bool refusal_is_safe(const Request& r) const { return bool(guard::may_refuse(guard_state(r))); }
 
  private:
-  // As the guard is to know it.
+  // The facts that the guard decides by.
   guard::RequestState guard_state(const Request& r) const {
     const RequestClass& c = context_.request_class(r.request_class);
     guard::RequestState state;
--- a/src/policy/rotation.h
+++ b/src/policy/rotation.h
@@ -1,5 +1,5 @@
-// ALBL's shares and the weighted rotation that is dealt by them. It owns each backend's share, credit and
-// turns; it must never look at a request: who takes a turn, its visitor says.
+// The shares of ALBL and the weighted rotation built from them. Owns each backend's share, credit and turns.
+// Knows nothing about requests: the visitor passed to walk() decides who takes a turn.
 #pragma once
 
 #include <deque>
@@ -9,12 +9,14 @@
 
 namespace shorelead::policy {
 
-constexpr Millis kResponseThreshold = 150;    // above ordinary probe times, so Equation 5 applies when quiet
-constexpr double kDifferenceFloor = 0.5;      // of the median of (response - delay), Equation 6
-constexpr double kShareCap = 1.5;             // no share above this multiple of the mean
-constexpr std::size_t kNewBackendProbes = 3;  // probes: till then a backend gets at most the mean share
-constexpr double kCreditTolerance = 1e-9;     // a credit this close to a whole turn is one
-constexpr Millis kMinTimeDifference = 0.01;   // floor of a difference, so no share is infinite
+// Milliseconds. Lies above ordinary probe times, so that Equation 5 applies while no backend is loaded.
+constexpr Millis kResponseThreshold = 150;
+// Equation 6: lower bound of (response - delay), relative to its median.
+constexpr double kDifferenceFloor = 0.5;
+constexpr double kShareCap = 1.5;             // upper bound of a share, relative to the mean share
+constexpr std::size_t kNewBackendProbes = 3;  // up to this many probes a backend gets at most the mean share
+constexpr double kCreditTolerance = 1e-9;    // rounding tolerance when a credit is compared with a whole turn
+constexpr Millis kMinTimeDifference = 0.01;  // lower bound of a time difference, so that no share is infinite
 
 class Rotation {
  public:
@@ -22,7 +24,8 @@
       : context_(context), lists_(lists), probes_(probes) {}
   void reset(BackendId i) { records_[i] = {mean_share_, 0, false}; }
   void remove(BackendId i) { records_[i].share = records_[i].credit = 0; }
-  // Drops who did not answer, weighs the others by Equation 5 or 6, starts a rotation.
+  // Starts a new period: drops the backends that did not answer, computes the shares of the others by
+  // Equation 5 or 6, and refills the rotation.
   void renew_shares() {
     std::vector<BackendId> ready;
     std::size_t missed = 0;
@@ -33,19 +36,20 @@
       missed += records_[i].dropped;
     }
     if (missed * 2 > ready.size()) {
-      // Over half unanswered says more of this node or its paths than of the backends: keep the last shares.
+      // If more than half did not answer, the cause is more likely this node or its network than the
+      // backends: keep the last shares.
       for (const BackendId i : ready) records_[i].dropped = false;
     } else {
       compute_shares(ready);
     }
-    // Unsent turns go back to the credits; a new round is earned only once less than half of one is left.
+    // Unused turns are returned as credit. A new round is earned only when less than half of one is left.
     const bool earn = turns_.size() * 2 < lists_.size();
     for (const BackendId i : turns_) records_[i].credit += 1;
     turns_.clear();
     add_round(earn);
   }
 
-  // It gets nothing this period.
+  // Excludes a backend until the next period.
   void drop(BackendId i) { records_[i].dropped = true; }
   bool usable(BackendId i) const { return lists_.ready(i) && !records_[i].dropped; }
   double share(BackendId i) const { return records_[i].share; }
@@ -53,7 +57,7 @@
   const std::deque<BackendId>& turns() const { return turns_; }
   void charge_turn(BackendId i) { records_[i].credit -= 1; }
 
-  // Goes along the rotation, with another round where it ends, till `visit` takes a turn.
+  // Visits the turns in order, appending another round at the end, until `visit` takes a turn.
   enum class Turn { kTaken, kKept, kLost };
   template <typename Visit>
   void walk(Visit visit) {
@@ -70,7 +74,7 @@
         if (turn == Turn::kKept) turns_[kept++] = i;
         taken = turn == Turn::kTaken;
       }
-      // The turns from `kept` up to `n` are taken. Costs by `kept`, as a deque gives way at its nearer end.
+      // The turns from `kept` up to `n` are used up. Costs O(kept), as a deque erases from its nearer end.
       const auto at = [this](std::size_t t) { return turns_.begin() + static_cast<std::ptrdiff_t>(t); };
       turns_.erase(at(kept), at(n));
       if (taken) return;
@@ -120,7 +124,7 @@
     for (std::size_t n = 0; n < included.size(); ++n) records_[included[n]].share = shares[n];
   }
 
-  // Adds one round to the rotation: each backend earns its share of as many turns as there are backends.
+  // Appends one round to the rotation: each backend earns its share of as many turns as there are backends.
   void add_round(bool earn) {
     const std::size_t old = turns_.size();
     std::size_t count = 0;
@@ -132,7 +136,8 @@
         credit = 0;
         continue;
       }
-      // Bounded both ways: neither a hoard of turns nor a long penance for turns taken early.
+      // Bounded on both sides, so that a backend neither hoards turns nor is excluded for long after turns
+      // that were taken early.
       if (earn)
         credit = std::clamp(credit + record.share * static_cast<double>(count), -1.0, 1.0 + kShareCap);
       for (; credit > 1 - kCreditTolerance; credit -= 1) turns_.push_back(i);
