--- a/src/policy/backend_selector.h
+++ b/src/policy/backend_selector.h
@@ -61,7 +61,7 @@
   std::optional<BackendId> next_in_rotation(const Request& r) const {
     const Millis time_limit = kSkipShare * (r.aim_at - context_.now);
     std::optional<BackendId> pick;
-    rotation_.walk([&](BackendId i) {
+    rotation_.visit_turns([&](BackendId i) {
       const bool may = allowed(r, i);
       if (may && expected_response(r, i) <= time_limit) return pick = i, Rotation::Turn::kTaken;
       // One that may not have this request keeps its turn for another, as does one that a probe may clear.
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -85,7 +85,8 @@
     if (failed) gain /= 1 + kBaselineDamping * median_of(n, &Record::baseline_rate);
     record.failure_rate += gain * ((failed ? 1.0 : 0.0) - record.failure_rate);
     if (!failed && record.failure_rate < 1 - kEjectionFailureShare) record.ejection_time = 0;
-    if (!failed || record.failure_rate <= kEjectionFailureShare || context_.now < record.ejected_until) return;
+    if (!failed || record.failure_rate <= kEjectionFailureShare || context_.now < record.ejected_until)
+      return;
     // Compared with the median backend, so that never more than half are ejected at once.
     if (record.failure_rate <= median_of(n, &Record::failure_rate) + kEjectionMargin) return;
     record.ejection_time = std::clamp(record.ejection_time * 2, kMinEjection, kMaxEjection);
--- a/src/policy/peer_exchange.h
+++ b/src/policy/peer_exchange.h
@@ -32,7 +32,7 @@
     const bool rates = m.kind == PeerMessage::Kind::kRate || m.kind == PeerMessage::Kind::kTotal;
     const std::optional<BackendId> i = lists_.find_by_tag(m.about);
     if (rates ? m.about >= quotas_.size() : !i) return false;
-    if (m.kind == PeerMessage::Kind::kTotal) return quotas_[m.about].all = m.rate, false;
+    if (m.kind == PeerMessage::Kind::kTotal) return quotas_[m.about].fleet_rate = m.rate, false;
     if (m.kind == PeerMessage::Kind::kAnswer)
       return reply_until_[*i] = 0, estimates_.told(*i, m.work, m.held, m.ratio), true;
     const auto answer =
@@ -58,8 +58,8 @@
 
   void report_rates() {
     for (std::uint32_t n = 0; context_.by_keepers && n < quotas_.size(); ++n) {
-      quotas_[n].rate = std::exchange(quotas_[n].arrived, 0) * 1000 / kPeriod;
-      send(owner_of(n), {.kind = PeerMessage::Kind::kRate, .about = n, .rate = quotas_[n].rate});
+      quotas_[n].node_rate = std::exchange(quotas_[n].arrived, 0) * 1000 / kPeriod;
+      send(owner_of(n), {.kind = PeerMessage::Kind::kRate, .about = n, .rate = quotas_[n].node_rate});
     }
   }
 
@@ -67,19 +67,19 @@
   // to them. Equal parts would refuse much where a few nodes carry most of the traffic.
   bool within_share(int tenant) {
     if (tenant < 0 || static_cast<std::size_t>(tenant) >= quotas_.size()) return true;
-    TenantQuota& tenant_quota = quotas_[static_cast<std::size_t>(tenant)];
-    tenant_quota.arrived += 1;
+    TenantQuota& tenant_state = quotas_[static_cast<std::size_t>(tenant)];
+    tenant_state.arrived += 1;
     const double quota = context_.settings.tenants[static_cast<std::size_t>(tenant)].quota_rps;
-    if (quota <= 0 || tenant_quota.all <= quota || tenant_quota.rate <= 0) return true;
-    const double rate = quota * tenant_quota.rate / tenant_quota.all;
-    return tenant_quota.bucket.take(rate, std::max(kMinBurst, rate * kQuotaBurst), context_.now);
+    if (quota <= 0 || tenant_state.fleet_rate <= quota || tenant_state.node_rate <= 0) return true;
+    const double rate = quota * tenant_state.node_rate / tenant_state.fleet_rate;
+    return tenant_state.bucket.take(rate, std::max(kMinBurst, rate * kQuotaBurst), context_.now);
   }
 
  private:
   struct TenantQuota {
-    double arrived = 0;  // requests in this period
-    double rate = 0;     // of this node, in the last period
-    double all = 0;      // of all nodes, as reported by its owner
+    double arrived = 0;     // requests in this period
+    double node_rate = 0;   // of this node, in the last period
+    double fleet_rate = 0;  // of all nodes, as reported by its owner
     TokenBucket bucket;
   };
   int owner_of(std::uint32_t about) const {
--- a/src/policy/probe_before_send.h
+++ b/src/policy/probe_before_send.h
@@ -10,9 +10,8 @@
 // Steps per service time in which expected loads are compared: old reports are no more precise.
 constexpr double kCrowdSteps = 4;
 constexpr Millis kMaxProbeWait = 8;  // longest wait for probes where reports come with answers
-// Where only probes carry load reports: backends whose owners are queried in each round,
-constexpr int kOwnerQueries = 3;
-constexpr int kMaxProbeRounds = 2;  // and rounds for one request
+constexpr int kOwnerQueries = 3;     // backends whose owners are queried in each round
+constexpr int kMaxProbeRounds = 2;   // rounds of probes or queries for one request
 
 struct ProbeBeforeSend {
   Millis max_wait(const Request& r) const {
@@ -98,7 +97,7 @@
 
   // Adds the next in the rotation, which lose their turns.
   void add_next_in_rotation(Request& r, std::size_t limit) const {
-    rotation_.walk([&](BackendId i) {
+    rotation_.visit_turns([&](BackendId i) {
       if (r.is_candidate(i) || !selector_.eligible(r, i)) return Rotation::Turn::kKept;
       r.candidates.push_back(i);
       return r.candidates.size() < limit ? Rotation::Turn::kLost : Rotation::Turn::kTaken;
--- a/src/policy/requests.h
+++ b/src/policy/requests.h
@@ -59,9 +59,10 @@
     peer_exchange_.report_attempts(
         e.backend, a != nullptr && served ? PeerMessage::Ending::kAnswered : PeerMessage::Ending::kSent,
         ratio);
-    const bool at_once =
+    const bool refused_at_once =
         e.outcome == Outcome::kNoConnection && e.elapsed < context_.settings.connect_timeout / 2;
-    if (at_once && context_.settings.streams_per_connection == 1 && !context_.settings.reports_full_table)
+    if (refused_at_once && context_.settings.streams_per_connection == 1 &&
+        !context_.settings.reports_full_table)
       close_idle_connections();
     if (context_.now < tables_full_until_ && estimates_.own(e.backend).none())
       context_.emit(CloseIdle{e.backend});
@@ -130,12 +131,12 @@
   // Probes candidates and holds the request for their answers. Returns false if no candidate is left or there
   // is no time.
   bool hold(Request& r) {
-    const std::size_t old = r.candidates.size();
+    const std::size_t first_new = r.candidates.size();
     const Millis wait = probe_before_send_.max_wait(r);
     probe_before_send_.add_candidates(r);
     if (r.candidates.size() == old) return false;
     bool open = false;
-    for (std::size_t n = old; n < r.candidates.size(); ++n) {
+    for (std::size_t n = first_new; n < r.candidates.size(); ++n) {
       if (probe_before_send_.query(r.candidates[n])) resume_held();
       open |= probe_before_send_.reply_expected(r.candidates[n]);
     }
@@ -158,9 +159,9 @@
     // that there is time for a retry at another backend.
     const Millis stop = retries_.stop_at(r);
     const Millis early = kEarlyEndShare * (stop - context_.now);
-    const bool ends = estimates_.losing() > kLossThreshold && expected < early && retries_.may_send(r) &&
-                      selector_.any_allowed(r);
-    context_.emit(SendAttempt{r.id, i, ends ? context_.now + early : stop, begin_by});
+    const bool ends_early = estimates_.losing() > kLossThreshold && expected < early &&
+                            retries_.may_send(r) && selector_.any_allowed(r);
+    context_.emit(SendAttempt{r.id, i, ends_early ? context_.now + early : stop, begin_by});
     const bool repeatable = context_.request_class(r.request_class).effect != Effect::kUnsafe;
     if (context_.probes_before_send() && r.parallel && repeatable) {
       set_hedge_timer(r, kOverdueFactor * std::max(expected, estimates_.mean_time()));
--- a/src/policy/rotation.h
+++ b/src/policy/rotation.h
@@ -1,5 +1,5 @@
 // The shares of ALBL and the weighted rotation built from them. Owns each backend's share, credit and turns.
-// Knows nothing about requests: the visitor passed to walk() decides who takes a turn.
+// Knows nothing about requests: the visitor passed to visit_turns() decides who takes a turn.
 #pragma once
 
 #include <deque>
@@ -58,9 +58,10 @@
   void charge_turn(BackendId i) { records_[i].credit -= 1; }
 
   // Visits the turns in order, appending another round at the end, until `visit` takes a turn.
+  // kTaken: the turn is used. kKept: it stays for another request. kLost: it is given up.
   enum class Turn { kTaken, kKept, kLost };
   template <typename Visit>
-  void walk(Visit visit) {
+  void visit_turns(Visit visit) {
     std::size_t visited = 0;
     for (int round = 0; round < 2 && visited < kMaxCandidates; ++round) {
       std::size_t kept = 0;
