--- a/src/guard/checker.cpp
+++ b/src/guard/checker.cpp
@@ -6,29 +6,30 @@
 namespace shorelead::guard {
 namespace {
 
-constexpr Millis kLeftSlack = 100;      // after a client's end an attempt may still begin
-constexpr Millis kDeadlineSlack = 150;  // by which a told deadline may be too long
+// An attempt may still begin this long after its client has gone.
+constexpr Millis kClientGoneTolerance = 100;
+constexpr Millis kDeadlineTolerance = 150;  // a deadline stated to a backend may be too long by this much
 
 }  // namespace
 
-Checker::Checker(OnViolation on_violation) : on_violation_(std::move(on_violation)), records_(kRoom) {}
+Checker::Checker(OnViolation on_violation) : on_violation_(std::move(on_violation)), records_(kCapacity) {}
 
 Checker::Record* Checker::find(RequestId request) {
-  Record& record = records_[request % kRoom];
+  Record& record = records_[request % kCapacity];
   return record.request == request ? &record : nullptr;
 }
 
-void Checker::violated(Rule rule, RequestId request) {
+void Checker::report_violation(Rule rule, RequestId request) {
   ++counts_[static_cast<std::size_t>(rule)];
   on_violation_(rule, request);
 }
 
 void Checker::close_if_over(Record& record) {
-  if (record.in_flight == 0 && (record.answered || record.left_at > 0)) record.open = false;
+  if (record.in_flight == 0 && (record.answered || record.client_left_at > 0)) record.open = false;
 }
 
-void Checker::taken(RequestId request, const RequestRules& rules) {
-  Record& record = records_[request % kRoom];
+void Checker::request_accepted(RequestId request, const RequestRules& rules) {
+  Record& record = records_[request % kCapacity];
   if (record.open) {
     ++unchecked_;
     return;
@@ -39,32 +40,35 @@
   record.rules = rules;
 }
 
-void Checker::due(RequestId request, Millis due) {
+void Checker::deadline_set(RequestId request, Millis due) {
   if (Record* const record = find(request)) record->rules.due = due;
 }
 
-void Checker::written(RequestId request, bool withdrawn, Millis told, Millis now) {
-  if (withdrawn) violated(Rule::kToWithdrawn, request);
+void Checker::attempt_written(RequestId request, bool withdrawn, Millis stated_timeout, Millis now) {
+  if (withdrawn) report_violation(Rule::kToWithdrawn, request);
   Record* const record = find(request);
   if (record == nullptr) return;
   const RequestRules& rules = record->rules;
-  if (record->answered) violated(Rule::kAfterAnswer, request);
-  if (record->left_at > 0 && now > record->left_at + kLeftSlack) violated(Rule::kAfterClientLeft, request);
-  if (now > rules.due) violated(Rule::kAfterDue, request);
-  if (told > rules.due - now + kDeadlineSlack) violated(Rule::kDeadlineTooLong, request);
-  if (record->in_flight > 0 && !rules.parallel) violated(Rule::kTwoAtOnce, request);
-  if (rules.run_once && (record->may_have_run || record->in_flight > 0)) violated(Rule::kRunTwice, request);
-  const bool repeats = record->may_have_run || record->in_flight > 0;
-  if (rules.window > 0 && repeats && now > record->first_written + rules.window)
-    violated(Rule::kOutsideWindow, request);
-  if (record->attempts >= rules.max_attempts) violated(Rule::kTooManyAttempts, request);
-  if (!repeats) record->first_written = now;
+  if (record->answered) report_violation(Rule::kAfterAnswer, request);
+  if (record->client_left_at > 0 && now > record->client_left_at + kClientGoneTolerance)
+    report_violation(Rule::kAfterClientLeft, request);
+  if (now > rules.due) report_violation(Rule::kAfterDue, request);
+  if (stated_timeout > rules.due - now + kDeadlineTolerance)
+    report_violation(Rule::kDeadlineTooLong, request);
+  if (record->in_flight > 0 && !rules.parallel) report_violation(Rule::kTwoAtOnce, request);
+  if (rules.run_once && (record->may_have_run || record->in_flight > 0))
+    report_violation(Rule::kRunTwice, request);
+  const bool is_repeat = record->may_have_run || record->in_flight > 0;
+  if (rules.window > 0 && is_repeat && now > record->first_written + rules.window)
+    report_violation(Rule::kOutsideWindow, request);
+  if (record->attempts >= rules.max_attempts) report_violation(Rule::kTooManyAttempts, request);
+  if (!is_repeat) record->first_written = now;
   ++record->attempts;
   ++record->in_flight;
   record->open = true;
 }
 
-void Checker::over(RequestId request, bool never_ran) {
+void Checker::attempt_ended(RequestId request, bool never_ran) {
   Record* const record = find(request);
   if (record == nullptr || record->in_flight == 0) return;
   --record->in_flight;
@@ -72,13 +76,13 @@
   close_if_over(*record);
 }
 
-void Checker::answered(RequestId request, Answer answer) {
+void Checker::request_answered(RequestId request, Answer answer) {
   Record* const record = find(request);
   if (record == nullptr) return;
-  if (record->answered) violated(Rule::kAnsweredTwice, request);
+  if (record->answered) report_violation(Rule::kAnsweredTwice, request);
   const bool ran = record->may_have_run || record->in_flight > 0;
-  if (answer == Answer::kRefused && ran && !record->rules.refusal_repeats)
-    violated(Rule::kRefusedAfterRun, request);
+  if (answer == Answer::kRefused && ran && !record->rules.refusal_is_safe)
+    report_violation(Rule::kRefusedAfterRun, request);
   record->answered = true;
   close_if_over(*record);
 }
@@ -86,7 +90,7 @@
 void Checker::client_left(RequestId request, Millis now) {
   Record* const record = find(request);
   if (record == nullptr) return;
-  record->left_at = now;
+  record->client_left_at = now;
   close_if_over(*record);
 }
 
--- a/src/guard/checker.h
+++ b/src/guard/checker.h
@@ -1,6 +1,6 @@
-// Counts violations of the rules as they happen, from the same events as the guard but by a record of its
-// own: what the guard believes of a request or a backend is never looked at. Owns that record, of fixed size,
-// so that no event allocates. Pure: events come with the time, violations go to whoever listens.
+// Counts violations of the rules as they happen, from the same events as the guard but from a record of its
+// own: it never consults what the guard knows of a request or a backend. Owns that record, which has a fixed
+// size, so that no event allocates. Pure: the caller passes the time, and violations go to a callback.
 #pragma once
 
 #include <array>
@@ -14,20 +14,20 @@
 namespace shorelead::guard {
 
 enum class Rule : std::uint8_t {
-  // One whole final answer in its time, and nothing sent for it after.
+  // Each request gets one complete final answer in time, and nothing is sent for it afterwards.
   kAnsweredTwice,
-  kNeverAnswered,    // its connection was closed by this node with no answer
-  kAfterAnswer,      // an attempt was written
-  kAfterClientLeft,  // over 0.1 s
+  kNeverAnswered,    // this node closed its connection without an answer
+  kAfterAnswer,      // an attempt was written after the final answer
+  kAfterClientLeft,  // an attempt was written over 0.1 s after the client had gone
   kAfterDue,
-  kDeadlineTooLong,  // told to a backend: more than the client has left
-  // No effect twice.
+  kDeadlineTooLong,  // a deadline stated to a backend was longer than the client's
+  // No effect happens twice.
   kRunTwice,
   kTwoAtOnce,
   kOutsideWindow,
   kTooManyAttempts,
   kRefusedAfterRun,
-  // Nothing new to a backend that drains, is gone or was taken out.
+  // No new request goes to a backend that drains, is gone or was taken out of service.
   kToWithdrawn,
   kCount
 };
@@ -36,14 +36,16 @@
 
 const char* name_of(Rule rule);
 
-// What the settings said of a request when it came.
+// The settings for a request at the time of its arrival.
 struct RequestRules {
-  bool run_once = false;        // unsafe: never again once an attempt may have run
-  bool parallel = false;        // two attempts may be out at once
-  bool refusal_repeats = true;  // a client's repeat is harmless even if an attempt has run
+  bool run_once = false;  // unsafe: not repeated once an attempt may have run
+  bool parallel = false;  // two attempts may be in flight at once
+  // A client that repeats it after a refusal does no harm, even if an attempt ran.
+  bool refusal_is_safe = true;
   int max_attempts = 1;
-  Millis window = 0;  // keyed: for how long its key is known after the first attempt; 0 = it is not keyed
-  Millis due = 0;     // its client waits until then
+  // Keyed requests: for how long backends know its key after the first attempt. 0 = not keyed.
+  Millis window = 0;
+  Millis due = 0;  // its client waits until then
 };
 
 enum class Answer : std::uint8_t { kServed, kRefused, kFailed };
@@ -55,41 +57,42 @@
 
   explicit Checker(OnViolation on_violation);
 
-  void taken(RequestId request, const RequestRules& rules);
-  void due(RequestId request, Millis due);  // its body has come: from now on
-  // An attempt's first byte was handed to the system; `told`: the time that it tells its backend.
-  // `withdrawn`: its backend was to get nothing new by then.
-  void written(RequestId request, bool withdrawn, Millis told, Millis now);
-  // One that was written has ended; `never_ran`: its outcome proves it.
-  void over(RequestId request, bool never_ran);
-  void answered(RequestId request, Answer answer);
+  void request_accepted(RequestId request, const RequestRules& rules);
+  void deadline_set(RequestId request, Millis due);  // once its body has arrived
+  // The first byte of an attempt was handed to the system. `withdrawn`: the backend was to get no new
+  // requests by then; `stated_timeout`: the time left that the attempt states to the backend.
+  void attempt_written(RequestId request, bool withdrawn, Millis stated_timeout, Millis now);
+  // An attempt that was written has ended. `never_ran`: its outcome proves that it did not run.
+  void attempt_ended(RequestId request, bool never_ran);
+  void request_answered(RequestId request, Answer answer);
   void client_left(RequestId request, Millis now);
-  void closed_unanswered(RequestId request) { violated(Rule::kNeverAnswered, request); }
+  void closed_unanswered(RequestId request) { report_violation(Rule::kNeverAnswered, request); }
 
-  std::uint64_t violations() const;  // all
+  std::uint64_t violations() const;  // of all rules
   std::uint64_t violations(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
-  std::uint64_t unchecked() const { return unchecked_; }  // requests for which there was no room
+  std::uint64_t unchecked() const { return unchecked_; }  // requests for which the record was full
 
  private:
   struct Record {
     RequestId request = 0;
-    bool open = false;  // it has no answer, and its client is there; or an attempt is out
+    bool open = false;  // not answered and its client still there, or an attempt in flight
     bool answered = false;
     bool may_have_run = false;
     std::uint8_t attempts = 0;
     std::uint8_t in_flight = 0;
     RequestRules rules;
-    Millis first_written = 0;  // of those that may have run
-    Millis left_at = 0;        // 0: its client is there
+    Millis first_written = 0;   // first attempt that may have run
+    Millis client_left_at = 0;  // 0 = its client is there
   };
-  static constexpr std::size_t kRoom = 2048;  // requests at once; more than a node's descriptors
+  // Concurrent requests; more than a node has file descriptors.
+  static constexpr std::size_t kCapacity = 2048;
 
   Record* find(RequestId request);
-  void violated(Rule rule, RequestId request);
+  void report_violation(Rule rule, RequestId request);
   void close_if_over(Record& record);
 
   const OnViolation on_violation_;
-  std::vector<Record> records_;  // by number, of kRoom
+  std::vector<Record> records_;  // indexed by request number modulo kCapacity
   std::array<std::uint64_t, kRules> counts_{};
   std::uint64_t unchecked_ = 0;
 };
--- a/src/guard/event_log.cpp
+++ b/src/guard/event_log.cpp
@@ -8,27 +8,27 @@
 namespace shorelead::guard {
 namespace {
 
-std::atomic<const EventLog*> at_crash{nullptr};
+std::atomic<const EventLog*> crash_log{nullptr};
 
-// Text without the standard library, which a signal handler may not use.
+// Builds a line of text without library functions that are not async-signal-safe.
 class Line {
  public:
-  void text(const char* words) {
-    while (*words != 0 && size_ < kSize) bytes_[size_++] = *words++;
+  void append(const char* text) {
+    while (*text != 0 && size_ < kSize) buffer_[size_++] = *text++;
   }
-  void number(std::uint64_t value) {
+  void append(std::uint64_t value) {
     std::array<char, 20> digits{};
     std::size_t count = 0;
     do {
       digits[count++] = static_cast<char>('0' + value % 10);
       value /= 10;
     } while (value != 0);
-    while (count > 0 && size_ < kSize) bytes_[size_++] = digits[--count];
+    while (count > 0 && size_ < kSize) buffer_[size_++] = digits[--count];
   }
   void write_to(int fd) const {
     std::size_t done = 0;
     while (done < size_) {
-      const ssize_t wrote = ::write(fd, bytes_.data() + done, size_ - done);
+      const ssize_t wrote = ::write(fd, buffer_.data() + done, size_ - done);
       if (wrote <= 0) return;
       done += static_cast<std::size_t>(wrote);
     }
@@ -36,12 +36,12 @@
 
  private:
   static constexpr std::size_t kSize = 160;
-  std::array<char, kSize> bytes_{};
+  std::array<char, kSize> buffer_{};
   std::size_t size_ = 0;
 };
 
 void on_crash(int signal) {
-  if (const EventLog* const log = at_crash.load()) log->write_to(STDERR_FILENO, 0);
+  if (const EventLog* const log = crash_log.load()) log->write_to(STDERR_FILENO, 0);
   std::signal(signal, SIG_DFL);
   std::raise(signal);
 }
@@ -50,75 +50,75 @@
 
 EventLog::~EventLog() {
   const EventLog* here = this;
-  at_crash.compare_exchange_strong(here, nullptr);
+  crash_log.compare_exchange_strong(here, nullptr);
 }
 
 void EventLog::write_to(int fd, Millis now) const {
-  walk([fd, now](const EventRecord& event) {
+  for_each([fd, now](const EventRecord& event) {
     Line line;
-    line.text("event ");
-    // Since `now` where that is known, else since the process's own zero.
+    line.append("event ");
+    // Milliseconds before `now` if that is known, otherwise since the clock's origin.
     const Millis at = now > 0 ? now - event.at : event.at;
-    line.number(at > 0 ? static_cast<std::uint64_t>(at) : 0);
-    line.text(now > 0 ? "ms_ago " : "ms ");
-    line.text(name_of(event.what));
-    line.text(" request=");
-    line.number(event.request);
-    line.text(".");
-    line.number(event.attempt);
-    line.text(" reason=");
-    line.number(event.reason);
-    line.text(" detail=");
-    line.number(event.detail);
-    line.text("\n");
+    line.append(at > 0 ? static_cast<std::uint64_t>(at) : 0);
+    line.append(now > 0 ? "ms_ago " : "ms ");
+    line.append(name_of(event.kind));
+    line.append(" request=");
+    line.append(event.request);
+    line.append(".");
+    line.append(event.attempt);
+    line.append(" reason=");
+    line.append(event.reason);
+    line.append(" detail=");
+    line.append(event.detail);
+    line.append("\n");
     line.write_to(fd);
   });
 }
 
 void EventLog::write_at_crash() const {
-  at_crash = this;
+  crash_log = this;
   for (const int signal : {SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT}) std::signal(signal, on_crash);
 }
 
-const char* name_of(What what) {
-  switch (what) {
-    case What::kNone:
+const char* name_of(EventKind kind) {
+  switch (kind) {
+    case EventKind::kNone:
       return "none";
-    case What::kTaken:
+    case EventKind::kTaken:
       return "taken";
-    case What::kAttemptDecided:
+    case EventKind::kAttemptDecided:
       return "attempt_decided";
-    case What::kAttemptDenied:
+    case EventKind::kAttemptDenied:
       return "attempt_denied";
-    case What::kAttemptWritten:
+    case EventKind::kAttemptWritten:
       return "attempt_written";
-    case What::kAttemptOver:
+    case EventKind::kAttemptOver:
       return "attempt_over";
-    case What::kServed:
+    case EventKind::kServed:
       return "served";
-    case What::kRefused:
+    case EventKind::kRefused:
       return "refused";
-    case What::kFailed:
+    case EventKind::kFailed:
       return "failed";
-    case What::kClientGone:
+    case EventKind::kClientGone:
       return "client_gone";
-    case What::kHandlerThrew:
+    case EventKind::kHandlerThrew:
       return "handler_threw";
-    case What::kClientOpened:
+    case EventKind::kClientOpened:
       return "client_opened";
-    case What::kClientClosed:
+    case EventKind::kClientClosed:
       return "client_closed";
-    case What::kBackendOpened:
+    case EventKind::kBackendOpened:
       return "backend_opened";
-    case What::kBackendClosed:
+    case EventKind::kBackendClosed:
       return "backend_closed";
-    case What::kList:
+    case EventKind::kList:
       return "list";
-    case What::kGeneration:
+    case EventKind::kGeneration:
       return "generation";
-    case What::kProcess:
+    case EventKind::kProcess:
       return "process";
-    case What::kViolation:
+    case EventKind::kViolation:
       return "violation";
   }
   return "unknown";
--- a/src/guard/event_log.h
+++ b/src/guard/event_log.h
@@ -1,7 +1,7 @@
-// The last events of a process, for whoever asks afterwards what became of a request or a connection. Owns a
-// ring of fixed size: adding one allocates nothing and formats nothing. It is written out as text at a
-// violation of a rule and by a crash's signal handler, so writing uses nothing that a signal handler may not.
-// One thread adds.
+// The most recent events of a process, to find out afterwards what became of a request or a connection. Owns
+// a ring of fixed size; adding an event neither allocates nor formats. It is written out as text after a
+// violation of a rule and by the handler of a crash signal, hence writing uses only async-signal-safe
+// functions. Not thread-safe: one thread adds.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace shorelead::guard {
 
-enum class What : std::uint8_t {
+enum class EventKind : std::uint8_t {
   kNone,
   // of a request
   kTaken,
@@ -25,16 +25,16 @@
   kFailed,
   kClientGone,
   kHandlerThrew,
-  // of a connection; detail: its descriptor
+  // of a connection; detail: its file descriptor
   kClientOpened,
   kClientClosed,  // reason: why (net::Ending)
   kBackendOpened,
   kBackendClosed,
   // of the process
-  kList,        // detail: its version
-  kGeneration,  // in force; detail: its number
-  kProcess,     // reason: the state (ProcessPhase)
-  kViolation,   // reason: which (Rule)
+  kList,        // detail: version of the list
+  kGeneration,  // new configuration in force; detail: its number
+  kProcess,     // reason: the new state (ProcessPhase)
+  kViolation,   // reason: the rule that was violated (Rule)
 };
 
 enum class ProcessPhase : std::uint8_t { kStarting, kReady, kDraining, kLeaving, kStopped };
@@ -44,11 +44,11 @@
   std::uint64_t detail = 0;
   std::uint32_t request = 0;
   std::uint16_t attempt = 0;
-  What what = What::kNone;
+  EventKind kind = EventKind::kNone;
   std::uint8_t reason = 0;
 };
 
-const char* name_of(What what);
+const char* name_of(EventKind kind);
 
 class EventLog {
  public:
@@ -62,17 +62,18 @@
   void add(const EventRecord& event) { ring_[count_++ % kSize] = event; }
   std::uint64_t count() const { return count_; }
 
-  // Calls `each` with those that are still there, the oldest first.
-  template <typename Each>
-  void walk(Each each) const {
+  // Calls `visit` with each event that is still in the ring, the oldest first.
+  template <typename Visit>
+  void for_each(Visit visit) const {
     const std::uint64_t first = count_ > kSize ? count_ - kSize : 0;
-    for (std::uint64_t n = first; n < count_; ++n) each(ring_[n % kSize]);
+    for (std::uint64_t n = first; n < count_; ++n) visit(ring_[n % kSize]);
   }
 
-  // One line each: milliseconds before `now`, what, request.attempt, reason, detail. Safe in a signal
-  // handler.
+  // Writes one line for each event: milliseconds before `now`, kind, request.attempt, reason, detail.
+  // Async-signal-safe.
   void write_to(int fd, Millis now) const;
-  // Writes it to standard error when a signal ends the process as crashed; then that goes on as ever.
+  // Writes the log to standard error when a signal crashes the process; the signal then takes its default
+  // action.
   void write_at_crash() const;
 
  private:
--- a/src/guard/listed_record.h
+++ b/src/guard/listed_record.h
@@ -1,6 +1,6 @@
-// Who may get something new by the lists and the calls that came, as the checker knows it: a record apart
-// from the one that decisions are made by. Owns one entry a backend; it must never be asked before something
-// is sent.
+// The checker's own record of which backends may get new requests, built from the lists and the operators'
+// calls. Separate from the record that decisions are based on. Not to be used for decisions. Owns one entry
+// for each backend.
 #pragma once
 
 #include <functional>
@@ -16,9 +16,10 @@
 
 class ListedRecord {
  public:
-  // A list came, whole or changes alone: its entries follow.
-  void list_begins(bool whole) {
-    if (!whole) return;
+  // A list has arrived; calls of listed() for its entries follow. `full`: it is complete, not a list of
+  // changes.
+  void begin_list(bool full) {
+    if (!full) return;
     std::erase_if(checked_, [this](const auto& one) { return ready_.find(one.first) == ready_.end(); });
     ready_.clear();
   }
@@ -27,17 +28,17 @@
     if (ready && found == ready_.end()) ready_.emplace(host);
     if (!ready && found != ready_.end()) ready_.erase(found);
   }
-  // Out by hand from now on: these, and no others.
-  void out_by_hand_begins() { out_by_hand_.clear(); }
-  void out_by_hand(std::string host) { out_by_hand_.insert(std::move(host)); }
+  // Backends out of service by the operator's order: replaces the previous ones.
+  void clear_out_of_service() { out_of_service_.clear(); }
+  void add_out_of_service(std::string host) { out_of_service_.insert(std::move(host)); }
 
-  // For how long the list may be acted on, and the health checks that let one be used beyond that.
-  void validity(const ListValidity& validity) { validity_ = validity; }
+  // How long the list is valid, and the health checks that confirm a backend after that.
+  void set_validity(const ListValidity& validity) { validity_ = validity; }
   void confirmed(const std::string& host, Millis sent) { checked_[host].passed(sent); }
   void denied(const std::string& host) { checked_[host].failed(); }
 
   bool withdrawn(std::string_view host, Millis now) const {
-    if (ready_.find(host) == ready_.end() || out_by_hand_.find(host) != out_by_hand_.end()) return true;
+    if (ready_.find(host) == ready_.end() || out_of_service_.find(host) != out_of_service_.end()) return true;
     if (now < validity_.until) return false;
     const auto checked = checked_.find(host);
     return checked == checked_.end() || !checked->second.within(validity_, now);
@@ -51,7 +52,7 @@
   using Hosts = std::unordered_set<std::string, Hash, std::equal_to<>>;
 
   Hosts ready_;
-  Hosts out_by_hand_;
+  Hosts out_of_service_;
   std::unordered_map<std::string, LastConfirmation, Hash, std::equal_to<>> checked_;
   ListValidity validity_;
 };
--- a/src/node/connections.cpp
+++ b/src/node/connections.cpp
@@ -60,7 +60,7 @@
     guard::ConnectionState state;
     state.idle = age;
     state.max_idle = kept_.fit(age, now) ? most_idle_ : 0;
-    state.address_holds = best->dial == dial;
+    state.address_current = best->dial == dial;
     // An end that has come in but was not read yet would make of this request one that may have run.
     state.unread = !best->stream.quiet();
     const guard::Verdict verdict = guard::may_reuse(state);
--- a/src/node/facade.h
+++ b/src/node/facade.h
@@ -66,7 +66,7 @@
   void describe(RequestId request, BackendId backend, Millis now, guard::RequestState& state,
                 guard::BackendState& there) const {
     requests_.describe(request, state);
-    there.wanted = roster_.wanted(backend);
+    there.in_service = roster_.wanted(backend);
     there.confirmed = policy_.confirmed(backend, now);
   }
   void report_client_gone(RequestId request, Millis now);
--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -49,7 +49,7 @@
           [this](RequestId request, BackendId backend, Millis now, guard::RequestState& state,
                  guard::BackendState& there) {
             facade_.describe(request, backend, now, state, there);
-            state.client_waits = host_.still_waits(request);
+            state.client_waiting = host_.still_waits(request);
           },
           [this](BackendId backend, Millis now) { return record_.withdrawn(facade_.host(backend), now); },
           host_.recorder});
--- a/src/node/pool_record.h
+++ b/src/node/pool_record.h
@@ -19,7 +19,7 @@
   explicit PoolRecord(const RecorderHandle& recorder) : recorder_(recorder) {}
 
   void list(const List& list) {
-    listed_.list_begins(list.whole);
+    listed_.begin_list(list.whole);
     for (const ListedBackend& backend : list.backends) {
       listed_.listed(backend.host, backend.health == "ready");
     }
@@ -29,12 +29,12 @@
     spdlog::info("by list {} nothing new goes to {}", version, host);
   }
   void bans(const manage::BanSet& bans) {
-    listed_.out_by_hand_begins();
+    listed_.clear_out_of_service();
     for (const auto& [host, ban] : bans.all()) {
-      if (ban.out) listed_.out_by_hand(host);
+      if (ban.out) listed_.add_out_of_service(host);
     }
   }
-  void validity(const ListValidity& validity) { listed_.validity(validity); }
+  void validity(const ListValidity& validity) { listed_.set_validity(validity); }
   void probed(const std::string& host, const Result& result, Millis now) {
     if (result.ending == Ending::kServed) listed_.confirmed(host, now - result.elapsed);
     if (result.ending == Ending::kRejected) listed_.denied(host);
--- a/src/node/recorder.cpp
+++ b/src/node/recorder.cpp
@@ -10,7 +10,7 @@
 namespace shorelead::node {
 namespace {
 
-using guard::What;
+using guard::EventKind;
 
 constexpr std::uint64_t kMostDumps = 8;  // of the last events, a process's life long
 
@@ -43,62 +43,65 @@
   phase(guard::ProcessPhase::kStarting);
 }
 
-void Recorder::add(What what, RequestId request, int attempt, std::uint8_t reason, std::uint64_t detail) {
-  events_.add({loop_.now(), detail, request, static_cast<std::uint16_t>(attempt), what, reason});
+void Recorder::add(EventKind kind, RequestId request, int attempt, std::uint8_t reason,
+                   std::uint64_t detail) {
+  events_.add({loop_.now(), detail, request, static_cast<std::uint16_t>(attempt), kind, reason});
 }
 
 void Recorder::violated(guard::Rule rule, RequestId request) {
-  add(What::kViolation, request, 0, static_cast<std::uint8_t>(rule));
+  add(EventKind::kViolation, request, 0, static_cast<std::uint8_t>(rule));
   spdlog::error("rule broken: {}, request {}", guard::name_of(rule), request);
   if (++dumps_ <= kMostDumps) events_.write_to(log_descriptor(), loop_.now());
 }
 
 void Recorder::taken(RequestId request, std::string_view named, Millis came, Millis due) {
-  add(What::kTaken, request, 0, 0, number_of(named));
+  add(EventKind::kTaken, request, 0, 0, number_of(named));
   const Millis now = loop_.now();
   spdlog::debug("request {} taken, X-Request-ID {}, unread for {:.0f} ms, {:.0f} ms left", request, named,
                 now - came, due - now);
 }
 
-void Recorder::ruled(RequestId request, const guard::RequestRules& rules) { checker_.taken(request, rules); }
+void Recorder::ruled(RequestId request, const guard::RequestRules& rules) {
+  checker_.request_accepted(request, rules);
+}
 
 void Recorder::attempt_decided(RequestId request, int attempt, std::string_view host, BackendId backend) {
-  add(What::kAttemptDecided, request, attempt, 0, backend);
+  add(EventKind::kAttemptDecided, request, attempt, 0, backend);
   spdlog::debug("attempt {}.{} to {} by list {}", request, attempt, host, list_version_);
 }
 
 void Recorder::attempt_denied(RequestId request, int attempt, guard::Reason reason) {
-  add(What::kAttemptDenied, request, attempt, static_cast<std::uint8_t>(reason));
+  add(EventKind::kAttemptDenied, request, attempt, static_cast<std::uint8_t>(reason));
   spdlog::debug("attempt {}.{} not written: {}", request, attempt, guard::name_of(reason));
 }
 
 void Recorder::attempt_written(RequestId request, int attempt, BackendId backend, bool withdrawn, Millis told,
                                Millis at) {
-  add(What::kAttemptWritten, request, attempt, withdrawn ? 1 : 0, backend);
-  checker_.written(request, withdrawn, told, at);
+  add(EventKind::kAttemptWritten, request, attempt, withdrawn ? 1 : 0, backend);
+  checker_.attempt_written(request, withdrawn, told, at);
 }
 
 void Recorder::attempt_over(RequestId request, int attempt, Ending ending, bool written, bool never_ran) {
-  add(What::kAttemptOver, request, attempt, static_cast<std::uint8_t>(ending));
-  if (written) checker_.over(request, never_ran);
+  add(EventKind::kAttemptOver, request, attempt, static_cast<std::uint8_t>(ending));
+  if (written) checker_.attempt_ended(request, never_ran);
 }
 
 void Recorder::ended(RequestId request, manage::End end) {
   switch (end) {
     case manage::End::kPassed:
-      add(What::kServed, request, 0, 0);
-      checker_.answered(request, guard::Answer::kServed);
+      add(EventKind::kServed, request, 0, 0);
+      checker_.request_answered(request, guard::Answer::kServed);
       break;
     case manage::End::kDropped:
-      add(What::kRefused, request, 0, 0);
-      checker_.answered(request, guard::Answer::kRefused);
+      add(EventKind::kRefused, request, 0, 0);
+      checker_.request_answered(request, guard::Answer::kRefused);
       break;
     case manage::End::kBadGateway:
-      add(What::kFailed, request, 0, 0);
-      checker_.answered(request, guard::Answer::kFailed);
+      add(EventKind::kFailed, request, 0, 0);
+      checker_.request_answered(request, guard::Answer::kFailed);
       break;
     case manage::End::kLeft:
-      add(What::kClientGone, request, 0, 0);
+      add(EventKind::kClientGone, request, 0, 0);
       checker_.client_left(request, loop_.now());
       break;
   }
@@ -107,15 +110,15 @@
 
 void Recorder::handler_threw(RequestId request) {
   ++thrown_;
-  add(What::kHandlerThrew, request, 0, 0);
+  add(EventKind::kHandlerThrew, request, 0, 0);
 }
 
 void Recorder::client_opened(const Stream& stream) {
-  add(What::kClientOpened, 0, 0, 0, static_cast<std::uint64_t>(stream.descriptor()));
+  add(EventKind::kClientOpened, 0, 0, 0, static_cast<std::uint64_t>(stream.descriptor()));
 }
 
 void Recorder::client_closed(const Stream& stream, Ending why, Millis begun) {
-  add(What::kClientClosed, 0, 0, static_cast<std::uint8_t>(why),
+  add(EventKind::kClientClosed, 0, 0, static_cast<std::uint8_t>(why),
       static_cast<std::uint64_t>(stream.descriptor()));
   spdlog::debug("client's connection {} closed: {}", stream.descriptor(), name_of(why));
   if (begun > 0) {
@@ -129,23 +132,23 @@
   if (late > 0) spdlog::warn("request {} had no answer {:.0f} ms after its due time", request, late);
 }
 
-void Recorder::backend_opened(BackendId backend) { add(What::kBackendOpened, 0, 0, 0, backend); }
+void Recorder::backend_opened(BackendId backend) { add(EventKind::kBackendOpened, 0, 0, 0, backend); }
 
 void Recorder::backend_closed(BackendId backend, Ending why) {
-  add(What::kBackendClosed, 0, 0, static_cast<std::uint8_t>(why), backend);
+  add(EventKind::kBackendClosed, 0, 0, static_cast<std::uint8_t>(why), backend);
   spdlog::debug("connection to backend {} closed: {}", backend, name_of(why));
 }
 
 void Recorder::list(std::uint64_t version, bool whole) {
   list_version_ = version;
-  add(What::kList, 0, 0, whole ? 1 : 0, version);
+  add(EventKind::kList, 0, 0, whole ? 1 : 0, version);
 }
 
-void Recorder::generation(std::uint64_t number) { add(What::kGeneration, 0, 0, 0, number); }
+void Recorder::generation(std::uint64_t number) { add(EventKind::kGeneration, 0, 0, 0, number); }
 
 void Recorder::phase(guard::ProcessPhase phase) {
   if (std::exchange(phase_, phase) == phase) return;
-  add(What::kProcess, 0, 0, static_cast<std::uint8_t>(phase));
+  add(EventKind::kProcess, 0, 0, static_cast<std::uint8_t>(phase));
 }
 
 bool Recorder::reported_ready(bool ready) {
--- a/src/node/recorder.h
+++ b/src/node/recorder.h
@@ -24,7 +24,7 @@
   // pool is known.
   void taken(RequestId request, std::string_view named, Millis came, Millis due);
   void ruled(RequestId request, const guard::RequestRules& rules);
-  void due(RequestId request, Millis due) { checker_.due(request, due); }
+  void due(RequestId request, Millis due) { checker_.deadline_set(request, due); }
   void attempt_decided(RequestId request, int attempt, std::string_view host, BackendId backend);
   void attempt_denied(RequestId request, int attempt, guard::Reason reason);
   // `withdrawn`: its backend was to get nothing new by then; `told`: the time that it tells its backend.
@@ -60,7 +60,8 @@
   void log_counters() const;
 
  private:
-  void add(guard::What what, RequestId request, int attempt, std::uint8_t reason, std::uint64_t detail = 0);
+  void add(guard::EventKind kind, RequestId request, int attempt, std::uint8_t reason,
+           std::uint64_t detail = 0);
   void violated(guard::Rule rule, RequestId request);
 
   Loop& loop_;
--- a/src/node/request_rules.h
+++ b/src/node/request_rules.h
@@ -20,7 +20,7 @@
   rules.run_once = of.effect == Effect::kUnsafe;
   rules.parallel = settings.parallel_attempts;
   rules.max_attempts = settings.max_attempts;
-  rules.refusal_repeats = refusal_repeats(of);
+  rules.refusal_is_safe = refusal_repeats(of);
   return rules;
 }
 
@@ -31,7 +31,7 @@
   rules.run_once = of.effect == Effect::kUnsafe;
   rules.parallel = settings.parallel_attempts;
   rules.max_attempts = settings.max_attempts;
-  rules.refusal_repeats = refusal_repeats(of);
+  rules.refusal_is_safe = refusal_repeats(of);
   rules.window = of.effect == Effect::kKeyed ? of.dedup_window : 0;
   rules.due = due;
   return rules;
--- a/src/policy/retries.h
+++ b/src/policy/retries.h
@@ -103,7 +103,7 @@
     const RequestClass& c = context_.request_class(r.request_class);
     guard::RequestState state;
     state.run_once = c.effect == Effect::kUnsafe;
-    state.refusal_repeats =
+    state.refusal_is_safe =
         c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.group == DedupGroup::kAll);
     state.parallel = r.parallel;
     state.max_attempts = r.max_attempts;
--- a/tests/guard/checker_test.cpp
+++ b/tests/guard/checker_test.cpp
@@ -13,34 +13,34 @@
 constexpr std::uint32_t kRequest = 7;
 constexpr Millis kStart = 1000;
 constexpr Millis kDue = 2000;
-constexpr Millis kTold = 100;
+constexpr Millis kStatedTimeout = 100;
 
 struct Case {
   explicit Case(const RequestRules& rules = {}) {
     RequestRules with = rules;
     with.due = kDue;
-    checker.taken(kRequest, with);
+    checker.request_accepted(kRequest, with);
   }
-  void write(Millis at, bool withdrawn = false, Millis told = kTold) {
-    checker.written(kRequest, withdrawn, told, at);
+  void write(Millis at, bool withdrawn = false, Millis stated_timeout = kStatedTimeout) {
+    checker.attempt_written(kRequest, withdrawn, stated_timeout, at);
   }
   std::vector<Rule> broken;
   Checker checker{[this](Rule rule, std::uint32_t) { broken.push_back(rule); }};
 };
 
 using Broken = std::vector<Rule>;
-const RequestRules kUnsafe{.run_once = true, .refusal_repeats = false, .max_attempts = 3};
-const RequestRules kKeyed{.refusal_repeats = false, .max_attempts = 3, .window = 300};
+const RequestRules kUnsafe{.run_once = true, .refusal_is_safe = false, .max_attempts = 3};
+const RequestRules kKeyed{.refusal_is_safe = false, .max_attempts = 3, .window = 300};
 
 TEST(Checker, AnAnswerIsTheLastOfARequest) {
   Case c(kKeyed);
   c.write(kStart);
-  c.checker.over(kRequest, false);
-  c.checker.answered(kRequest, Answer::kServed);
+  c.checker.attempt_ended(kRequest, false);
+  c.checker.request_answered(kRequest, Answer::kServed);
   EXPECT_EQ(c.broken, Broken());
   c.write(kStart + 10);
   EXPECT_EQ(c.broken, Broken({Rule::kAfterAnswer}));
-  c.checker.answered(kRequest, Answer::kFailed);
+  c.checker.request_answered(kRequest, Answer::kFailed);
   EXPECT_EQ(c.broken.back(), Rule::kAnsweredTwice);
   c.checker.closed_unanswered(kRequest);
   EXPECT_EQ(c.broken.back(), Rule::kNeverAnswered);
@@ -73,12 +73,12 @@
 TEST(Checker, NoEffectTwice) {
   Case again(kUnsafe);
   again.write(kStart);
-  again.checker.over(kRequest, true);
+  again.checker.attempt_ended(kRequest, true);
   again.write(kStart + 10);
   EXPECT_EQ(again.broken, Broken()) << "the first has never run";
   Case twice(kUnsafe);
   twice.write(kStart);
-  twice.checker.over(kRequest, false);
+  twice.checker.attempt_ended(kRequest, false);
   twice.write(kStart + 10);
   EXPECT_EQ(twice.broken, Broken({Rule::kRunTwice}));
   Case beside(kKeyed);
@@ -87,38 +87,38 @@
   EXPECT_EQ(beside.broken, Broken({Rule::kTwoAtOnce}));
   Case window(kKeyed);
   window.write(kStart);
-  window.checker.over(kRequest, false);
+  window.checker.attempt_ended(kRequest, false);
   window.write(kStart + 300);
   EXPECT_EQ(window.broken, Broken());
-  window.checker.over(kRequest, false);
+  window.checker.attempt_ended(kRequest, false);
   window.write(kStart + 301);
   EXPECT_EQ(window.broken, Broken({Rule::kOutsideWindow}));
   Case many({.max_attempts = 1});
   many.write(kStart);
-  many.checker.over(kRequest, false);
+  many.checker.attempt_ended(kRequest, false);
   many.write(kStart + 1);
   EXPECT_EQ(many.broken, Broken({Rule::kTooManyAttempts}));
   Case refused(kUnsafe);
   refused.write(kStart);
-  refused.checker.over(kRequest, false);
-  refused.checker.answered(kRequest, Answer::kRefused);
+  refused.checker.attempt_ended(kRequest, false);
+  refused.checker.request_answered(kRequest, Answer::kRefused);
   EXPECT_EQ(refused.broken, Broken({Rule::kRefusedAfterRun}));
 }
 
 TEST(Checker, NothingNewGoesToABackendThatIsWithdrawn) {
   ListedRecord listed;
-  listed.list_begins(true);
+  listed.begin_list(true);
   listed.listed("s-1", true);
   listed.listed("s-2", true);
   EXPECT_FALSE(listed.withdrawn("s-1", kStart));
-  listed.list_begins(false);
+  listed.begin_list(false);
   listed.listed("s-1", false);
   EXPECT_TRUE(listed.withdrawn("s-1", kStart));
   EXPECT_FALSE(listed.withdrawn("s-2", kStart));
-  listed.out_by_hand("s-2");
+  listed.add_out_of_service("s-2");
   EXPECT_TRUE(listed.withdrawn("s-2", kStart));
-  listed.out_by_hand_begins();
-  listed.list_begins(true);
+  listed.clear_out_of_service();
+  listed.begin_list(true);
   listed.listed("s-1", true);
   EXPECT_TRUE(listed.withdrawn("s-2", kStart)) << "a whole list does not name it";
   Case c;
@@ -129,9 +129,9 @@
 // Behind the list's time only a health check that passed lately, and late enough, lets one be used.
 TEST(Checker, NothingNewGoesToABackendOfAnOutdatedListThatNoCheckConfirms) {
   ListedRecord listed;
-  listed.list_begins(true);
+  listed.begin_list(true);
   listed.listed("s-1", true);
-  listed.validity({.until = kStart, .confirmed_for = 100});
+  listed.set_validity({.until = kStart, .confirmed_for = 100});
   EXPECT_FALSE(listed.withdrawn("s-1", kStart - 1));
   EXPECT_TRUE(listed.withdrawn("s-1", kStart));
   listed.confirmed("s-1", kStart - 10);
@@ -141,7 +141,7 @@
   listed.denied("s-1");
   EXPECT_TRUE(listed.withdrawn("s-1", kStart + 60)) << "its check failed since";
   listed.confirmed("s-1", kStart + 70);
-  listed.validity({.until = kStart, .confirmed_for = 100, .confirmed_after = kStart + 71});
+  listed.set_validity({.until = kStart, .confirmed_for = 100, .confirmed_after = kStart + 71});
   EXPECT_TRUE(listed.withdrawn("s-1", kStart + 80)) << "a list was lost since that check";
 }
 
--- a/tests/guard/event_log_test.cpp
+++ b/tests/guard/event_log_test.cpp
@@ -11,9 +11,9 @@
 
 TEST(EventLog, KeepsTheLastInTheirOrder) {
   EventLog log;
-  for (std::uint32_t n = 0; n < EventLog::kSize + 10; ++n) log.add({.request = n, .what = What::kTaken});
+  for (std::uint32_t n = 0; n < EventLog::kSize + 10; ++n) log.add({.request = n, .kind = EventKind::kTaken});
   std::vector<std::uint32_t> there;
-  log.walk([&there](const EventRecord& event) { there.push_back(event.request); });
+  log.for_each([&there](const EventRecord& event) { there.push_back(event.request); });
   ASSERT_EQ(there.size(), EventLog::kSize);
   EXPECT_EQ(there.front(), 10U);
   EXPECT_EQ(there.back(), EventLog::kSize + 9);
@@ -21,7 +21,7 @@
 
 TEST(EventLogDeathTest, IsWrittenOutByACrash) {
   EventLog log;
-  log.add({.at = 5, .detail = 3, .request = 41, .attempt = 2, .what = What::kAttemptWritten});
+  log.add({.at = 5, .detail = 3, .request = 41, .attempt = 2, .kind = EventKind::kAttemptWritten});
   EXPECT_DEATH(
       {
         log.write_at_crash();
--- a/tests/guard/guard_test.cpp
+++ b/tests/guard/guard_test.cpp
@@ -30,7 +30,7 @@
 
 const std::vector<Denied> kAnyAttempt = {
     {Reason::kAnswered, [](auto& r) { r.answered = true; }},
-    {Reason::kClientGone, [](auto& r) { r.client_waits = false; }},
+    {Reason::kClientGone, [](auto& r) { r.client_waiting = false; }},
     {Reason::kDeadline, [](auto& r) { r.due = kNow; }},
     {Reason::kAttemptsSpent, [](auto& r) { r.attempts = 3; }},
     {Reason::kMayHaveRun, [](auto& r) { r.run_once = r.may_have_run = true; }},
@@ -48,7 +48,7 @@
     one.change(request);
     EXPECT_EQ(may_write(request, BackendState(), kNow).reason, one.reason) << name_of(one.reason);
   }
-  EXPECT_EQ(may_write(allowed(), {.wanted = false}, kNow).reason, Reason::kBackendWithdrawn);
+  EXPECT_EQ(may_write(allowed(), {.in_service = false}, kNow).reason, Reason::kBackendWithdrawn);
   EXPECT_EQ(may_write(allowed(), {.confirmed = false}, kNow).reason, Reason::kListOutdated);
   RequestState beside = allowed();
   beside.in_flight = 1;
@@ -83,10 +83,10 @@
 TEST(Guard, AFinalAnswerIsGivenOnceAndARefusalOnlyWhereHarmless) {
   RequestState request = allowed();
   request.may_have_run = true;
-  request.refusal_repeats = false;
+  request.refusal_is_safe = false;
   EXPECT_EQ(may_refuse(request).reason, Reason::kMayHaveRun);
   EXPECT_TRUE(may_fail(request) && may_forward(request));
-  request.refusal_repeats = true;
+  request.refusal_is_safe = true;
   EXPECT_TRUE(may_refuse(request));
   request.answered = true;
   for (const Verdict verdict : {may_refuse(request), may_fail(request), may_forward(request)}) {
@@ -102,7 +102,7 @@
   EXPECT_TRUE(may_reuse({.idle = 9, .max_idle = 10}));
   EXPECT_EQ(may_reuse({.idle = 10, .max_idle = 10}).reason, Reason::kTooOld);
   EXPECT_EQ(may_reuse({.unread = true}).reason, Reason::kInputUnread);
-  EXPECT_EQ(may_reuse({.address_holds = false}).reason, Reason::kOtherAddress);
+  EXPECT_EQ(may_reuse({.address_current = false}).reason, Reason::kOtherAddress);
   EXPECT_EQ(may_reuse({.under_way = true}).reason, Reason::kRequestUnderWay);
   EXPECT_EQ(may_close_idle({.under_way = true}).reason, Reason::kRequestUnderWay);
 }
