--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,4 +1,4 @@
-// The decision module, fed events by hand. Each failure found on the way has its case here.
+// Tests of the decision module, driven by events. Failures found in operation each have a case.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -25,25 +25,25 @@
   for (BackendId i = 0; i < 4; ++i) EXPECT_NEAR(node.probes[i], 10, 1);
 }
 
-TEST(Albl, EquationFiveByHand) {
-  // Constant probe times: response = delay = t, so shares go as 1/t^2. Times 10, 10, 10, 10 and 12 ms:
-  // weights 1, 1, 1, 1 and 0.694, sum 4.694; nobody reaches the cap of 0.3.
+TEST(Albl, EquationFiveGivesSharesOfOneOverTimeSquared) {
+  // Constant probe times: response = delay = t, so shares are proportional to 1/t^2. Times 10, 10, 10, 10 and
+  // 12 ms: weights 1, 1, 1, 1 and 0.694, sum 4.694; no backend reaches the cap of 0.3.
   const auto got = spread_at({{0, 10}, {1, 10}, {2, 10}, {3, 10}, {4, 12}}, 4694);
   for (BackendId i = 0; i < 4; ++i) EXPECT_NEAR(got.at(i), 1000, 25);
   EXPECT_NEAR(got.at(4), 694, 25);
 }
 
-TEST(Albl, EquationSixByHandWithItsFloor) {
-  // All above the threshold, constant: every difference is 0 and meets the same floor, so shares go as
-  // 1/delay: 160, 160, 160 and 192 ms give 1, 1, 1 and 0.8333 of 3.8333.
+TEST(Albl, EquationSixUsesTheFloorForConstantTimes) {
+  // All above the threshold and constant: every difference is 0 and gets the same floor, so shares are
+  // proportional to 1/delay: 160, 160, 160 and 192 ms give 1, 1, 1 and 0.8333 of 3.8333.
   const auto got = spread_at({{0, 160}, {1, 160}, {2, 160}, {3, 192}}, 3833);
   for (BackendId i = 0; i < 3; ++i) EXPECT_NEAR(got.at(i), 1000, 25);
   EXPECT_NEAR(got.at(3), 833, 25);
 }
 
 TEST(Albl, OneBackendUnderTheThresholdSwitchesToEquationFive) {
-  // With one at 140 ms Equation 5 applies to all: 1/t^2. Equation 6 would have given the 192 ms backend
-  // 0.729 of the first one's share; Equation 5 gives it 0.532.
+  // With one at 140 ms Equation 5 applies to all: 1/t^2. Equation 6 would give the 192 ms backend 0.729 of
+  // the first one's share; Equation 5 gives it 0.532.
   const auto got = spread_at({{0, 140}, {1, 140}, {2, 140}, {3, 192}}, 3532);
   EXPECT_NEAR(got.at(0), 1000, 25);
   EXPECT_NEAR(got.at(3), 532, 25);
@@ -65,7 +65,7 @@
   EXPECT_EQ(got.count(3), 0U);
 }
 
-TEST(Albl, WhenOverHalfWouldDropAllKeepTheirShares) {
+TEST(Albl, WhenMoreThanHalfMissTheirProbesAllKeepTheirShares) {
   Node node;
   node.list(entries(4));
   for (BackendId i = 0; i < 4; ++i) node.probe_time[i] = 10;
@@ -87,10 +87,10 @@
   node.run_to(node.now + 2 * kTestPeriod);
   EXPECT_NEAR(spread(node, 500).at(4), 100, 12);
   node.run_to(node.now + 4 * kTestPeriod);
-  EXPECT_NEAR(spread(node, 500).at(4), 150, 12);  // then the cap
+  EXPECT_NEAR(spread(node, 500).at(4), 150, 12);  // limited by the cap
 }
 
-TEST(Albl, TheOrderIsReshuffled) {
+TEST(Albl, EachRoundOfTheRotationIsShuffledAnew) {
   Node node;
   node.list(entries(6));
   for (BackendId i = 0; i < 6; ++i) node.probe_time[i] = 10;
@@ -112,9 +112,9 @@
   EXPECT_GT(orders.size(), 4U);
 }
 
-TEST(Albl, WithoutProbesSlowRecordsStillFade) {
-  // Seen on an altered site: where probing was not allowed nothing that lives by the period ran, and backends
-  // found slow once were left for good.
+TEST(Albl, RecordsOfSlowAnswersFadeWithoutProbing) {
+  // Where probing was not allowed, nothing that depends on the period ran, and backends once found slow were
+  // excluded for good.
   Settings s = plain_settings();
   s.probing = false;
   Node node(s);
@@ -130,7 +130,7 @@
   EXPECT_GT(spread(node, 90)[0], 15);
 }
 
-TEST(Albl, SameEventsSameActions) {
+TEST(Albl, SameSeedAndEventsGiveTheSameActions) {
   const auto play = [](std::uint64_t seed) {
     Node node(plain_settings(), seed);
     node.list(entries(6));
@@ -149,14 +149,14 @@
 
 // ---- rule: one final answer in time ----
 
-TEST(FinalAnswer, NoBackendMeansARefusalAtOnce) {
+TEST(FinalAnswer, WithoutABackendTheRequestIsRefusedAtOnce) {
   Node node;
   const auto actions = node.arrive(1);
   EXPECT_TRUE(only<Refuse>(actions));
   EXPECT_TRUE(none<SendAttempt>(actions));
 }
 
-TEST(FinalAnswer, NothingMoreForARequestThatIsOver) {
+TEST(FinalAnswer, ARequestThatIsOverGetsNoMoreAttempts) {
   Node node;
   node.list(entries(3));
   const BackendId b = only<SendAttempt>(node.arrive(1))->backend;
@@ -164,7 +164,7 @@
   EXPECT_TRUE(none<SendAttempt>(node.end(1, b, Outcome::kError, 1)));
 }
 
-TEST(FinalAnswer, TheClientLeavingCallsTheAttemptOff) {
+TEST(FinalAnswer, AClientThatLeavesCancelsTheAttempt) {
   Node node;
   node.list(entries(3));
   const BackendId b = only<SendAttempt>(node.arrive(1))->backend;
@@ -173,13 +173,13 @@
   EXPECT_TRUE(none<SendAttempt>(after) && none<Fail>(after) && none<Refuse>(after));
 }
 
-TEST(FinalAnswer, LateNameOfAnEndedRequestIsIgnored) {
+TEST(FinalAnswer, TheEndOfAnUnknownRequestIsIgnored) {
   Node node;
   node.list(entries(3));
   EXPECT_EQ(node.feed(RequestGone{77}).size(), 0U);
 }
 
-TEST(FinalAnswer, AtTheDeadlineAnUnansweredRequestIsClosedAtOnce) {
+TEST(FinalAnswer, AnUnansweredRequestGetsItsFinalAnswerAtTheDeadline) {
   for (const int c : {0, 1, 2, 3}) {
     Node node;
     node.list(entries(3));
@@ -193,7 +193,7 @@
   }
 }
 
-TEST(FinalAnswer, AttemptsEndAtTheAimWhereLateIsWorthless) {
+TEST(FinalAnswer, AttemptsEndAtTheAimWhereLateAnswersAreWorthNothing) {
   Settings s = plain_settings();
   Node node(s);
   node.list(entries(3));
@@ -207,7 +207,7 @@
 
 // ---- rule: no effect twice ----
 
-TEST(NoEffectTwice, UnsafeIsResentOnlyAfterProofThatItNeverRan) {
+TEST(NoEffectTwice, AnUnsafeRequestIsRetriedOnlyAfterProofThatItDidNotRun) {
   for (const Outcome proof : {Outcome::kRejected, Outcome::kNoConnection, Outcome::kNotSent}) {
     Node node;
     node.list(entries(3));
@@ -227,7 +227,7 @@
   }
 }
 
-TEST(NoEffectTwice, KeyedGoesOnlyToItsGroup) {
+TEST(NoEffectTwice, AKeyedRequestIsRetriedOnlyInItsDedupGroup) {
   Node node;
   auto list = entries(6);
   for (std::size_t i = 0; i < 6; ++i) list[i].zone = static_cast<int>(i % 3);
@@ -243,7 +243,7 @@
   }
 }
 
-TEST(NoEffectTwice, KeyedIsNotResentAfterItsWindow) {
+TEST(NoEffectTwice, AKeyedRequestIsNotRetriedAfterItsDedupWindow) {
   Settings s = plain_settings();
   s.classes[3].dedup_window = 50;
   s.classes[2].dedup_window = 50;
@@ -257,9 +257,9 @@
   EXPECT_TRUE(only<Refuse>(node.end(2, b, Outcome::kError)));  // group all: a refusal does no harm
 }
 
-// ---- rule: drains ----
+// ---- rule: draining backends ----
 
-TEST(Drains, NothingNewOnceToldOfADrainOrAnEnd) {
+TEST(Drains, ABackendListedAsDrainingOrGoneGetsNoNewRequests) {
   for (const BackendState state : {BackendState::kDraining, BackendState::kGone}) {
     Node node;
     node.list(entries(3));
@@ -278,7 +278,7 @@
   EXPECT_EQ(spread(node, 60).count(2), 0U);
 }
 
-TEST(Drains, AlsoForFurtherAttempts) {
+TEST(Drains, RetriesDoNotGoToADrainingBackend) {
   Node node;
   node.list(entries(2));
   const BackendId b = only<SendAttempt>(node.arrive(1))->backend;
@@ -291,10 +291,10 @@
 
 // ---- rule: cold backends ----
 
-TEST(Cold, ABackendJustStartedIsSentWithinItsBudget) {
-  // Alone and cold it would get everything. The budget for one node: half of 3 x 0.3 of its capacity, which
-  // at the first guess of its service time (100 ms) is 10 requests a second: 4.5 in the first second, and
-  // little more as it warms.
+TEST(SlowStart, ABackendThatHasJustStartedIsSentNoMoreThanItsBudget) {
+  // Alone and cold, it would get everything. The budget for one node is half of 3 x 0.3 of its capacity,
+  // which is 10 requests a second at the initial guess of its service time (100 ms): 4.5 in the first second,
+  // and slightly more as it warms up.
   Node node;
   auto list = entries(1);
   list[0].started = node.now;
@@ -310,21 +310,21 @@
   EXPECT_GE(sent, 2);
 }
 
-// Sends of `nodes` modules side by side to one cold backend among `count`, each with a request every
-// `every` ms for `span` ms after the list named it, all answered at once; and what each span saw at most.
+// Counts what several modules send to one cold backend among `count`. Each gets a request every `every` ms
+// for `span` ms after the list names the backend, and all are answered at once.
 struct ColdSends {
   int total = 0;
   int most_in_a_second = 0;
 };
-// Some `nodes` are played; they have been told of `stated`, and that `sharing` of them have each backend. The
-// others report so many requests in hand, if any.
+// Plays `nodes` modules whose settings state `stated` nodes, of which `sharing` use each backend. The other
+// backends report `in_hand` requests, if any.
 ColdSends cold_sends(int nodes, int count, Millis every, Millis span, int stated = 0, double sharing = 0,
                      double in_hand = 0) {
   Settings s = plain_settings();
   s.instances = stated > 0 ? stated : nodes;
-  s.classes[0].aim = 2000;  // else a cold backend is too slow to be of use
+  s.classes[0].aim = 2000;  // otherwise a cold backend is too slow to be chosen
   s.classes[0].deadline = 4000;
-  if (in_hand > 0) s.probe_price = 0.08;  // too dear to ask first
+  if (in_hand > 0) s.probe_price = 0.08;  // exceeds the probe budget
   std::vector<Millis> sends;
   for (int n = 0; n < nodes; ++n) {
     Node node(s, static_cast<std::uint64_t>(n) + 1);
@@ -335,17 +335,17 @@
     node.feed(ListUpdate{ListKind::kFull, list, sharing});
     RequestId id = 1;
     const Millis start = 1000 + every * n / nodes;
-    bool told = false;
+    bool listed = false;
     for (Millis at = start; at < 21000 + span; at += every) {
-      if (!told && at >= 21000) {
+      if (!listed && at >= 21000) {
         node.run_to(21000);
         list.back().started = node.now;
         node.feed(ListUpdate{ListKind::kFull, list, sharing});
-        told = true;
+        listed = true;
       }
       node.run_to(at);
       const auto sent = only<SendAttempt>(node.arrive(id, 0, 0, 4000));
-      if (told && sent && sent->backend == static_cast<BackendId>(count - 1)) sends.push_back(at);
+      if (listed && sent && sent->backend == static_cast<BackendId>(count - 1)) sends.push_back(at);
       if (sent) node.end(id, sent->backend, Outcome::kServed, 0, 100);
       ++id;
     }
@@ -361,47 +361,46 @@
   return found;
 }
 
-TEST(Cold, TheBudgetIsSharedAmongTheNodes) {
-  // Nodes that would each like to send it everything: half of 3 x 0.3 of 10 a second is 4.5 at first, and 6 a
-  // second later; 9 is the whole budget that makes it fall.
+TEST(SlowStart, TheBudgetIsSharedAmongTheNodes) {
+  // Each node would send it everything. Half of 3 x 0.3 of 10 a second is 4.5 at first, and 6 a second later;
+  // 9 is the whole budget, above which it becomes overloaded.
   EXPECT_LE(cold_sends(100, 1, 500, 1500).most_in_a_second, 9);
 }
 
-TEST(Cold, NodesThatAllWantItAtOnceTakeTurns) {
-  // From a day at size: 100 nodes with 16 requests a second each and all other backends full. Each took its
-  // chance with every request until it had sent its one, so most sent it in the first second: 4.2 times what
-  // it could do, and it fell over.
+TEST(SlowStart, NodesSpreadTheirPartsOfTheBudgetOverTime) {
+  // 100 nodes with 16 requests a second each, and all other backends full. When each node could use its part
+  // of the budget at any request, most did in the first second: the backend got 4.2 times its capacity and
+  // became overloaded.
   const ColdSends found = cold_sends(100, 20, 62, 3000, 0, 0, 9);
   EXPECT_LE(found.most_in_a_second, 9);
   EXPECT_GE(found.total, 8) << "of 15 or so in the budget";
 }
 
-TEST(Cold, APartUnderOneRequestIsNotNever) {
-  // Found at 350 nodes: each one's part of the budget was under one request a span, so none sent a cold
-  // backend anything until it was taken for warm. 200 nodes with a request a second over 5 backends would
-  // send it forty a second; some of that has to arrive, and no second may see the whole budget of nine.
+TEST(SlowStart, APartOfTheBudgetBelowOneRequestIsStillUsed) {
+  // With 350 nodes each one's part of the budget was below one request per span, so no node sent a cold
+  // backend anything until it counted as warm. Here 200 nodes with one request a second over 5 backends would
+  // send it forty a second: some must arrive, and no second may see more than the whole budget of nine.
   const ColdSends found = cold_sends(200, 5, 1000, 5000);
   EXPECT_GE(found.total, 5);
   EXPECT_LE(found.most_in_a_second, 9);
 }
 
-// Where nodes work with parts of a fleet, the budget of a cold backend is shared by the nodes that have it in
-// theirs: two of a hundred take all of it between them, neither fifty times too little nor more than it
-// bears.
-TEST(Cold, TheBudgetIsSharedAmongTheNodesBeforeIt) {
+// Where nodes use subsets of a fleet, the budget of a cold backend is divided among the nodes that use it:
+// two of a hundred use all of it between them, neither a fiftieth of it nor more than it bears.
+TEST(SlowStart, TheBudgetIsSharedAmongTheNodesThatUseTheBackend) {
   const ColdSends all = cold_sends(2, 1, 500, 1500);
   const ColdSends part = cold_sends(2, 1, 500, 1500, 100, 2);
   EXPECT_LE(part.most_in_a_second, 9);
   EXPECT_EQ(part.total, all.total);
 }
 
-TEST(Scale, WhoIsCrowdedIsRememberedLongerThanItsLastReport) {
-  // From a day at size: after a restart most nodes knew the old backends only and crowded them. The others
-  // heard of each backend once in seconds; a report lost its meaning in two service times, so all were taken
-  // for alike.
+TEST(Scale, TheUsualLoadOfABackendIsRememberedLongerThanItsLastReport) {
+  // After a restart most nodes knew only the old backends and overloaded them. The other nodes got a report
+  // of each backend once in several seconds; as a report lost its weight within two service times, they took
+  // all backends for equally loaded.
   Settings s = plain_settings();
   s.instances = 100;
-  s.probe_price = 0.007;  // too dear to ask first, so each is asked once in some seconds
+  s.probe_price = 0.007;  // exceeds the probe budget, so each is probed once in several seconds
   for (RequestClass& c : s.classes) c.aim = 110, c.deadline = 400;
   int well = 0;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
@@ -417,13 +416,13 @@
   EXPECT_GT(well, 30) << "of 50; two in eight are 13";
 }
 
-TEST(Cold, ThoseThatComeBackAreNotTakenForAsCrowdedAsThoseLeft) {
-  // From a day at size: two thirds of a fleet were lost and came back cold. 100 nodes with 16 requests a
-  // second each had no answers of theirs, took them for as crowded as those left, and sent them next to
-  // nothing for nine seconds, while those left turned requests away.
+TEST(SlowStart, BackendsThatReturnAreNotAssumedToBeAsLoadedAsTheOthers) {
+  // Two thirds of a fleet were lost and came back cold. 100 nodes with 16 requests a second each had no
+  // reports from them, took them for as loaded as the others, and sent them almost nothing for nine seconds
+  // while the others rejected requests.
   Settings s = plain_settings();
   s.instances = 100;
-  s.probe_price = 0.08;  // too dear to ask first
+  s.probe_price = 0.08;  // exceeds the probe budget
   for (RequestClass& c : s.classes) c.aim = 110, c.deadline = 400;
   Node node(s);
   node.list(entries(9));
@@ -458,10 +457,10 @@
   EXPECT_GT(cold, 8);
 }
 
-TEST(Cold, CrowdedWarmBackendsDoNotRaiseTheBudget) {
-  // Found after the loss of a zone: three warm backends, all crowded, answered ten times slower than alone,
-  // so what each works on at once (rate over busy share, times its own service time) came out ten times too
-  // large. The cold ones were taken for as large and one fell over.
+TEST(SlowStart, OverloadedWarmBackendsDoNotRaiseTheBudgetOfColdOnes) {
+  // After the loss of a zone three warm backends were overloaded and answered ten times slower than when
+  // idle, so the estimate of their lanes (rate over busy share, times service time) came out ten times too
+  // high. The cold ones were assumed to be as large, and one became overloaded.
   Node node;
   for (BackendId i = 0; i < 3; ++i) node.probe_time[i] = 1;
   auto list = entries(4);
@@ -475,7 +474,7 @@
     if (!sent) continue;
     AttemptEnded e{id, sent->backend, 0, Outcome::kServed, 1000, true, true, {}};
     e.report.busy = 1;
-    e.report.rate = 10;  // ten a second at full load: that is all that one can do
+    e.report.rate = 10;  // ten a second at full load: its whole capacity
     node.feed(e);
   }
   list[3] = {3, BackendState::kReady, 0, 0, node.now, 1};
@@ -488,15 +487,15 @@
     sent += attempt ? 1 : 0;
     node.now += 10;
   }
-  EXPECT_LE(sent, 6);  // half of 3 x 0.3 x 10 a second, and a little as it warms
+  EXPECT_LE(sent, 6);  // half of 3 x 0.3 x 10 a second, and slightly more as it warms up
 }
 
 // ---- scale ----
 
-TEST(Scale, RoundsOfProbesLengthenWithTheirPriceAndNeverStop) {
-  // Found at 350 nodes x 51 backends: 48 probes for each request took 0.15 off the result. Ten requests a
-  // second and 40 backends at 0.002 a probe: a round a second would cost 0.008 a request, four times too
-  // much.
+TEST(Scale, ProbeRoundsLengthenWithTheirCostUpToTheMaximum) {
+  // With 350 nodes and 51 backends, 48 probes for each request cost 0.15 of the result. Here ten requests a
+  // second and 40 backends at 0.002 a probe: a round every second would cost 0.008 per request, four times
+  // too much.
   Settings s = plain_settings();
   s.probe_price = 0.002;
   const auto probes_of = [&s](double rate, int count) {
@@ -517,12 +516,12 @@
   };
   EXPECT_NEAR(probes_of(10, 40), 27, 3);    // a round in four and a half seconds
   EXPECT_NEAR(probes_of(5, 40), 13, 2);     // twice as long at half the rate
-  EXPECT_NEAR(probes_of(100, 10), 120, 5);  // and a period where that is cheap
+  EXPECT_NEAR(probes_of(100, 10), 120, 5);  // one round per period where that is cheap
   EXPECT_GE(probes_of(0.1, 40), 3);         // never longer than half a minute
 }
 
-TEST(Scale, NodesWithNewsOfLikeAgeDoNotAskTheSameBackends) {
-  // Found at 350 nodes: the looks broke ties by the order of the list, so all nodes asked the first three.
+TEST(Scale, NodesWithReportsOfTheSameAgeProbeDifferentBackends) {
+  // With 350 nodes, ties were broken by the order of the list, so all nodes probed the first three backends.
   Settings s = plain_settings();
   s.instances = 100;
   s.probe_price = 0.002;
@@ -540,9 +539,9 @@
   for (const auto& [backend, times] : asked) EXPECT_LE(times, 45) << backend;
 }
 
-TEST(Scale, ABackendNotHeardOfIsNotTakenForIdle) {
-  // Found at 350 nodes: a node had heard of few backends, took all others for idle and sent blindly; every
-  // new backend drew all nodes at once.
+TEST(Scale, ABackendWithoutReportsIsNotAssumedToBeIdle) {
+  // With 350 nodes, a node had reports of few backends, took all others for idle and sent to them without
+  // probing; every new backend got the traffic of all nodes at once.
   Settings s = plain_settings();
   s.instances = 100;
   s.probe_price = 0.002;
@@ -562,9 +561,9 @@
   EXPECT_EQ(blind, 0);
 }
 
-TEST(Scale, MissedProbesAreNotAskedForMoreOften) {
-  // Found at 546 nodes: overloaded backends missed their probes, each node asked again four times as often,
-  // and nine times the probes came on top of the overload.
+TEST(Scale, MissedProbesAreNotRepeatedMoreOften) {
+  // With 546 nodes, overloaded backends missed their probes, each node repeated them four times as often, and
+  // nine times the probes were added to the overload.
   Settings s = plain_settings();
   s.probe_price = 0.002;
   Node node(s);
@@ -585,9 +584,9 @@
   for (BackendId i = 0; i < 40; ++i) EXPECT_LE(node.probes[i], 6) << i;
 }
 
-TEST(Scale, AFleetSlowThroughoutShowsInFewAnswersOfEachBackend) {
-  // Found at 558 nodes: traffic doubled, every backend was slow, and no node had heard enough of any one of
-  // them to refuse what could not be answered in time. One request a second over 40 backends.
+TEST(Scale, AFleetThatIsSlowThroughoutIsDetectedFromFewAnswersPerBackend) {
+  // With 558 nodes traffic doubled and every backend was slow, but no node had enough answers from any one of
+  // them to refuse what could not be answered in time. Here one request a second over 40 backends.
   Settings s = plain_settings();
   s.instances = 500;
   s.probe_price = 0.002;
@@ -614,7 +613,7 @@
 
 // ---- exceptions ----
 
-TEST(Skip, ABackendWithAQueueIsPassedOver) {
+TEST(Skip, ABackendWithAQueueIsSkipped) {
   Node node;
   node.list(entries(3));
   for (BackendId i = 0; i < 3; ++i) node.probe_time[i] = 10;
@@ -627,16 +626,16 @@
   EXPECT_EQ(got.count(0), 0U);
 }
 
-TEST(Doubt, ReportsThatStandStillAreNotBelieved) {
-  // From an incident: load reports stood still for half a minute; whoever stood at nothing drew all the
-  // traffic.
+TEST(FrozenReports, AreNotBelieved) {
+  // From an incident: load reports were frozen for half a minute, and the backend whose report said idle got
+  // all the traffic.
   Settings s = plain_settings();
   s.probe_price = 0.002;
   Node node(s);
   node.list(entries(6));
   for (BackendId i = 0; i < 6; ++i) {
     node.probe_time[i] = 1;
-    node.load[i].in_hand = i == 0 ? 0 : 1;  // and so for ever
+    node.load[i].in_hand = i == 0 ? 0 : 1;  // and never changes
   }
   node.run_to(node.now + 40 * kTestPeriod);
   std::map<BackendId, int> got;
@@ -656,13 +655,13 @@
     if (id > 100) ++got[sent->backend];
   }
   EXPECT_LT(got[0], 60);
-  // Open: this asked for all six, at any price of probes, until looks went by turn; now reports that stand
-  // still let the traffic settle on four.
+  // Known limit: all six got traffic, at any cost of probes, until candidates were taken by turns; since then
+  // frozen reports let the traffic settle on four.
   EXPECT_GE(got.size(), 4U);
 }
 
-// Plays `clients` that ask again as soon as they are answered, each after `takes`; returns how many of
-// `count` requests were refused.
+// Plays `clients` that send their next request as soon as one is answered, each after `takes`. Returns how
+// many of `count` requests were refused.
 int refused_of(Node& node, int clients, int count, Millis takes) {
   int refused = 0;
   RequestId last = 0;
@@ -689,22 +688,23 @@
   return refused;
 }
 
-// Guards against a first guess that stands for ever: where every answer meets a crowd from the first moment
-// on, none taught the fleet's service time, and requests were refused though answers took 8 ms of the 400
-// that were wanted. (Seen with reports that stood still at one in hand: 2% of the first 10,000, then 0.8%.)
-TEST(Admission, AGuessThatAllBackendsContradictIsGivenUp) {
+// Guards against an initial guess of the service time that is never corrected: where every answer comes from
+// a loaded backend from the start, none taught the fleet's service time, and requests were refused although
+// answers took 8 ms of an aim of 400. With reports frozen at one request in hand, 2% of the first 10,000 were
+// refused, then 0.8%.
+TEST(Admission, AnInitialGuessThatAllBackendsContradictIsDropped) {
   Node node;
   node.answers_report = true;
   node.list(entries(8));
   node.report_in_hand(8, 1);
   for (BackendId i = 0; i < 8; ++i) node.load[i].waiting = 0, node.load[i].busy = 0.1;
   node.run_to(node.now + 3 * kTestPeriod);
-  refused_of(node, 200, 40000, 8);  // a second and a half: the guess is still there at first
+  refused_of(node, 200, 40000, 8);  // 1.5 s, in which the initial guess still has an effect
   EXPECT_EQ(refused_of(node, 200, 20000, 8), 0);
 }
 
-// Ceilings of probes hold in every second, also where a list is new all at once, and everybody has a turn.
-TEST(Probes, ACeilingHoldsAndNobodyIsLeftOut) {
+// A ceiling holds in every second, also right after the first list, and every backend gets its probe.
+TEST(Probes, ACeilingHoldsAndEveryBackendIsProbed) {
   Settings s = plain_settings();
   s.max_probes_per_second = 100;
   Node node(s);
@@ -720,8 +720,8 @@
   EXPECT_GE(node.probes.size(), 490U);
 }
 
-// A probe for which the node had no descriptor says nothing of the backend: it is not dropped for it.
-TEST(Probes, OneThatWasNotSentIsNoMiss) {
+// A probe for which the node had no file descriptor says nothing about the backend.
+TEST(Probes, AProbeThatWasNotSentDoesNotCountAsMissed) {
   for (const Outcome outcome : {Outcome::kNotSent, Outcome::kNoAnswer}) {
     Node node;
     node.list(entries(4));
@@ -742,10 +742,9 @@
   }
 }
 
-// Guards against refusing everything: boxes that report 25 requests in hand, none waiting and half their
-// cores free were each taken to work on one at a time, so that nobody ever got a request and nobody could
-// tell.
-TEST(Admission, WhereNobodyWaitsThereIsRoom) {
+// Guards against refusing everything: backends that report 25 requests in hand, none waiting and half their
+// cores free were assumed to work on one at a time, so none got a request, and no answer could correct it.
+TEST(Admission, RequestsAreSentWhereNoneIsWaiting) {
   Node node;
   node.list(entries(8));
   node.report_in_hand(8, 25);
@@ -756,10 +755,10 @@
   EXPECT_TRUE(only<SendAttempt>(actions));
 }
 
-TEST(Health, FailFastBackendsAreLeftAloneEvenWhileAllOthersAreSlow) {
-  // From an incident: two of eleven backends answered each request with an error within milliseconds. So they
-  // looked idle and drew half the traffic, while the others, all slow at the time, timed out more often than
-  // not; measured against that, failing was the common lot.
+TEST(Health, BackendsThatFailFastAreEjectedEvenWhileAllOthersAreSlow) {
+  // From an incident: two of eleven backends answered each request with an error within milliseconds. They
+  // seemed idle and got half the traffic, while the others, all slow at the time, timed out more often than
+  // not; compared with that, the failure rate of the two was not unusual.
   Node node;
   node.list(entries(11));
   for (BackendId i = 0; i < 11; ++i) {
@@ -785,7 +784,7 @@
   EXPECT_GT(failed, 4) << "they are tried again now and then";
 }
 
-TEST(Health, ABackendThatFailsOneClassKeepsTheOthers) {
+TEST(Health, ABackendThatFailsOneClassStillGetsTheOthers) {
   Node node;
   node.list(entries(5));
   for (BackendId i = 0; i < 5; ++i) node.probe_time[i] = 1;
@@ -806,9 +805,9 @@
   EXPECT_GT(others, 25);
 }
 
-TEST(Health, ChanceFailuresCommonToAllRestNobody) {
-  // From a day on sockets: connections to all backends broke at random, a sixth of them. Each backend rested
-  // by turns for seconds, a refused connection sufficing, and the two or three left were overrun.
+TEST(Health, RandomFailuresOfAllBackendsEjectNone) {
+  // Connections to all backends broke at random, one in six. Each backend in turn was ejected for seconds, as
+  // one refused connection sufficed, and the two or three that were left were overloaded.
   Node node;
   node.list(entries(6));
   for (BackendId i = 0; i < 6; ++i) node.probe_time[i] = 1;
@@ -830,21 +829,21 @@
   for (BackendId i = 0; i < 6; ++i) EXPECT_GT(got[i], 250) << i;  // of 333
 }
 
-// From a day on sockets: one answer in five got lost between backends and nodes, all the others came in time.
-// Each loss taught that its backend was many times as slow, so it was passed over; and who waits for a lost
-// answer until the aim has no time left to ask another.
-struct LosingNode : Node {
+// One answer in five was lost between backends and nodes, all others came in time. Each loss was taken for a
+// very slow answer, so its backend was passed over; and a request that waits until the aim for a lost answer
+// has no time left for a retry.
+struct NodeWithLostAnswers : Node {
   static Settings urgent() {
     Settings s = plain_settings();
     for (RequestClass& c : s.classes) c.aim = 100;
     return s;
   }
 
-  LosingNode() : Node(urgent()) {
+  NodeWithLostAnswers() : Node(urgent()) {
     list(entries(4));
     for (BackendId i = 0; i < 4; ++i) probe_time[i] = 1;
     run_to(now + 8 * kTestPeriod);
-    std::map<BackendId, RequestId> lost;  // till a later one overtakes it
+    std::map<BackendId, RequestId> lost;  // until a later answer overtakes it
     for (RequestId id = 1; id <= 1200; ++id) {
       run_to(now + 10);
       const auto sent = only<SendAttempt>(arrive(id, 1));
@@ -862,27 +861,27 @@
   std::map<BackendId, int> got;
 };
 
-TEST(Losses, ABackendWhoseAnswersGetLostIsNotSlow) {
-  const LosingNode node;
+TEST(Losses, LostAnswersDoNotMakeABackendCountAsSlow) {
+  const NodeWithLostAnswers node;
   for (BackendId i = 1; i < 4; ++i) EXPECT_GT(node.got.at(i), 150) << i;  // of 200
 }
 
-TEST(Losses, WhatCanBeSentAgainEndsEarlyWhereAnswersGetLost) {
+TEST(Losses, RepeatableAttemptsEndEarlyWhereAnswersAreLost) {
   const auto time_given = [](Node& node, int request_class) {
     const auto sent = only<SendAttempt>(node.arrive(9999, request_class));
     EXPECT_TRUE(sent);
     node.end(9999, sent->backend, Outcome::kServed);
     return sent->stop_at - node.now;
   };
-  LosingNode losing;
+  NodeWithLostAnswers losing;
   EXPECT_EQ(time_given(losing, 2), 50);   // keyed: half of the aim
-  EXPECT_EQ(time_given(losing, 1), 100);  // unsafe: there is no second try
-  Node calm(LosingNode::urgent());
+  EXPECT_EQ(time_given(losing, 1), 100);  // unsafe: there is no retry
+  Node calm(NodeWithLostAnswers::urgent());
   calm.list(entries(4));
   EXPECT_EQ(time_given(calm, 2), 100);
 }
 
-TEST(Health, WhenAllFailNobodyIsLeftOut) {
+TEST(Health, WhenAllBackendsFailNoneIsEjected) {
   Node node;
   node.list(entries(4));
   for (BackendId i = 0; i < 4; ++i) node.probe_time[i] = 1;
@@ -898,20 +897,20 @@
   EXPECT_EQ(got.size(), 4U);
 }
 
-TEST(ProbeBeforeSend, ABlindPickWaitsForFreshNewsAndTakesIt) {
+TEST(ProbeBeforeSend, WithOldReportsTheRequestWaitsForProbesAndIsSent) {
   Node node;
   node.list(entries(4));
   node.report_in_hand(4, 3);
   node.run_to(node.now + 60 * kTestPeriod);
   node.run_past_probes();
-  for (BackendId i = 0; i < 4; ++i) node.load[i].in_hand = 0;  // which the module does not know yet
+  for (BackendId i = 0; i < 4; ++i) node.load[i].in_hand = 0;  // not known to the module yet
   const auto actions = node.arrive(1);
   EXPECT_FALSE(none<SendProbe>(actions));
   EXPECT_TRUE(only<SendAttempt>(actions));
 }
 
-TEST(ProbeBeforeSend, ARequestHeldForNewsThatNeverComesIsStillDecided) {
-  // Seen on the bench: a request looked for after its first attempt was never taken up again.
+TEST(ProbeBeforeSend, ARequestIsStillDecidedWhereProbesAreNeverAnswered) {
+  // A request that was held for probes after its first attempt was never resumed.
   Node node;
   node.list(entries(4));
   node.report_in_hand(4, 1);
@@ -929,14 +928,14 @@
   EXPECT_FALSE(none<SendAttempt>(node.log) && none<Refuse>(node.log));
 }
 
-TEST(Admission, RefusesAtOnceWhenNobodyCanMakeTheAim) {
+TEST(Admission, RefusesAtOnceWhenNoBackendCanMeetTheAim) {
   Node node;
   node.list(entries(3));
   node.report_in_hand(3, 30, 10);
   node.run_to(node.now + 200 * kTestPeriod + 10);
   node.log.clear();
   node.arrive(1);
-  node.run_to(node.now + 20);  // the time that it may wait for fresh news
+  node.run_to(node.now + 20);  // longest time that it waits for probes
   const auto actions = node.log;
   EXPECT_TRUE(none<SendAttempt>(actions));
   const auto refused = only<Refuse>(actions);
@@ -944,7 +943,7 @@
   EXPECT_GT(refused->wait, 0);
 }
 
-TEST(Admission, WhatIsWorthLessGivesWaySooner) {
+TEST(Admission, RequestsOfLowerWorthAreRefusedEarlier) {
   Settings s = plain_settings();
   s.classes[0].worth = 1;
   s.classes[1].worth = 10;
@@ -965,7 +964,7 @@
   EXPECT_GT(sent[1], sent[0] + 3);
 }
 
-TEST(Attempts, ARequestIsNotSentOnForEver) {
+TEST(Attempts, ARequestHasAtMostThreeAttempts) {
   Node node;
   node.list(entries(8));
   BackendId b = only<SendAttempt>(node.arrive(1))->backend;
@@ -980,14 +979,13 @@
   EXPECT_LE(attempts, 3);
 }
 
-// Guards against a backend that drains before any list tells: it turned away one request after another, three
-// of them drew all attempts that a request has, and requests were refused while seven backends of ten stood
-// idle.
-TEST(Attempts, WhoTurnsAwayWhileIdleIsLeftAloneUntilItsNextProbe) {
+// Guards against a backend that drains before any list says so: it rejected one request after another; three
+// of them used up all attempts of a request, and requests were refused while seven backends of ten were idle.
+TEST(Attempts, ABackendThatRejectsWhileIdleIsDroppedUntilItsNextProbe) {
   struct Case {
     double busy;
     double waiting;
-    bool left_alone;
+    bool dropped;
   };
   for (const Case& c : {Case{0.5, 0, true}, Case{1, 3, false}, Case{1, 0, false}, Case{-1, -1, false}}) {
     Node node;
@@ -999,47 +997,47 @@
     node.run_past_probes();
     node.load[0].busy = c.busy;
     node.load[0].waiting = c.waiting;
-    int turned_away = 0;
+    int rejected = 0;
     for (RequestId id = 1; id <= 24; ++id) {
       auto sent = only<SendAttempt>(node.arrive(id));
       ASSERT_TRUE(sent);
       int attempt = 0;
       for (; sent->backend == 0; ++attempt) {
-        ++turned_away;
+        ++rejected;
         sent = only<SendAttempt>(node.end(id, 0, Outcome::kRejected, attempt));
         ASSERT_TRUE(sent);
       }
       node.end(id, sent->backend, Outcome::kServed, attempt);
     }
-    EXPECT_EQ(turned_away == 1, c.left_alone) << c.busy << " " << c.waiting << ": " << turned_away;
+    EXPECT_EQ(rejected == 1, c.dropped) << c.busy << " " << c.waiting << ": " << rejected;
     node.load[0].busy = node.load[0].waiting = 0;
     node.run_to(node.now + 2 * kTestPeriod);
-    EXPECT_GT(spread(node, 40)[0], 0);  // its probe was answered: back in the rotation
+    EXPECT_GT(spread(node, 40)[0], 0);  // its probe was answered: it is back in the rotation
   }
 }
 
-TEST(Attempts, ResendsHaveABudgetOverAllRequests) {
+TEST(Attempts, RetriesHaveABudgetOverAllRequests) {
   Node node;
   node.list(entries(8));
-  int resends = 0;
+  int retries = 0;
   for (RequestId id = 0; id < 100; ++id) {
     node.now += 200;
     const auto first = only<SendAttempt>(node.arrive(id, 1));
     if (first == std::nullopt) continue;
     const auto again = only<SendAttempt>(node.end(id, first->backend, Outcome::kRejected));
     if (again == std::nullopt) continue;
-    ++resends;
+    ++retries;
     node.end(id, again->backend, Outcome::kError, 1);
   }
-  EXPECT_LE(resends, 31);
-  EXPECT_GE(resends, 10);
+  EXPECT_LE(retries, 31);
+  EXPECT_GE(retries, 10);
 }
 
-// ---- where only probes bring reports ----
+// ---- where only probes carry load reports ----
 
-constexpr Millis kTestLook = 0.06 * 400;  // of the aim: longest that a request is held for news
+constexpr Millis kTestProbeWait = 0.06 * 400;  // of the aim: longest time that a request waits for reports
 
-// Node 0 of three; probes are too dear to ask first, so keepers are asked.
+// Node 0 of three. Probes exceed their budget, so owners are queried.
 Settings peer_settings() {
   Settings s = plain_settings();
   s.instances = 3;
@@ -1055,13 +1053,13 @@
   std::vector<BackendEntry> list = entries(count);
   for (BackendEntry& e : list) {
     e.tag = 1000 * (e.backend + 1);
-    while (Random(e.tag).next() % 3 == 0) ++e.tag;  // none that node 0 of three keeps itself
+    while (Random(e.tag).next() % 3 == 0) ++e.tag;  // none that node 0 of three owns itself
   }
   return list;
 }
 
-// The backends are fast: what many hold would still be answered in time.
-PeerMessageReceived told(const SendPeerMessage& asked, double held, double ratio = 0.1) {
+// A peer's answer. The backends are fast: even one with many requests in hand would answer in time.
+PeerMessageReceived answer_to(const SendPeerMessage& asked, double held, double ratio = 0.1) {
   PeerMessage m;
   m.kind = PeerMessage::Kind::kAnswer;
   m.about = asked.message.about;
@@ -1070,29 +1068,30 @@
   return {asked.peer, m};
 }
 
-// Asks go out, and are answered by what `held` says of a backend; what the last answer brought.
-std::vector<Action> ask_keepers(Node& node, const std::vector<Action>& first,
-                                const std::function<double(BackendId)>& held) {
+// Answers each query, with `held` saying how many requests are in a backend's hands. Returns the actions
+// after the last answer.
+std::vector<Action> answer_queries(Node& node, const std::vector<Action>& first,
+                                   const std::function<double(BackendId)>& held) {
   std::vector<Action> todo = first;
   std::vector<Action> last = first;
   for (std::size_t n = 0; n < todo.size(); ++n) {
-    const auto* tell = std::get_if<SendPeerMessage>(&todo[n]);
-    if (tell == nullptr || tell->message.kind != PeerMessage::Kind::kAsk) continue;
-    last = node.feed(told(*tell, held(tell->message.about / 1000 - 1)));
+    const auto* query = std::get_if<SendPeerMessage>(&todo[n]);
+    if (query == nullptr || query->message.kind != PeerMessage::Kind::kAsk) continue;
+    last = node.feed(answer_to(*query, held(query->message.about / 1000 - 1)));
     todo.insert(todo.end(), last.begin(), last.end());
   }
   return last;
 }
 
-TEST(PeerExchange, ARequestGoesWhereItsKeepersSayLeastIsHeld) {
+TEST(PeerExchange, ARequestGoesWhereOwnersReportTheFewestRequests) {
   Node node(peer_settings());
   node.list(tagged(3));
   node.run_to(node.now + kTestPeriod);
   int least = 0;
   for (RequestId id = 1; id <= 60; ++id) {
     const BackendId empty = id % 3;
-    ask_keepers(node, node.arrive(id), [&](BackendId i) { return i == empty ? 0.0 : 2.0; });
-    node.run_to(node.now + kTestLook + 10);
+    answer_queries(node, node.arrive(id), [&](BackendId i) { return i == empty ? 0.0 : 2.0; });
+    node.run_to(node.now + kTestProbeWait + 10);
     BackendId got = 99;
     for (const Action& a : node.log) {
       if (const auto* send = std::get_if<SendAttempt>(&a); send && send->request == id) got = send->backend;
@@ -1103,28 +1102,28 @@
   EXPECT_GT(least, 55) << "of 60; 20 are chance";
 }
 
-TEST(PeerExchange, WithAllMessagesLostARequestIsStillDecidedInTime) {
+TEST(PeerExchange, ARequestIsStillDecidedInTimeWhenAllMessagesAreLost) {
   Node node(peer_settings());
   node.list(tagged(6));
   node.run_to(node.now + kTestPeriod);
   const Millis start = node.now;
   node.arrive(1);
-  node.run_to(start + 2 * kTestLook + 5);
+  node.run_to(start + 2 * kTestProbeWait + 5);
   EXPECT_TRUE(std::any_of(node.log.begin(), node.log.end(),
                           [](const Action& a) { return std::holds_alternative<SendAttempt>(a); }));
 }
 
-// From hf6cff8 (zone_cut): an attempt ended shortly before the client's time, and the request was held for
-// news until after it.
-TEST(PeerExchange, NoRequestIsHeldForNewsPastTheClientsTime) {
+// From hf6cff8 (zone_cut): an attempt ended shortly before the client's deadline, and the request was held
+// for reports until after it.
+TEST(PeerExchange, NoRequestWaitsForReportsPastItsDeadline) {
   Node node(peer_settings());
   node.list(tagged(6));
   node.run_to(node.now + kTestPeriod);
-  const auto actions = node.arrive(1, 0, 0, kTestLook / 2);
+  const auto actions = node.arrive(1, 0, 0, kTestProbeWait / 2);
   EXPECT_TRUE(!none<SendAttempt>(actions) || !none<Refuse>(actions) || !none<Fail>(actions));
 }
 
-TEST(PeerExchange, WhatIsMalformedOrUnknownIsIgnored) {
+TEST(PeerExchange, MalformedOrUnknownMessagesAreIgnored) {
   Node node(peer_settings());
   node.list(tagged(3));
   for (const int peer : {-1, 3, 1000000}) EXPECT_TRUE(node.feed(PeerMessageReceived{peer, {}}).empty());
@@ -1139,13 +1138,12 @@
   mute.list(tagged(3));
   PeerMessage ask;
   ask.about = tagged(1)[0].tag;
-  EXPECT_TRUE(mute.feed(PeerMessageReceived{1, ask}).empty())
-      << "where messages are not allowed, none is answered";
+  EXPECT_TRUE(mute.feed(PeerMessageReceived{1, ask}).empty()) << "peer messages are not allowed";
 }
 
-// From big-2 (mass_restart+fast_errors): with crowds rightly taken out of times, queues grew until backends
-// turned slow for seconds.
-TEST(Full, NobodyIsSentWhereFarMoreWaitThanThereAreCores) {
+// From big-2 (mass_restart+fast_errors): queues grew until backends became slow for seconds, once waiting in
+// queues was no longer counted as service time.
+TEST(Full, BackendsWithLongQueuesGetNoRequests) {
   for (const double promises : {0.0, 0.2}) {
     Settings s = peer_settings();
     s.kept_promises = promises;
@@ -1154,8 +1152,8 @@
     node.run_to(node.now + kTestPeriod);
     int refused = 0;
     for (RequestId id = 1; id <= 20; ++id) {
-      ask_keepers(node, node.arrive(id), [](BackendId) { return 9.0; });
-      node.run_to(node.now + 3 * kTestLook);
+      answer_queries(node, node.arrive(id), [](BackendId) { return 9.0; });
+      node.run_to(node.now + 3 * kTestProbeWait);
     }
     for (const Action& a : node.log) {
       const auto* refuse = std::get_if<Refuse>(&a);
@@ -1168,24 +1166,24 @@
   }
 }
 
-// From answer_lost days: a node meets a backend again after many seconds, so nothing tells that an answer is
-// lost until the client's time is up.
-TEST(Hedge, GoesOutOnceAnAttemptIsFarOverdueAndOnlyWhereItMay) {
+// From runs with lost answers (answer_lost): a node uses the same backend again only after many seconds, so
+// nothing tells that an answer is lost until the client's deadline.
+TEST(Hedge, IsSentOnceAnAttemptIsFarOverdueAndOnlyWhereAllowed) {
   struct Case {
     int request_class;
     bool parallel;
-    int copies;
+    int hedges;
   };
   for (const Case c : {Case{0, true, 1}, Case{0, false, 0}, Case{1, true, 0}}) {
     Settings s = peer_settings();
-    s.probe_price = 0;  // probes are cheap: they are asked
+    s.probe_price = 0;  // within the probe budget: backends are probed
     s.parallel_attempts = c.parallel;
     for (RequestClass& k : s.classes) k.late_value = 0.3, k.aim = 4000, k.deadline = 9000;
     Node node(s);
     node.list(tagged(6));
     node.report_in_hand(6, 0);
     node.run_to(node.now + 3 * kTestPeriod);
-    for (RequestId id = 1; id <= 60; ++id) {  // what answers take: 10 ms
+    for (RequestId id = 1; id <= 60; ++id) {  // answers take 10 ms
       const auto sent = only<SendAttempt>(node.arrive(id, c.request_class, 0, 9000));
       ASSERT_TRUE(sent);
       node.end(id, sent->backend, Outcome::kServed, 0, 10);
@@ -1194,20 +1192,20 @@
     ASSERT_TRUE(first);
     const std::size_t before = node.log.size();
     node.run_to(node.now + 3000);
-    int copies = 0;
+    int hedges = 0;
     for (std::size_t n = before; n < node.log.size(); ++n) {
       const auto* send = std::get_if<SendAttempt>(&node.log[n]);
       if (send == nullptr) continue;
-      ++copies;
+      ++hedges;
       EXPECT_NE(send->backend, first->backend);
     }
-    EXPECT_GE(copies, c.copies) << c.request_class;
-    EXPECT_TRUE(c.copies > 0 || copies == 0) << c.request_class;
+    EXPECT_GE(hedges, c.hedges) << c.request_class;
+    EXPECT_TRUE(c.hedges > 0 || hedges == 0) << c.request_class;
   }
 }
 
-// From i0aef52: idle connections of 187 nodes filled every backend's table.
-TEST(Connections, IdleOnesAreClosedOnceOneIsTurnedDownAtOnce) {
+// From i0aef52: idle connections of 187 nodes filled the connection table of every backend.
+TEST(Connections, IdleOnesAreClosedOnceOneIsRefusedAtOnce) {
   for (const auto& [elapsed, streams] : std::vector<std::pair<Millis, int>>{{2, 1}, {249, 1}, {2, 100}}) {
     Settings s = peer_settings();
     s.streams_per_connection = streams;
@@ -1215,7 +1213,7 @@
     node.list(tagged(3));
     node.run_to(node.now + kTestPeriod);
     node.arrive(1);
-    node.run_to(node.now + 3 * kTestLook);
+    node.run_to(node.now + 3 * kTestProbeWait);
     BackendId to = 99;
     for (const Action& a : node.log) {
       if (const auto* send = std::get_if<SendAttempt>(&a)) to = send->backend;
@@ -1257,8 +1255,8 @@
   EXPECT_GT(used.size(), 12U) << "and keys lie spread over the fleet";
 }
 
-// Equal parts of a quota refused a quarter of all where few nodes carry most traffic.
-TEST(Shares, AQuotaIsPartedAsTheTrafficIsAndRepeatsAreInNoShare) {
+// Equal parts of a quota refused a quarter of all requests where few nodes carry most of the traffic.
+TEST(Shares, AQuotaIsDividedInProportionToTheNodesTraffic) {
   Settings s = peer_settings();
   s.tenants = {{100}};
   s.over_share_worth = 0.05;
@@ -1271,16 +1269,15 @@
     total.rate = all;
     std::size_t seen = node.log.size();
     int refused = 0;
-    for (RequestId id = 1; id <= 400;
-         ++id) {  // 40 a second of this node's own; two and a half held everywhere
+    for (RequestId id = 1; id <= 400; ++id) {  // 40 a second of this node; 2.5 requests in hand everywhere
       node.feed(PeerMessageReceived{1, total});
-      ask_keepers(node, node.arrive(id), [](BackendId) { return 2.5; });
+      answer_queries(node, node.arrive(id), [](BackendId) { return 2.5; });
       node.run_to(node.now + 25);
       for (; seen < node.log.size(); ++seen) {
         refused += std::holds_alternative<Refuse>(node.log[seen]);
         const auto* send = std::get_if<SendAttempt>(&node.log[seen]);
         if (send == nullptr) continue;
-        const SendAttempt sent = *send;  // the log grows
+        const SendAttempt sent = *send;  // copied, as the log grows
         node.end(sent.request, sent.backend, Outcome::kServed);
       }
     }
