--- a/tests/guard/checker_test.cpp
+++ b/tests/guard/checker_test.cpp
@@ -1,4 +1,5 @@
-// The checker by itself: each rule's breach is counted as that one, beside its nearest harmless neighbour.
+// Tests of the checker: each violation is counted under its rule, and the closest permitted case is not
+// counted.
 #include "guard/checker.h"
 
 #include <gtest/gtest.h>
@@ -24,50 +25,50 @@
   void write(Millis at, bool withdrawn = false, Millis stated_timeout = kStatedTimeout) {
     checker.attempt_written(kRequest, withdrawn, stated_timeout, at);
   }
-  std::vector<Rule> broken;
-  Checker checker{[this](Rule rule, std::uint32_t) { broken.push_back(rule); }};
+  std::vector<Rule> violations;
+  Checker checker{[this](Rule rule, std::uint32_t) { violations.push_back(rule); }};
 };
 
-using Broken = std::vector<Rule>;
+using Violations = std::vector<Rule>;
 const RequestRules kUnsafe{.run_once = true, .refusal_is_safe = false, .max_attempts = 3};
 const RequestRules kKeyed{.refusal_is_safe = false, .max_attempts = 3, .window = 300};
 
-TEST(Checker, AnAnswerIsTheLastOfARequest) {
+TEST(Checker, NothingIsSentAfterTheFinalAnswer) {
   Case c(kKeyed);
   c.write(kStart);
   c.checker.attempt_ended(kRequest, false);
   c.checker.request_answered(kRequest, Answer::kServed);
-  EXPECT_EQ(c.broken, Broken());
+  EXPECT_EQ(c.violations, Violations());
   c.write(kStart + 10);
-  EXPECT_EQ(c.broken, Broken({Rule::kAfterAnswer}));
+  EXPECT_EQ(c.violations, Violations({Rule::kAfterAnswer}));
   c.checker.request_answered(kRequest, Answer::kFailed);
-  EXPECT_EQ(c.broken.back(), Rule::kAnsweredTwice);
+  EXPECT_EQ(c.violations.back(), Rule::kAnsweredTwice);
   c.checker.closed_unanswered(kRequest);
-  EXPECT_EQ(c.broken.back(), Rule::kNeverAnswered);
+  EXPECT_EQ(c.violations.back(), Rule::kNeverAnswered);
   EXPECT_EQ(c.checker.violations(), 3U);
 }
 
-TEST(Checker, NothingIsWrittenForAClientWhoLeftOrAfterItsTime) {
+TEST(Checker, NothingIsWrittenAfterTheClientLeftOrItsDeadline) {
   Case left;
   left.checker.client_left(kRequest, kStart);
   left.write(kStart + 100);
-  EXPECT_EQ(left.broken, Broken());
+  EXPECT_EQ(left.violations, Violations());
   Case late;
   late.checker.client_left(kRequest, kStart);
   late.write(kStart + 101);
-  EXPECT_EQ(late.broken, Broken({Rule::kAfterClientLeft}));
+  EXPECT_EQ(late.violations, Violations({Rule::kAfterClientLeft}));
   Case due;
   due.write(kDue, false, 0);
-  EXPECT_EQ(due.broken, Broken());
+  EXPECT_EQ(due.violations, Violations());
   Case over;
   over.write(kDue + 1, false, 0);
-  EXPECT_EQ(over.broken, Broken({Rule::kAfterDue}));
+  EXPECT_EQ(over.violations, Violations({Rule::kAfterDue}));
   Case told;
   told.write(kStart, false, kDue - kStart + 150);
-  EXPECT_EQ(told.broken, Broken());
+  EXPECT_EQ(told.violations, Violations());
   Case longer;
   longer.write(kStart, false, kDue - kStart + 151);
-  EXPECT_EQ(longer.broken, Broken({Rule::kDeadlineTooLong}));
+  EXPECT_EQ(longer.violations, Violations({Rule::kDeadlineTooLong}));
 }
 
 TEST(Checker, NoEffectTwice) {
@@ -75,37 +76,37 @@
   again.write(kStart);
   again.checker.attempt_ended(kRequest, true);
   again.write(kStart + 10);
-  EXPECT_EQ(again.broken, Broken()) << "the first has never run";
+  EXPECT_EQ(again.violations, Violations()) << "the first has never run";
   Case twice(kUnsafe);
   twice.write(kStart);
   twice.checker.attempt_ended(kRequest, false);
   twice.write(kStart + 10);
-  EXPECT_EQ(twice.broken, Broken({Rule::kRunTwice}));
+  EXPECT_EQ(twice.violations, Violations({Rule::kRunTwice}));
   Case beside(kKeyed);
   beside.write(kStart);
   beside.write(kStart + 10);
-  EXPECT_EQ(beside.broken, Broken({Rule::kTwoAtOnce}));
+  EXPECT_EQ(beside.violations, Violations({Rule::kTwoAtOnce}));
   Case window(kKeyed);
   window.write(kStart);
   window.checker.attempt_ended(kRequest, false);
   window.write(kStart + 300);
-  EXPECT_EQ(window.broken, Broken());
+  EXPECT_EQ(window.violations, Violations());
   window.checker.attempt_ended(kRequest, false);
   window.write(kStart + 301);
-  EXPECT_EQ(window.broken, Broken({Rule::kOutsideWindow}));
+  EXPECT_EQ(window.violations, Violations({Rule::kOutsideWindow}));
   Case many({.max_attempts = 1});
   many.write(kStart);
   many.checker.attempt_ended(kRequest, false);
   many.write(kStart + 1);
-  EXPECT_EQ(many.broken, Broken({Rule::kTooManyAttempts}));
+  EXPECT_EQ(many.violations, Violations({Rule::kTooManyAttempts}));
   Case refused(kUnsafe);
   refused.write(kStart);
   refused.checker.attempt_ended(kRequest, false);
   refused.checker.request_answered(kRequest, Answer::kRefused);
-  EXPECT_EQ(refused.broken, Broken({Rule::kRefusedAfterRun}));
+  EXPECT_EQ(refused.violations, Violations({Rule::kRefusedAfterRun}));
 }
 
-TEST(Checker, NothingNewGoesToABackendThatIsWithdrawn) {
+TEST(Checker, AWithdrawnBackendGetsNoNewRequests) {
   ListedRecord listed;
   listed.begin_list(true);
   listed.listed("s-1", true);
@@ -123,11 +124,12 @@
   EXPECT_TRUE(listed.withdrawn("s-2", kStart)) << "a whole list does not name it";
   Case c;
   c.write(kStart, true);
-  EXPECT_EQ(c.broken, Broken({Rule::kToWithdrawn}));
+  EXPECT_EQ(c.violations, Violations({Rule::kToWithdrawn}));
 }
 
-// Behind the list's time only a health check that passed lately, and late enough, lets one be used.
-TEST(Checker, NothingNewGoesToABackendOfAnOutdatedListThatNoCheckConfirms) {
+// Once the list has expired, only a health check that passed recently, and after the last lost list, confirms
+// a backend.
+TEST(Checker, AnExpiredListNeedsAHealthCheck) {
   ListedRecord listed;
   listed.begin_list(true);
   listed.listed("s-1", true);
--- a/tests/guard/event_log_test.cpp
+++ b/tests/guard/event_log_test.cpp
@@ -1,4 +1,4 @@
-// The ring of last events: what is still there, and that a crash's signal has it written out.
+// Tests of the event log: which events it keeps, and that it is written out when the process crashes.
 #include "guard/event_log.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace shorelead::guard {
 namespace {
 
-TEST(EventLog, KeepsTheLastInTheirOrder) {
+TEST(EventLog, KeepsTheMostRecentInOrder) {
   EventLog log;
   for (std::uint32_t n = 0; n < EventLog::kSize + 10; ++n) log.add({.request = n, .kind = EventKind::kTaken});
   std::vector<std::uint32_t> there;
@@ -19,7 +19,7 @@
   EXPECT_EQ(there.back(), EventLog::kSize + 9);
 }
 
-TEST(EventLogDeathTest, IsWrittenOutByACrash) {
+TEST(EventLogDeathTest, IsWrittenOutWhenTheProcessCrashes) {
   EventLog log;
   log.add({.at = 5, .detail = 3, .request = 41, .attempt = 2, .kind = EventKind::kAttemptWritten});
   EXPECT_DEATH(
--- a/tests/guard/guard_test.cpp
+++ b/tests/guard/guard_test.cpp
@@ -1,4 +1,4 @@
-// What may be done right now: each condition alone denies, with its reason, and nothing else does.
+// Tests of the guard: each condition denies by itself, with its reason, and nothing else does.
 #include "guard/guard.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   std::function<void(RequestState&)> change;
 };
 
-// A keyed repeat, well within everything.
+// A retry of a keyed request, within all limits.
 RequestState allowed() {
   RequestState request;
   request.max_attempts = 3;
@@ -38,7 +38,7 @@
     {Reason::kSlotClosed, [](auto& r) { r.slot_open = false; }},
 };
 
-TEST(Guard, AnAttemptIsWrittenOnlyWhereAllHolds) {
+TEST(Guard, AnAttemptIsWrittenOnlyIfAllConditionsHold) {
   EXPECT_TRUE(may_write(allowed(), BackendState(), kNow));
   std::vector<Denied> cases = kAnyAttempt;
   cases.push_back({Reason::kBodyTaken, [](auto& r) { r.body_taken = true; }});
@@ -56,7 +56,7 @@
   EXPECT_TRUE(may_write(beside, BackendState(), kNow));
 }
 
-TEST(Guard, ARetryIsDecidedOnlyWhereAllHolds) {
+TEST(Guard, ARetryIsDecidedOnlyIfAllConditionsHold) {
   EXPECT_TRUE(may_send(allowed(), kNow));
   for (const Denied& one : kAnyAttempt) {
     RequestState request = allowed();
@@ -70,7 +70,7 @@
   EXPECT_TRUE(may_send(spent, kNow)) << "a first attempt is no retry";
 }
 
-TEST(Guard, AHedgeStandsBesideOneWhereThatIsAllowed) {
+TEST(Guard, AHedgeIsAllowedBesideOneAttemptWhereAttemptsMayBeParallel) {
   RequestState request = allowed();
   request.in_flight = 1;
   EXPECT_EQ(may_hedge(request, kNow).reason, Reason::kAnotherOut);
@@ -80,7 +80,7 @@
   EXPECT_EQ(may_hedge(request, kNow).reason, Reason::kAnotherOut);
 }
 
-TEST(Guard, AFinalAnswerIsGivenOnceAndARefusalOnlyWhereHarmless) {
+TEST(Guard, AFinalAnswerIsGivenOnceAndARefusalOnlyIfARepeatDoesNoHarm) {
   RequestState request = allowed();
   request.may_have_run = true;
   request.refusal_is_safe = false;
@@ -94,7 +94,7 @@
   }
 }
 
-TEST(Guard, ConnectionsAreClosedAndUsedOnlyWhereNothingIsLost) {
+TEST(Guard, ConnectionsAreClosedAndReusedOnlyIfNothingIsLost) {
   EXPECT_TRUE(may_close_client({}));
   EXPECT_EQ(may_close_client({.under_way = true}).reason, Reason::kRequestUnderWay);
   EXPECT_EQ(may_close_client({.unread = true}).reason, Reason::kInputUnread);
@@ -107,7 +107,7 @@
   EXPECT_EQ(may_close_idle({.under_way = true}).reason, Reason::kRequestUnderWay);
 }
 
-TEST(Guard, AProcessIsReadyOnceItKnowsAndWhileItServes) {
+TEST(Guard, AProcessIsReadyOnceItHasAListAndUntilItDrains) {
   EXPECT_TRUE(may_report_ready({}));
   EXPECT_EQ(may_report_ready({.held = true}).reason, Reason::kHeld);
   EXPECT_EQ(may_report_ready({.draining = true}).reason, Reason::kDraining);
--- a/tests/guard/mutants.sh
+++ b/tests/guard/mutants.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Takes each condition of the guard out, one at a time, and says who misses it: the guard's own test, the tests of
-# crossings and of whole nodes, whose checkers count what was broken. By hand, not in CI: each is a build. Fails where
-# nobody misses a condition.
+# Mutation test of the guard: builds it without each of its conditions in turn and prints which tests fail then: the
+# guard's own test, the tests of crossings and those of whole nodes, whose checkers count violations. Run by hand, not in
+# CI, as each condition takes a build. Fails if no test fails for a condition.
 #   mutants.sh BUILD [REASON...]      BUILD: a folder of its own, configured with -DSHORELEAD_TESTS=ON
 set -euo pipefail
 here=$(cd "$(dirname "$0")/../.." && pwd)
--- a/tests/policy/confirmations_test.cpp
+++ b/tests/policy/confirmations_test.cpp
@@ -1,4 +1,4 @@
-// Who gets a request while the list may be out of date: only who has passed a health check lately enough.
+// Which backends get requests once the list has expired: only those that passed a health check recently.
 #include <gtest/gtest.h>
 
 #include "module_case.h"
@@ -9,9 +9,9 @@
 constexpr Millis kConfirmedFor = 500;
 constexpr BackendId kBackends = 4;
 
-// Its list has just gone out of date; checks are answered by the test, and none of the round is under way.
-struct Outdated : Node {
-  explicit Outdated(const Settings& settings) : Node(settings) {
+// A node whose list has just expired. The test answers the health checks; no probe of the round is pending.
+struct NodeWithExpiredList : Node {
+  explicit NodeWithExpiredList(const Settings& settings) : Node(settings) {
     report_in_hand(kBackends, 0);
     list(entries(kBackends));
     run_past_probes();
@@ -19,15 +19,15 @@
     expire();
   }
   void expire() { feed(ListValidity{.until = now, .confirmed_for = kConfirmedFor}); }
-  // The health checks that were set off.
-  static std::vector<BackendId> checked(const std::vector<Action>& actions) {
+  // The backends to which health checks were sent.
+  static std::vector<BackendId> checked_backends(const std::vector<Action>& actions) {
     std::vector<BackendId> all;
     for (const Action& a : actions) {
       if (const auto* probe = std::get_if<SendProbe>(&a)) all.push_back(probe->backend);
     }
     return all;
   }
-  static std::optional<BackendId> sent(const std::vector<Action>& actions) {
+  static std::optional<BackendId> sent_to(const std::vector<Action>& actions) {
     for (const Action& a : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&a)) return send->backend;
     }
@@ -42,7 +42,7 @@
   }
 };
 
-Settings probing(Millis price = 0) {
+Settings probing_settings(Millis price = 0) {
   Settings s = plain_settings();
   s.probing = true;
   s.probe_price = price;
@@ -50,23 +50,23 @@
   return s;
 }
 
-TEST(Confirmations, ARequestIsHeldForAHealthCheckAndGoesToWhoPassesIt) {
-  Outdated node(probing());
-  // Checks of the round have passed before, and vouch for nobody any more.
+TEST(Confirmations, ARequestWaitsForAHealthCheckAndGoesToTheBackendThatPasses) {
+  NodeWithExpiredList node(probing_settings());
+  // Checks of the last round passed too long ago to confirm a backend.
   node.run_to(node.now + kConfirmedFor);
   node.log.clear();
   const auto actions = node.arrive(1);
-  EXPECT_FALSE(Outdated::sent(actions));
-  const auto checked = Outdated::checked(actions);
+  EXPECT_FALSE(NodeWithExpiredList::sent_to(actions));
+  const auto checked = NodeWithExpiredList::checked_backends(actions);
   ASSERT_FALSE(checked.empty());
   const auto after = node.check_ends(checked.front(), Outcome::kServed);
-  EXPECT_EQ(Outdated::sent(after), checked.front());
+  EXPECT_EQ(NodeWithExpiredList::sent_to(after), checked.front());
 }
 
-TEST(Confirmations, WhoFailsItsCheckGetsNothingAndWithNobodyLeftTheRequestIsRefusedAtOnce) {
-  Outdated node(probing());
+TEST(Confirmations, WhenAllBackendsFailTheirChecksTheRequestIsRefusedAtOnce) {
+  NodeWithExpiredList node(probing_settings());
   node.run_to(node.now + kConfirmedFor);
-  auto open = Outdated::checked(node.arrive(1));
+  auto open = NodeWithExpiredList::checked_backends(node.arrive(1));
   std::size_t failed = 0;
   bool refused = false;
   while (!open.empty()) {
@@ -74,8 +74,8 @@
     open.pop_back();
     ++failed;
     const auto actions = node.check_ends(backend, Outcome::kRejected);
-    EXPECT_FALSE(Outdated::sent(actions));
-    for (const BackendId more : Outdated::checked(actions)) open.push_back(more);
+    EXPECT_FALSE(NodeWithExpiredList::sent_to(actions));
+    for (const BackendId more : NodeWithExpiredList::checked_backends(actions)) open.push_back(more);
     refused = refused || !none<Refuse>(actions);
   }
   EXPECT_TRUE(refused);
@@ -83,21 +83,21 @@
   EXPECT_FALSE(none<Refuse>(node.arrive(2))) << "nor is anybody asked again at once";
 }
 
-TEST(Confirmations, WhereChecksAreNotAllowedAllIsRefusedAtOnce) {
-  Settings s = probing();
+TEST(Confirmations, WithoutProbingAllRequestsAreRefusedAtOnce) {
+  Settings s = probing_settings();
   s.probing = false;
   Node node(s);
   node.list(entries(kBackends));
   node.feed(ListValidity{.until = node.now, .confirmed_for = kConfirmedFor});
   EXPECT_FALSE(none<Refuse>(node.arrive(1)));
   node.feed(ListValidity{});
-  EXPECT_TRUE(Outdated::sent(node.arrive(2))) << "once the list holds again";
+  EXPECT_TRUE(NodeWithExpiredList::sent_to(node.arrive(2))) << "once the list holds again";
 }
 
 TEST(Confirmations, AnAnswerToARequestConfirmsNothing) {
-  Outdated node(probing());
+  NodeWithExpiredList node(probing_settings());
   node.run_to(node.now + kConfirmedFor);
-  const auto checked = Outdated::checked(node.arrive(1));
+  const auto checked = NodeWithExpiredList::checked_backends(node.arrive(1));
   ASSERT_FALSE(checked.empty());
   const BackendId chosen = checked.front();
   node.check_ends(chosen, Outcome::kServed);
@@ -108,41 +108,42 @@
   node.end(1, chosen, Outcome::kServed);
   node.run_to(node.now + 20);
   const auto actions = node.arrive(2);
-  EXPECT_FALSE(Outdated::sent(actions)) << "its check is too old by now";
+  EXPECT_FALSE(NodeWithExpiredList::sent_to(actions)) << "its check is too old by now";
 }
 
-TEST(Confirmations, ARetryGoesOnlyToWhoIsConfirmed) {
-  Outdated node(probing());
+TEST(Confirmations, ARetryGoesOnlyToAConfirmedBackend) {
+  NodeWithExpiredList node(probing_settings());
   node.run_to(node.now + kConfirmedFor);
-  const auto checked = Outdated::checked(node.arrive(1));
+  const auto checked = NodeWithExpiredList::checked_backends(node.arrive(1));
   ASSERT_GE(checked.size(), 2U);
-  const auto more = Outdated::checked(node.check_ends(checked[0], Outcome::kServed));
+  const auto more = NodeWithExpiredList::checked_backends(node.check_ends(checked[0], Outcome::kServed));
   ASSERT_EQ(more.size(), 1U) << "who has not been asked yet";
   for (std::size_t n = 1; n < checked.size(); ++n) node.check_ends(checked[n], Outcome::kRejected);
-  EXPECT_FALSE(Outdated::sent(node.end(1, checked[0], Outcome::kError)));
-  EXPECT_EQ(Outdated::sent(node.check_ends(more.front(), Outcome::kServed)), more.front());
+  EXPECT_FALSE(NodeWithExpiredList::sent_to(node.end(1, checked[0], Outcome::kError)));
+  EXPECT_EQ(NodeWithExpiredList::sent_to(node.check_ends(more.front(), Outcome::kServed)), more.front());
 }
 
-TEST(Confirmations, DearChecksAreMadeForRequestsThatWaitAlone) {
+TEST(Confirmations, ExpensiveChecksAreSentOnlyForRequestsThatWait) {
   for (const double price : {0.0, 0.08}) {
-    Outdated node(probing(price));
+    NodeWithExpiredList node(probing_settings(price));
     node.run_to(node.now + kConfirmedFor);
-    const auto checked = Outdated::checked(node.arrive(1));
+    const auto checked = NodeWithExpiredList::checked_backends(node.arrive(1));
     EXPECT_EQ(checked.size(), price > 0 ? 2U : 3U);
     const auto after = node.check_ends(checked.front(), Outcome::kServed);
-    EXPECT_EQ(Outdated::sent(after), checked.front());
-    EXPECT_EQ(Outdated::checked(after).size(), price > 0 ? 0U : 1U) << "one more, for those behind it";
+    EXPECT_EQ(NodeWithExpiredList::sent_to(after), checked.front());
+    EXPECT_EQ(NodeWithExpiredList::checked_backends(after).size(), price > 0 ? 0U : 1U)
+        << "one more, for those behind it";
   }
 }
 
-TEST(Confirmations, ACheckBeforeAListThatWasLostVouchesForNobody) {
-  Outdated node(probing());
+TEST(Confirmations, ACheckFromBeforeALostListConfirmsNothing) {
+  NodeWithExpiredList node(probing_settings());
   node.run_to(node.now + kConfirmedFor);
-  const auto checked = Outdated::checked(node.arrive(1));
+  const auto checked = NodeWithExpiredList::checked_backends(node.arrive(1));
   ASSERT_FALSE(checked.empty());
   node.check_ends(checked.front(), Outcome::kServed);
   node.feed(ListValidity{.until = node.now, .confirmed_for = kConfirmedFor, .confirmed_after = node.now + 1});
-  EXPECT_FALSE(Outdated::sent(node.arrive(2)));
+  EXPECT_FALSE(NodeWithExpiredList::sent_to(node.arrive(2)));
 }
 
 }  // namespace
--- a/tests/policy/list_calls_test.cpp
+++ b/tests/policy/list_calls_test.cpp
@@ -1,4 +1,4 @@
-// When the module asks for the list, and again after a call that failed.
+// When the module subscribes to the list, and when again after a call that failed.
 #include <gtest/gtest.h>
 
 #include <tuple>
@@ -8,7 +8,7 @@
 namespace shorelead {
 namespace {
 
-TEST(Lists, SubscribesAtStartWhereTheListMustBeAskedFor) {
+TEST(Lists, SubscribesAtStartWhereListsAreOnRequest) {
   Settings s = plain_settings();
   s.list_on_request = true;
   Node node(s);
@@ -22,30 +22,30 @@
   EXPECT_TRUE(none<SubscribeList>(pushed.log));
 }
 
-// A list service that works through calls in turn, at so many entries a second, and answers 503 after 2 s; it
-// works on calls that were given up all the same.
+// A discovery service that serves calls in turn, at so many entries a second, and answers 503 after 2 s. It
+// goes on working on calls that were abandoned.
 struct ListService {
   Millis free_at = 0;
-  Millis entry = 1000.0 / 600;
+  Millis time_per_entry = 1000.0 / 600;
 
-  // When the call is answered, and whether well.
+  // When the call is answered, and whether with a list.
   std::pair<Millis, bool> call(Millis now, int entries) {
-    free_at = std::max(free_at, now) + (30 + entries) * entry;
+    free_at = std::max(free_at, now) + (30 + entries) * time_per_entry;
     return {std::min(free_at, now + 2000), free_at <= now + 2000};
   }
 };
 
-TEST(Lists, AHundredNodesStartedAtOnceAllGetTheirWatch) {
-  // From a day at size: each node asked at its start and again within 0.3 s of a failure. The service, behind
-  // by three seconds, worked on calls given up long ago, and 60 of 100 nodes got no list for as long as they
-  // ran.
+TEST(Lists, AHundredNodesThatStartAtOnceAllGetTheirList) {
+  // Guards against an overload of the discovery service that does not end: each node called at its start and
+  // again within 0.3 s of a failure. The service was three seconds behind, worked on calls abandoned long
+  // ago, and 60 of 100 nodes got no list as long as they ran.
   Settings s = plain_settings();
   s.list_on_request = true;
   s.instances = 100;
   s.ask_every = 10000;
-  // The site says that all calls take 5 to 8 s, so much for 0 and 18 entries. Where they take 11.7 s, waits
-  // that keep to the term on failed calls are too short for it, and later ones have to clear what they left.
-  for (const auto& [entries_told, until, least] :
+  // Calls that take 5 to 8 s correspond to 0 and 18 entries. Where they take 11.7 s, waits within the limit
+  // for failed calls are too short, and later calls have to clear the backlog.
+  for (const auto& [entry_count, until, least] :
        {std::tuple{0, 31000.0, 100}, {18, 31000.0, 100}, {40, 121000.0, 95}}) {
     ListService service;
     std::vector<Node> nodes;
@@ -66,19 +66,19 @@
         }
         if (none<SubscribeList>(std::exchange(nodes[n].log, {}))) continue;
         ++calls[static_cast<int>(at / 100)];
-        answers[n] = service.call(at, entries_told);
+        answers[n] = service.call(at, entry_count);
       }
     }
-    EXPECT_GE(listed, least) << entries_told;
+    EXPECT_GE(listed, least) << entry_count;
     for (const auto& [tenth, count] : calls) EXPECT_LE(count, 10) << tenth;
   }
 }
 
-// Sooner where the call failed at once: that cost the service nothing. Never beyond 4 s, which with a call's
-// 2 s are the 6 after which news counts as told, until calls have failed for as long as an old list may be
-// used.
-TEST(Lists, AsksAgainAfterAFailureLaterAndLater) {
-  for (const Millis kept_waiting : {0.0, 1000.0}) {
+// Waits are shorter where the call failed at once, as that cost the service nothing. They never exceed 4 s,
+// which with the 2 s of a call makes 6 s, the time within which a node must learn of a change, until calls
+// have failed for longer than an old list may be used.
+TEST(Lists, WaitsLongerAfterEachFailedCall) {
+  for (const Millis call_duration : {0.0, 1000.0}) {
     Settings s = plain_settings();
     s.list_on_request = true;
     s.ask_every = 10000;
@@ -89,21 +89,25 @@
     std::vector<Millis> waits;
     const Millis began = node.now;
     while (node.now < began + 30000) {
-      node.run_to(node.now + kept_waiting);
+      node.run_to(node.now + call_duration);
       const Millis failed = node.now;
       node.list({}, ListKind::kFailed);
       node.log.clear();
       while (none<SubscribeList>(node.log) && node.now < failed + 20000) node.run_to(node.now + 10);
       waits.push_back(node.now - failed);
-      const bool for_long = failed - began > 1.5 * s.ask_every;
-      EXPECT_LE(waits.back(), (kept_waiting == 0 ? 1000 : for_long ? 5000 : 4000) + 10) << failed - began;
+      const bool failing_for_long = failed - began > 1.5 * s.ask_every;
+      EXPECT_LE(waits.back(), (call_duration == 0 ? 1000
+                               : failing_for_long ? 5000
+                                                  : 4000) +
+                                  10)
+          << failed - began;
     }
     EXPECT_GT(waits[3], waits[0]);
     EXPECT_GE(spread(node, 30).size(), 3U) << "the old list stands";
   }
 }
 
-TEST(Lists, NeverWaitsSoLongThatAnOldListCountsAsToldAnew) {
+TEST(Lists, NeverWaitsLongerThanAnOldListMayBeUsed) {
   Settings s = plain_settings();
   s.list_on_request = true;
   s.ask_every = 1200;
--- a/tests/policy/lists_test.cpp
+++ b/tests/policy/lists_test.cpp
@@ -1,4 +1,4 @@
-// When the module asks for its first list. The rest of the module's tests stand in policy_test.cpp.
+// When the module makes its first call for the list. The other tests of the module are in policy_test.cpp.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace shorelead {
 namespace {
 
-// How long after its start a node of `nodes` asks first.
+// The time from the start of a node to its first call, with `nodes` nodes in the fleet.
 Millis first_call(Millis ask_every, int nodes, std::uint64_t seed) {
   Settings settings;
   settings.classes.resize(1);
@@ -35,9 +35,9 @@
   }
 }
 
-// A node that has not asked for `ask_every` counts as told of all that is new, from its start on; where the
-// last call of the process before it had failed, 6 s after discovery had it, of which a call may take 2 s.
-TEST(FirstCall, ComesBeforeAnOldListCountsAsToldAnew) {
+// A node that has not called for `ask_every` counts as informed of all changes, from its start on; where the
+// last call of the previous process had failed, 6 s after the change, of which a call may take 2 s.
+TEST(FirstCall, ComesBeforeTheNodeCountsAsInformedOfChanges) {
   for (const Millis ask_every : {0.0, 4000.0, 10000.0, 60000.0}) {
     Millis latest = 0;
     for (std::uint64_t seed = 0; seed < 300; ++seed)
--- a/tests/policy/module_case.h
+++ b/tests/policy/module_case.h
@@ -1,5 +1,5 @@
-// The decision module driven by hand, as tests of it use it: one node with its clock and timers, and lists,
-// requests and answers in short.
+// Helpers for tests that drive the decision module by hand: a node with its clock and timers, and short forms
+// of lists, requests and answers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,8 +14,8 @@
 
 namespace shorelead {
 
-constexpr Millis kTestPeriod = 1000;       // the module's period
-constexpr Millis kTestProbeTimeout = 250;  // and its probe time-out
+constexpr Millis kTestPeriod = 1000;       // period of the module
+constexpr Millis kTestProbeTimeout = 250;  // probe timeout of the module
 
 inline RequestClass make_class(Effect effect, DedupGroup group = DedupGroup::kAll) {
   RequestClass c;
@@ -43,7 +43,7 @@
   return s;
 }
 
-// Drives one module the way a host does: keeps the clock and delivers timers when they are due.
+// Drives one module as a host does: keeps the clock and fires timers when they are due.
 class Node {
  public:
   explicit Node(const Settings& settings = plain_settings(), std::uint64_t seed = 1)
@@ -61,7 +61,8 @@
     return actions;
   }
 
-  // Moves the clock on and fires what comes due; probes are answered with `probe_time`, where given.
+  // Advances the clock and fires the timers that are due. Probes are answered after `probe_time`, where it is
+  // set.
   void run_to(Millis until) {
     while (!timers_.empty() && timers_.begin()->first <= until) {
       const auto [at, cookie] = *timers_.begin();
@@ -72,14 +73,14 @@
     now = until;
   }
 
-  // Moves to a moment well after a round of probes, when the last reports have aged.
+  // Advances to well after a round of probes, when the last reports have aged.
   void run_past_probes() {
     const int before = probes[0];
     while (probes[0] == before) run_to(now + 1);
     run_to(now + kTestProbeTimeout + 100);
   }
 
-  // Answers the probes among the actions, where the test gave a time, and returns what came of it.
+  // Answers the probes among the actions for which the test set a time. Returns the resulting actions.
   std::vector<Action> answer_probes(const std::vector<Action>& actions) {
     std::vector<Action> all;
     for (const Action& a : actions) {
@@ -97,7 +98,7 @@
     return all;
   }
 
-  // The first `count` backends answer probes after `time` and report so many requests in hand.
+  // The first `count` backends answer probes after `time` and report `in_hand` requests.
   void report_in_hand(BackendId count, double in_hand, Millis time = 1) {
     for (BackendId i = 0; i < count; ++i) probe_time[i] = time, load[i].in_hand = in_hand;
   }
@@ -134,7 +135,7 @@
   Millis now = 1000;
   std::map<BackendId, Millis> probe_time;
   std::map<BackendId, LoadReport> load;
-  bool answers_report = false;  // not only probes
+  bool answers_report = false;  // answers carry load reports too
   std::map<BackendId, int> probes;
   std::vector<Action> log;
 
@@ -171,7 +172,7 @@
                       [](const Action& a) { return std::holds_alternative<T>(a); });
 }
 
-// Sends `count` requests that are served at once, and counts who got them.
+// Sends `count` requests that are served at once. Returns how many each backend got.
 inline std::map<BackendId, int> spread(Node& node, int count) {
   std::map<BackendId, int> got;
   static RequestId next = 100000;
@@ -188,7 +189,7 @@
   return got;
 }
 
-// The same after `periods` of constant probe times.
+// The same after `periods` periods with constant probe times.
 inline std::map<BackendId, int> spread_at(const std::map<BackendId, Millis>& probe_times, int count,
                                           int periods = 6) {
   Node node;
--- a/tests/policy/order_test.cpp
+++ b/tests/policy/order_test.cpp
@@ -1,5 +1,5 @@
-// Where a fleet has an order of plans, its word on a request's worth goes before the class's: what stands
-// lower in the order is turned away sooner, whatever the classes say.
+// Where a fleet has a plan, the worth that it gives a request takes precedence over that of the class:
+// requests of lower worth in the plan are refused earlier, whatever the classes say.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,10 +9,10 @@
 namespace shorelead {
 namespace {
 
-// A module before three backends whose probes tell of so many requests in hand.
-class Crowded {
+// A module with three backends whose probes report `in_hand` requests.
+class LoadedModule {
  public:
-  Crowded(const Settings& settings, double in_hand) : policy_(settings, 1) {
+  LoadedModule(const Settings& settings, double in_hand) : policy_(settings, 1) {
     report_.in_hand = in_hand;
     feed(Started{});
     ListUpdate list;
@@ -62,7 +62,7 @@
   std::multimap<Millis, std::uint64_t> timers_;
 };
 
-TEST(Order, TheFleetsGoesBeforeTheClasses) {
+TEST(RequestWorth, PlanTakesPrecedenceOverClass) {
   Settings settings;
   for (const double worth : {1, 10}) {
     RequestClass one;
@@ -73,17 +73,17 @@
     settings.classes.push_back(one);
   }
   settings.max_attempts = 5;
-  int untold[2] = {0, 0};
-  int told[2] = {0, 0};
+  int without_plan[2] = {0, 0};
+  int with_plan[2] = {0, 0};
   for (double in_hand = 0; in_hand < 6; in_hand += 0.25) {
     for (const int c : {0, 1}) {
-      untold[c] += Crowded(settings, in_hand).sends(c, -1) ? 1 : 0;
-      told[c] += Crowded(settings, in_hand).sends(c, 1 - c) ? 1 : 0;
+      without_plan[c] += LoadedModule(settings, in_hand).sends(c, -1) ? 1 : 0;
+      with_plan[c] += LoadedModule(settings, in_hand).sends(c, 1 - c) ? 1 : 0;
     }
   }
-  EXPECT_GT(untold[1], untold[0] + 3);
-  EXPECT_GT(told[0], told[1] + 3);
-  EXPECT_GE(told[0], untold[1]);
+  EXPECT_GT(without_plan[1], without_plan[0] + 3);
+  EXPECT_GT(with_plan[0], with_plan[1] + 3);
+  EXPECT_GE(with_plan[0], without_plan[1]);
 }
 
 }  // namespace
--- a/tests/policy/stream_main.cpp
+++ b/tests/policy/stream_main.cpp
@@ -1,10 +1,8 @@
-// Plays recorded streams of events to the decision module and holds what it does of them: one hash of all
-// actions for each kind of installation and seed. A change that is not meant to move behaviour leaves all of
-// them.
+// Plays recorded streams of events to the decision module and compares the resulting actions: one hash of all
+// actions for each shape and seed. A change that does not move decisions leaves every hash as it is.
 //   policy_stream check FILE                      plays what FILE names and compares
 //   policy_stream record SHAPES SEEDS EVENTS      writes such a file: seeds 1 to SEEDS, so many events each
-//   policy_stream print SHAPE SEED EVENTS         writes the events and actions of one, to be compared by
-//   hand
+//   policy_stream print SHAPE SEED EVENTS         writes the events and actions of one, for a comparison
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
--- a/tests/policy/stream_shapes.cpp
+++ b/tests/policy/stream_shapes.cpp
@@ -1,5 +1,5 @@
-// The kinds of installation that are recorded: one for each way in which the module gets its news, and for
-// each exception; beyond those, ones drawn at random.
+// The recorded shapes: one for each way in which the module gets load reports, one for each exception, and
+// shapes drawn at random.
 #include <functional>
 
 #include "policy/stream_host.h"
@@ -47,13 +47,13 @@
   return shape;
 }
 
-// Only probes bring reports; cheap ones.
+// Only probes carry load reports, and they are cheap.
 void by_probes(Shape& shape) {
   shape.settings.reports_with_answers = false;
   shape.settings.probe_price = 0.002;
 }
 
-// Fellows are asked, as probes are too dear.
+// Peers are queried, as probes exceed their budget.
 void by_peers(Shape& shape) {
   shape.settings.reports_with_answers = false;
   shape.settings.probe_price = 0.05;
@@ -88,12 +88,12 @@
     s.streams_per_connection = static_cast<int>(one_of({1, 100}));
     s.kept_promises = one_of({0, 1});
     s.warm_up = one_of({0, 8000, 20000});
-    shape.boxes = static_cast<int>(one_of({2, 12, 40}));
+    shape.backends = static_cast<int>(one_of({2, 12, 40}));
     shape.rate = one_of({20, 200, 1500});
     shape.service = one_of({3, 12, 60});
-    shape.trouble = one_of({0, 0.03, 0.3});
+    shape.failure_share = one_of({0, 0.03, 0.3});
     shape.churn = one_of({100, 2000});
-    shape.odd_lists = random.below(4) == 0;
+    shape.irregular_lists = random.below(4) == 0;
   });
 }
 
@@ -107,30 +107,31 @@
   add("answers", [](Shape& s) { s.settings.probe_price = 0.0005; });
   add("answers-dear-probes",
       [](Shape& s) { s.settings.probe_price = 0.05, s.settings.instances = 8, s.rate = 60; });
-  add("answers-one", [](Shape& s) { s.boxes = 1; });
-  add("no-boxes", [](Shape& s) { s.boxes = 1, s.churn = 50, s.odd_lists = true; });
+  add("answers-one", [](Shape& s) { s.backends = 1; });
+  add("no-boxes", [](Shape& s) { s.backends = 1, s.churn = 50, s.irregular_lists = true; });
   add("probes", by_probes);
-  add("probes-keys", [](Shape& s) { by_probes(s), s.settings.warm_keys = true, s.boxes = 30; });
+  add("probes-keys", [](Shape& s) { by_probes(s), s.settings.warm_keys = true, s.backends = 30; });
   add("fellows", by_peers);
   add("fellows-keys",
       [](Shape& s) { by_peers(s), s.settings.warm_keys = true, s.service = 30, s.rate = 900; });
   add("fellows-many",
-      [](Shape& s) { by_peers(s), s.settings.instances = 40, s.boxes = 60, s.trouble = 0.1; });
+      [](Shape& s) { by_peers(s), s.settings.instances = 40, s.backends = 60, s.failure_share = 0.1; });
   add("silent", [](Shape& s) { s.settings.probing = false, s.settings.reports_with_answers = false; });
-  add("lossy", [](Shape& s) { s.trouble = 0.4, s.settings.probing = false, s.settings.cancelling = false; });
+  add("lossy",
+      [](Shape& s) { s.failure_share = 0.4, s.settings.probing = false, s.settings.cancelling = false; });
   add("list-on-request", [](Shape& s) {
     s.settings.list_on_request = true, s.settings.instances = 40, s.settings.ask_every = 900;
   });
   add("ceilings", [](Shape& s) {
-    s.boxes = 120, s.settings.max_probes_per_second = 30, s.settings.max_probes_per_backend = 1,
+    s.backends = 120, s.settings.max_probes_per_second = 30, s.settings.max_probes_per_backend = 1,
     s.settings.instances = 3;
   });
-  add("one-stream", [](Shape& s) { s.settings.streams_per_connection = 1, s.trouble = 0.15; });
+  add("one-stream", [](Shape& s) { s.settings.streams_per_connection = 1, s.failure_share = 0.15; });
   add("cold", [](Shape& s) {
     s.churn = 60, s.settings.instances = 25, s.settings.sizes_listed = true, s.rate = 1200;
   });
-  add("crowded", [](Shape& s) { s.rate = 3000, s.service = 60, s.boxes = 6; });
-  add("many", [](Shape& s) { s.boxes = 700, s.rate = 4000, s.churn = 200; });
+  add("crowded", [](Shape& s) { s.rate = 3000, s.service = 60, s.backends = 6; });
+  add("many", [](Shape& s) { s.backends = 700, s.rate = 4000, s.churn = 200; });
   while (all.size() < count) all.push_back(drawn(all.size()));
   all.resize(count);
   return all;
--- a/tests/policy/stream_steps.cpp
+++ b/tests/policy/stream_steps.cpp
@@ -1,5 +1,5 @@
-// What the world around the module does of itself: clients, lists, fellows' words, new settings, and events
-// that make no sense.
+// Events that do not result from actions: clients, lists, messages of peers, new settings, and events that
+// make no sense.
 #include <algorithm>
 
 #include "policy/stream_host.h"
@@ -18,21 +18,21 @@
       r.client_retry = chance(0.03);
       if (chance(0.6)) r.key = random_.below(40);
       arrive(r);
-      // In bursts: most of the time half of the rate, now and then four times of it.
+      // In bursts: most of the time at half the rate, now and then at four times the rate.
       const double now_and_then = static_cast<std::uint64_t>(now_) / 700 % 7 == 0 ? 4 : 0.5;
       return next(wait(1000 / shape_.rate / now_and_then), kArrive);
     }
     case kChurn:
       churn();
       return next(wait(shape_.churn), kChurn);
-    case kWord:
-      if (settings_.peer_messages) word();
-      return next(wait(20), kWord);
+    case kPeerMessage:
+      if (settings_.peer_messages) peer_message();
+      return next(wait(20), kPeerMessage);
     case kSettings:
-      if (chance(0.5)) turn_settings();
+      if (chance(0.5)) change_settings();
       return next(wait(6000), kSettings);
     default:
-      stray();
+      feed_stray_event();
       return next(wait(700), kStray);
   }
 }
@@ -46,8 +46,8 @@
 
 std::vector<BackendEntry> Host::all_entries() const {
   std::vector<BackendEntry> entries;
-  for (const Box& box : boxes_) {
-    if (box.entry.state != BackendState::kGone) entries.push_back(box.entry);
+  for (const Backend& backend : backends_) {
+    if (backend.entry.state != BackendState::kGone) entries.push_back(backend.entry);
   }
   return entries;
 }
@@ -58,31 +58,31 @@
 
 void Host::churn() {
   std::vector<BackendEntry> changed;
-  const std::size_t most = 1 + random_.below(chance(0.1) ? boxes_.size() : 3);
+  const std::size_t most = 1 + random_.below(chance(0.1) ? backends_.size() : 3);
   for (std::size_t n = 0; n < most; ++n) {
-    Box& box = boxes_[random_.below(boxes_.size())];
-    box.crowd = chance(0.3) ? wait(12) : wait(2);
-    box.hangs = chance(0.04);
-    box.trouble = chance(0.08) ? 0.8 : shape_.trouble;
-    if (box.entry.state != BackendState::kReady || chance(0.1)) {
-      box.entry.state = BackendState::kReady;
-      box.entry.started = chance(0.8) ? now_ - wait(500) : 0;
-      if (chance(0.2)) box.entry.tag = static_cast<std::uint32_t>(random_.next());
+    Backend& backend = backends_[random_.below(backends_.size())];
+    backend.other_load = chance(0.3) ? wait(12) : wait(2);
+    backend.hangs = chance(0.04);
+    backend.failure_share = chance(0.08) ? 0.8 : shape_.failure_share;
+    if (backend.entry.state != BackendState::kReady || chance(0.1)) {
+      backend.entry.state = BackendState::kReady;
+      backend.entry.started = chance(0.8) ? now_ - wait(500) : 0;
+      if (chance(0.2)) backend.entry.tag = static_cast<std::uint32_t>(random_.next());
     } else if (chance(0.4)) {
-      box.entry.state = chance(0.5) ? BackendState::kDraining : BackendState::kGone;
+      backend.entry.state = chance(0.5) ? BackendState::kDraining : BackendState::kGone;
     }
-    changed.push_back(box.entry);
+    changed.push_back(backend.entry);
   }
   if (chance(0.15)) return list(ListKind::kFull, all_entries());
   if (chance(0.1)) return list(ListKind::kFailed, {});
   list(ListKind::kDelta, changed);
 }
 
-void Host::word() {
+void Host::peer_message() {
   PeerMessage m;
   const auto kind = random_.below(5);
   m.kind = static_cast<PeerMessage::Kind>(kind);
-  m.about = chance(0.05) ? 7 : boxes_[random_.below(boxes_.size())].entry.tag;
+  m.about = chance(0.05) ? 7 : backends_[random_.below(backends_.size())].entry.tag;
   if (kind >= 3) m.about = static_cast<std::uint32_t>(random_.below(settings_.tenants.size() + 1));
   m.work = static_cast<double>(random_.below(40)) / 8;
   m.held = static_cast<double>(random_.below(5));
@@ -93,7 +93,7 @@
       static_cast<int>(random_.below(static_cast<std::size_t>(settings_.instances) + 2)) - 1, m});
 }
 
-void Host::turn_settings() {
+void Host::change_settings() {
   Settings s = settings_;
   if (chance(0.3) && s.classes.size() < 9) {
     s.classes.push_back(s.classes[random_.below(s.classes.size())]);
@@ -108,10 +108,10 @@
   feed(SettingsChanged{s});
 }
 
-// What a host should not say, or says too late.
-void Host::stray() {
+// Events that a correct host does not send, or sends too late.
+void Host::feed_stray_event() {
   const RequestId someone = static_cast<RequestId>(random_.below(requests_.size() + 1));
-  const BackendId box = boxes_[random_.below(boxes_.size())].entry.backend;
+  const BackendId backend = backends_[random_.below(backends_.size())].entry.backend;
   switch (random_.below(6)) {
     case 0:
       return feed(RequestGone{someone});
@@ -126,13 +126,13 @@
     case 3:
       return feed(AttemptEnded{someone, 1000000, 0, Outcome::kError, 1, false, false, {}});
     case 4:
-      // Of a request that is over, which nobody knows any more.
-      return feed(AttemptEnded{static_cast<RequestId>(requests_.size()) + 1000000, box, 0,
+      // The end of an attempt of a request that is over and forgotten.
+      return feed(AttemptEnded{static_cast<RequestId>(requests_.size()) + 1000000, backend, 0,
                                static_cast<Outcome>(random_.below(8)), wait(30), true, true,
-                               report(boxes_[0])});
+                               report(backends_[0])});
     default:
       return feed(
-          ProbeEnded{chance(0.2) ? 1000000 : box, Outcome::kServed, wait(3), true, report(boxes_[0])});
+          ProbeEnded{chance(0.2) ? 1000000 : backend, Outcome::kServed, wait(3), true, report(backends_[0])});
   }
 }
 
--- a/tests/policy/stream_text.cpp
+++ b/tests/policy/stream_text.cpp
@@ -1,4 +1,4 @@
-// Events and actions as text, every number in full, one line each.
+// Events and actions as text, one line each, numbers with full precision.
 #include <cstdio>
 
 #include "policy/stream_host.h"
