--- a/src/policy/backend_selector.h
+++ b/src/policy/backend_selector.h
@@ -171,8 +171,8 @@
   bool full(const Request& r, BackendId i) const {
     const double lanes = estimates_.load(i).lanes;
     const double max_waiting = kMaxQueueFactor * std::sqrt(lanes);
-    const double crowded = std::min(1.0, estimates_.mean_others() / max_waiting);
-    return estimates_.held(i) > lanes + max_waiting * (1 - (1 - relative_worth(r)) * crowded);
+    const double load_share = std::min(1.0, estimates_.mean_others() / max_waiting);
+    return estimates_.held(i) > lanes + max_waiting * (1 - (1 - relative_worth(r)) * load_share);
   }
 
   // Its worth relative to the highest class, considering its tenant's share and whether the client repeats
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -57,7 +57,7 @@
     return by_keepers ||
            (!settings.reports_with_answers && settings.probing && !exceeds_probe_budget(kProbesPerAttempt));
   }
-  bool exceeds_probe_budget(int looks) const { return settings.probe_price * looks > kProbeBudget; }
+  bool exceeds_probe_budget(int probes) const { return settings.probe_price * probes > kProbeBudget; }
   double configured_nodes() const { return std::max(1, settings.instances); }
   const RequestClass& request_class(int n) const { return settings.classes[static_cast<std::size_t>(n)]; }
 
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -23,15 +23,16 @@
 // Dense index that the host gives to each backend when a list first names it. It stays with that address.
 using BackendId = std::uint32_t;
 
+// How an attempt or a probe ended.
 enum class Outcome {
   kServed,
-  kError,
-  kRejected,
-  kNoAnswer,
-  kNoConnection,
-  kConnectionLost,
-  kCancelled,
-  kNotSent
+  kError,           // any answer that does not prove that the request did not run
+  kRejected,        // the backend says that it did not process the request
+  kNoAnswer,        // none in time
+  kNoConnection,    // failed before the request was written whole
+  kConnectionLost,  // lost after the request was written
+  kCancelled,       // by this node
+  kNotSent          // for want of a local resource, such as a file descriptor
 };
 
 enum class BackendState { kReady, kDraining, kGone };
@@ -46,6 +47,8 @@
   std::uint32_t tag = 0;  // hash of its address, the same on every node
 };
 
+// kDelta: changed entries only. kFull: all entries. kStored: all entries, saved by an earlier process.
+// kFailed: the call for the list failed.
 enum class ListKind { kDelta, kFull, kStored, kFailed };
 
 // What a request is bound to, as its host knows: one backend, or all backends of a cell or zone.
@@ -75,14 +78,15 @@
   RequestId request = 0;
   int request_class = 0;
   int tenant = 0;
-  Millis due = 0;             // the client gives up on this attempt of its own then
-  double expected_work = -1;  // milliseconds on a standard core; negative = unknown
+  Millis due = 0;             // deadline of this try of the client
+  double expected_work = -1;  // hint: milliseconds on a standard core; negative = none
   bool client_retry = false;
-  std::uint64_t key = 0;  // hash of the key of the data that it concerns, the same on every node; 0 = none
+  std::uint64_t key = 0;  // hash of what it concerns, the same on every node; 0 = none
   Unit home{};            // binding that holds for every attempt
   // Relative to the highest worth, where the fleet has a plan; negative = the worth of its class.
   double worth = -1;
 };
+// The answer of a streamed request has begun, so that it must not be cancelled any more.
 struct StreamStarted {
   RequestId request = 0;
   int attempt = 0;
@@ -93,10 +97,11 @@
   int attempt = 0;
   Outcome outcome = Outcome::kServed;
   Millis elapsed = 0;
-  bool request_over = false;
+  bool request_over = false;  // it has its final answer, or its client has gone
   bool has_report = false;
   LoadReport report;
 };
+// The client has gone.
 struct RequestGone {
   RequestId request = 0;
 };
@@ -164,6 +169,7 @@
   Millis at = 0;
   std::uint64_t cookie = 0;
 };
+// A line for the host's log.
 struct Note {
   std::string text;
 };
