--- a/src/policy/backend_selector.h
+++ b/src/policy/backend_selector.h
@@ -28,14 +28,14 @@
   // enough without further reports.
   std::pair<std::optional<BackendId>, bool> pick(const Request& r) const {
     const Millis time_limit = kSkipShare * (r.aim_at - context_.now);
-    if (const auto i = r.home.is_set() ? lowest_expected_response(r, time_limit, true) : std::nullopt)
-      return {i, true};
+    if (const auto backend = r.home.is_set() ? lowest_expected_response(r, time_limit, true) : std::nullopt)
+      return {backend, true};
     if (!context_.probes_before_send()) {
-      const std::optional<BackendId> i = next_backend(r);
-      return {i, i.has_value()};
+      const std::optional<BackendId> backend = next_backend(r);
+      return {backend, backend.has_value()};
     }
-    const std::optional<BackendId> i = best_candidate(r);
-    return {i, i && meets_deadline(r, *i, time_limit)};
+    const std::optional<BackendId> backend = best_candidate(r);
+    return {backend, backend && meets_deadline(r, *backend, time_limit)};
   }
 
   // The choice where no further reports are to be had. None: the request is better refused.
@@ -49,8 +49,8 @@
   // The next in the rotation. While the list has expired, only a few backends are confirmed and soon have no
   // turn left: then the confirmed one with the lowest expected response time.
   std::optional<BackendId> next_backend(const Request& r) const {
-    const std::optional<BackendId> i = next_in_rotation(r);
-    if (i || !confirmations_.list_outdated()) return i;
+    const std::optional<BackendId> backend = next_in_rotation(r);
+    if (backend || !confirmations_.list_outdated()) return backend;
     return lowest_expected_response(r, context_.exceeds_probe_budget(kProbesPerAttempt)
                                            ? admission_limit(r)
                                            : kSkipShare * (r.aim_at - context_.now));
@@ -61,53 +61,53 @@
   std::optional<BackendId> next_in_rotation(const Request& r) const {
     const Millis time_limit = kSkipShare * (r.aim_at - context_.now);
     std::optional<BackendId> pick;
-    rotation_.visit_turns([&](BackendId i) {
-      const bool may = allowed(r, i);
-      if (may && expected_response(r, i) <= time_limit) return pick = i, Rotation::Turn::kTaken;
+    rotation_.visit_turns([&](BackendId backend) {
+      const bool may = allowed(r, backend);
+      if (may && expected_response(r, backend) <= time_limit) return pick = backend, Rotation::Turn::kTaken;
       // One that may not have this request keeps its turn for another, as does one that a probe may clear.
-      return !may || may_probe(i) ? Rotation::Turn::kKept : Rotation::Turn::kLost;
+      return !may || may_probe(backend) ? Rotation::Turn::kKept : Rotation::Turn::kLost;
     });
     return pick;
   }
 
-  bool allowed(const Request& r, BackendId i) const {
-    return confirmations_.confirmed(i, context_.now) && eligible(r, i);
+  bool allowed(const Request& r, BackendId backend) const {
+    return confirmations_.confirmed(backend, context_.now) && eligible(r, backend);
   }
 
   // Whether only a health check is missing for it to get the request.
-  bool needs_check(const Request& r, BackendId i) const {
-    return context_.settings.probing && !confirmations_.confirmed(i, context_.now) &&
-           confirmations_.may_check(i) && rotation_.usable(i) && eligible(r, i);
+  bool needs_check(const Request& r, BackendId backend) const {
+    return context_.settings.probing && !confirmations_.confirmed(backend, context_.now) &&
+           confirmations_.may_check(backend) && rotation_.usable(backend) && eligible(r, backend);
   }
 
   // Whether it may get the request if the list is valid.
-  bool eligible(const Request& r, BackendId i) const {
-    if (r.home.required && !r.home.contains(lists_[i])) return false;
+  bool eligible(const Request& r, BackendId backend) const {
+    if (r.home.required && !r.home.contains(lists_[backend])) return false;
     for (const Attempt& a : r.attempts) {
-      if (a.backend == i) return false;
+      if (a.backend == backend) return false;
     }
-    if (health_.ejected_for(i, r.request_class) || !retries_.in_group(r, i)) return false;
-    return !estimates_.cold(i) || slow_start_.has_budget(i);
+    if (health_.ejected_for(backend, r.request_class) || !retries_.in_group(r, backend)) return false;
+    return !estimates_.cold(backend) || slow_start_.has_budget(backend);
   }
 
   // Whether any backend in the rotation may still get the request.
   bool any_allowed(const Request& r) const {
-    BackendId i = 0;
-    while (i < lists_.size() && !(rotation_.usable(i) && allowed(r, i))) ++i;
-    return i < lists_.size();
+    BackendId backend = 0;
+    while (backend < lists_.size() && !(rotation_.usable(backend) && allowed(r, backend))) ++backend;
+    return backend < lists_.size();
   }
 
   // Whether its last report, where reports come with answers, is old enough for a probe.
-  bool may_probe(BackendId i) const {
-    const estimate::ResponseTimes& times = probes_.times(i);
-    const estimate::Load& load = estimates_.load(i);
-    return rotation_.usable(i) && estimates_.loads_told() && context_.now >= load.doubted_until &&
+  bool may_probe(BackendId backend) const {
+    const estimate::ResponseTimes& times = probes_.times(backend);
+    const estimate::Load& load = estimates_.load(backend);
+    return rotation_.usable(backend) && estimates_.loads_told() && context_.now >= load.doubted_until &&
            (!times.known() || times.response() <= kMaxProbeTime) &&
            (load.others < 0 || context_.now - load.reported_at >= kMinReportAge * estimates_.mean_time());
   }
 
-  Millis expected_response(const Request& r, BackendId i) const {
-    return estimates_.expected(i, r.request_class, r.work);
+  Millis expected_response(const Request& r, BackendId backend) const {
+    return estimates_.expected(backend, r.request_class, r.work);
   }
 
   Context& context_;
@@ -132,13 +132,14 @@
     const std::size_t start = lists_.size() == 0 ? 0 : context_.random.below(lists_.size());
     std::size_t visited = 0;
     for (std::size_t n = 0; n < lists_.size() && visited < kMaxCandidates; ++n) {
-      const BackendId i = static_cast<BackendId>((start + n) % lists_.size());
-      if (!lists_.ready(i) || !allowed(r, i) || (home && !r.home.contains(lists_[i]))) continue;
+      const BackendId backend = static_cast<BackendId>((start + n) % lists_.size());
+      if (!lists_.ready(backend) || !allowed(r, backend) || (home && !r.home.contains(lists_[backend])))
+        continue;
       visited += 1;
-      const Millis expect = expected_response(r, i);
-      const bool usable = rotation_.usable(i);
+      const Millis expect = expected_response(r, backend);
+      const bool usable = rotation_.usable(backend);
       const bool better = !best || (usable != rotation_.usable(*best) ? usable : expect < lowest);
-      if (better) best = i, lowest = expect;
+      if (better) best = backend, lowest = expect;
     }
     if (!best || lowest > within || (home && !rotation_.usable(*best))) return std::nullopt;
     rotation_.charge_turn(*best);
@@ -150,29 +151,30 @@
     std::optional<BackendId> best;
     std::tuple<bool, bool, Millis> lowest;
     double rank = 1;
-    for (const BackendId i : r.candidates) {
-      if (!rotation_.usable(i) || !allowed(r, i)) continue;
-      const Millis age = context_.now - estimates_.load(i).reported_at;
+    for (const BackendId backend : r.candidates) {
+      if (!rotation_.usable(backend) || !allowed(r, backend)) continue;
+      const Millis age = context_.now - estimates_.load(backend).reported_at;
       const bool silent = age > 2 * kProbeWaitShare * context_.request_class(r.request_class).aim;
-      const std::tuple<bool, bool, Millis> candidate{silent, full(r, i), expected_response(r, i) * rank};
+      const std::tuple<bool, bool, Millis> candidate{silent, full(r, backend),
+                                                     expected_response(r, backend) * rank};
       if (context_.settings.warm_keys && r.key != 0) rank *= kKeyRankFactor;
-      if (!best || candidate < lowest) best = i, lowest = candidate;
+      if (!best || candidate < lowest) best = backend, lowest = candidate;
     }
     return best;
   }
 
-  bool meets_deadline(const Request& r, BackendId i, Millis within) const {
-    return !full(r, i) && expected_response(r, i) <= within;
+  bool meets_deadline(const Request& r, BackendId backend, Millis within) const {
+    return !full(r, backend) && expected_response(r, backend) <= within;
   }
 
   // Exception "full": a backend with many more requests waiting than it has lanes becomes slow for a long
   // time, so it gets no more. Requests of low worth are refused earlier, the more so the higher the load of
   // the fleet.
-  bool full(const Request& r, BackendId i) const {
-    const double lanes = estimates_.load(i).lanes;
+  bool full(const Request& r, BackendId backend) const {
+    const double lanes = estimates_.load(backend).lanes;
     const double max_waiting = kMaxQueueFactor * std::sqrt(lanes);
     const double load_share = std::min(1.0, estimates_.mean_others() / max_waiting);
-    return estimates_.held(i) > lanes + max_waiting * (1 - (1 - relative_worth(r)) * load_share);
+    return estimates_.held(backend) > lanes + max_waiting * (1 - (1 - relative_worth(r)) * load_share);
   }
 
   // Its worth relative to the highest class, considering its tenant's share and whether the client repeats
--- a/src/policy/confirmations.h
+++ b/src/policy/confirmations.h
@@ -16,21 +16,21 @@
   explicit Confirmations(const Context& context) : context_(context) {}
 
   void set_validity(const ListValidity& validity) { validity_ = validity; }
-  void reset(BackendId i) { records_[i] = {}; }
+  void reset(BackendId backend) { records_[backend] = {}; }
   // A health check that was sent `elapsed` ago has ended.
-  void check_ended(BackendId i, Outcome outcome, Millis elapsed) {
-    CheckRecord& record = records_[i];
+  void check_ended(BackendId backend, Outcome outcome, Millis elapsed) {
+    CheckRecord& record = records_[backend];
     if (outcome == Outcome::kServed) return record.last.passed(context_.now - elapsed);
     if (outcome == Outcome::kRejected) record.last.failed();
     record.next_check_at = context_.now + kRecheckDelay;
   }
 
   bool list_outdated() const { return context_.now >= validity_.until; }
-  bool confirmed(BackendId i, Millis now) const {
-    return now < validity_.until || records_[i].last.within(validity_, now);
+  bool confirmed(BackendId backend, Millis now) const {
+    return now < validity_.until || records_[backend].last.within(validity_, now);
   }
   // Whether a backend that is not confirmed may be checked again: its last check did not fail just now.
-  bool may_check(BackendId i) const { return context_.now >= records_[i].next_check_at; }
+  bool may_check(BackendId backend) const { return context_.now >= records_[backend].next_check_at; }
 
  private:
   struct CheckRecord {
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -31,8 +31,8 @@
 class Health {
  public:
   Health(const Context& context, const Lists& lists) : context_(context), lists_(lists) {}
-  void reset(BackendId i) {
-    records_[i].assign(record_index(static_cast<int>(context_.settings.classes.size())), {});
+  void reset(BackendId backend) {
+    records_[backend].assign(record_index(static_cast<int>(context_.settings.classes.size())), {});
   }
   void settings_changed() {
     for (auto& records : records_)
@@ -40,11 +40,11 @@
   }
 
   // For a ready backend: whether it is ejected for all classes, or for this class.
-  bool ejected(BackendId i, Millis now) const {
-    return now < std::max(records_[i][0].ejected_until, records_[i][1].ejected_until);
+  bool ejected(BackendId backend, Millis now) const {
+    return now < std::max(records_[backend][0].ejected_until, records_[backend][1].ejected_until);
   }
-  bool ejected_for(BackendId i, int request_class) const {
-    const std::vector<Record>& all = records_[i];
+  bool ejected_for(BackendId backend, int request_class) const {
+    const std::vector<Record>& all = records_[backend];
     const std::size_t n = record_index(request_class);
     return context_.now < std::max({all[0].ejected_until, all[1].ejected_until, all[n].ejected_until,
                                     all[n + 1].ejected_until});
@@ -53,13 +53,13 @@
   // Exception "health": a backend may fail, hang, or fail one class only, while its probes pass. One that
   // fails much more often than the others is ejected, for a time that doubles; after an ejection one more
   // failure suffices for the next.
-  void record_outcome(BackendId i, int request_class, Outcome outcome) {
+  void record_outcome(BackendId backend, int request_class, Outcome outcome) {
     const bool silent = outcome == Outcome::kNoAnswer;
     const bool unreachable = outcome == Outcome::kNoConnection;
     const bool error = unreachable || outcome == Outcome::kError || outcome == Outcome::kConnectionLost;
     if (!silent && !error && outcome != Outcome::kServed) return;
     ++outcomes_;
-    std::vector<Record>& all = records_[i];
+    std::vector<Record>& all = records_[backend];
     for (const std::size_t n : {std::size_t{0}, record_index(request_class)}) {
       update(all[n], n, silent, kFailureGain);
       update(all[n + 1], n + 1, error, unreachable && n == 0 ? 1 : kErrorGain);
@@ -99,8 +99,8 @@
   double median_of(std::size_t n, double Record::*figure) {
     return medians_[n * 2 + (figure == &Record::baseline_rate)].at(outcomes_, kMedianParts, [&] {
       std::vector<double> all;
-      for (BackendId i = 0; i < lists_.size(); ++i) {
-        if (lists_.ready(i)) all.push_back(records_[i][n].*figure);
+      for (BackendId backend = 0; backend < lists_.size(); ++backend) {
+        if (lists_.ready(backend)) all.push_back(records_[backend][n].*figure);
       }
       return all;
     });
@@ -120,18 +120,20 @@
  public:
   SlowStartBudgets(Context& context, const estimate::Backends& estimates)
       : context_(context), estimates_(estimates) {}
-  void begin(BackendId i) { records_[i].begin(context_.random.unit(), context_.now, estimates_.started(i)); }
+  void begin(BackendId backend) {
+    records_[backend].begin(context_.random.unit(), context_.now, estimates_.started(backend));
+  }
   // Whether the budget of a cold backend allows one more request now.
-  bool has_budget(BackendId i) {
+  bool has_budget(BackendId backend) {
     const Settings& s = context_.settings;
-    const double capacity = estimates_.finishes(i, s.fall_span);
+    const double capacity = estimates_.finishes(backend, s.fall_span);
     const double budget =
-        kSlowStartSafety * s.fall_multiple * estimates_.warmth(i) * capacity / context_.sharers;
+        kSlowStartSafety * s.fall_multiple * estimates_.warmth(backend) * capacity / context_.sharers;
     const double open = budget * std::min(1.0, kSlowStartTurn / estimates_.arrivals(s.fall_span));
-    return records_[i].room(budget, s.fall_span, open, context_.now);
+    return records_[backend].room(budget, s.fall_span, open, context_.now);
   }
-  void sent(BackendId i) {
-    if (estimates_.cold(i)) records_[i].spend(context_.now);
+  void sent(BackendId backend) {
+    if (estimates_.cold(backend)) records_[backend].spend(context_.now);
   }
 
  private:
--- a/src/policy/lists.h
+++ b/src/policy/lists.h
@@ -38,25 +38,29 @@
     const bool full = update.kind != ListKind::kDelta;
     std::vector<char> still_listed(full ? entries_.size() : 0, 0);
     for (const BackendEntry& entry : update.entries) {
-      const BackendId i = entry.backend;
-      if (i >= entries_.size()) entries_.resize(i + std::size_t{1}, {.state = BackendState::kGone});
-      if (full) still_listed.resize(std::max(still_listed.size(), i + std::size_t{1})), still_listed[i] = 1;
-      BackendEntry& e = entries_[i];
-      const bool returned = entry.state == BackendState::kReady && (!ready(i) || e.started != entry.started);
+      const BackendId backend = entry.backend;
+      if (backend >= entries_.size())
+        entries_.resize(backend + std::size_t{1}, {.state = BackendState::kGone});
+      if (full)
+        still_listed.resize(std::max(still_listed.size(), backend + std::size_t{1})),
+            still_listed[backend] = 1;
+      BackendEntry& e = entries_[backend];
+      const bool returned =
+          entry.state == BackendState::kReady && (!ready(backend) || e.started != entry.started);
       e = entry;
       e.size = entry.size > 0 ? entry.size : 1;
-      by_tag_[entry.tag] = i;
-      on_entry(i, returned);
+      by_tag_[entry.tag] = backend;
+      on_entry(backend, returned);
     }
-    for (std::size_t i = 0; i < still_listed.size(); ++i)
-      if (!still_listed[i]) entries_[i].state = BackendState::kGone;
+    for (std::size_t backend = 0; backend < still_listed.size(); ++backend)
+      if (!still_listed[backend]) entries_[backend].state = BackendState::kGone;
   }
 
   std::size_t size() const { return entries_.size(); }
-  const BackendEntry& operator[](BackendId i) const { return entries_[i]; }
+  const BackendEntry& operator[](BackendId backend) const { return entries_[backend]; }
   // Throws std::out_of_range if no list has named it.
-  void require_known(BackendId i) const { (void)entries_.at(i); }
-  bool ready(BackendId i) const { return entries_[i].state == BackendState::kReady; }
+  void require_known(BackendId backend) const { (void)entries_.at(backend); }
+  bool ready(BackendId backend) const { return entries_[backend].state == BackendState::kReady; }
   // The backend with this tag, unless its index has been given to another address since.
   std::optional<BackendId> find_by_tag(std::uint32_t tag) const {
     const auto it = by_tag_.find(tag);
--- a/src/policy/peer_exchange.h
+++ b/src/policy/peer_exchange.h
@@ -19,7 +19,7 @@
       : context_(context), lists_(lists), estimates_(estimates) {
     settings_changed();
   }
-  void reset(BackendId i) { reply_until_[i] = 0, ledgers_.forget(i); }
+  void reset(BackendId backend) { reply_until_[backend] = 0, ledgers_.forget(backend); }
   void settings_changed() {
     quotas_.resize(context_.settings.tenants.size());
     ledgers_.set_tenants(quotas_.size());
@@ -30,29 +30,32 @@
     const PeerMessage& m = e.message;
     if (!context_.by_keepers || e.peer < 0 || e.peer >= context_.settings.instances) return false;
     const bool rates = m.kind == PeerMessage::Kind::kRate || m.kind == PeerMessage::Kind::kTotal;
-    const std::optional<BackendId> i = lists_.find_by_tag(m.about);
-    if (rates ? m.about >= quotas_.size() : !i) return false;
+    const std::optional<BackendId> backend = lists_.find_by_tag(m.about);
+    if (rates ? m.about >= quotas_.size() : !backend) return false;
     if (m.kind == PeerMessage::Kind::kTotal) return quotas_[m.about].fleet_rate = m.rate, false;
     if (m.kind == PeerMessage::Kind::kAnswer)
-      return reply_until_[*i] = 0, estimates_.told(*i, m.work, m.held, m.ratio), true;
-    const auto answer =
-        ledgers_.take(e.peer, m, rates ? m.about : *i, kProbeWaitShare * context_.shortest_aim, context_.now);
+      return reply_until_[*backend] = 0, estimates_.told(*backend, m.work, m.held, m.ratio), true;
+    const auto answer = ledgers_.take(e.peer, m, rates ? m.about : *backend,
+                                      kProbeWaitShare * context_.shortest_aim, context_.now);
     return answer && send(e.peer, *answer);
   }
 
   // Queries a backend's owner. Returns true if that is this node, so that the answer is known already.
-  bool query_owner(BackendId i) {
-    reply_until_[i] = context_.now + kProbeWaitShare * context_.shortest_aim;
-    return send(owner_of(lists_[i].tag), {.kind = PeerMessage::Kind::kAsk, .about = lists_[i].tag});
+  bool query_owner(BackendId backend) {
+    reply_until_[backend] = context_.now + kProbeWaitShare * context_.shortest_aim;
+    return send(owner_of(lists_[backend].tag),
+                {.kind = PeerMessage::Kind::kAsk, .about = lists_[backend].tag});
+  }
+  bool queried(BackendId backend) const { return reply_until_[backend] > 0; }
+  bool reply_pending(BackendId backend, Millis slack) const {
+    return context_.now < reply_until_[backend] - slack;
   }
-  bool queried(BackendId i) const { return reply_until_[i] > 0; }
-  bool reply_pending(BackendId i, Millis slack) const { return context_.now < reply_until_[i] - slack; }
 
   // Reports this node's attempts at a backend to its owner, and how the last one ended.
-  void report_attempts(BackendId i, PeerMessage::Ending ending, double ratio = 0) {
+  void report_attempts(BackendId backend, PeerMessage::Ending ending, double ratio = 0) {
     if (!context_.by_keepers) return;
-    const estimate::OwnAttempts& own = estimates_.own(i);
-    const std::uint32_t tag = lists_[i].tag;
+    const estimate::OwnAttempts& own = estimates_.own(backend);
+    const std::uint32_t tag = lists_[backend].tag;
     send(owner_of(tag), {PeerMessage::Kind::kTell, tag, own.work(), own.held(), ratio, ending});
   }
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -21,8 +21,8 @@
 
   std::size_t avoided(Millis now) const {
     std::size_t count = 0;
-    for (BackendId i = 0; i < lists_.size(); ++i) {
-      count += lists_.ready(i) && (!rotation_.usable(i) || health_.ejected(i, now));
+    for (BackendId backend = 0; backend < lists_.size(); ++backend) {
+      count += lists_.ready(backend) && (!rotation_.usable(backend) || health_.ejected(backend, now));
     }
     return count;
   }
@@ -43,23 +43,23 @@
   }
 
   void on(const ListUpdate& update) {
-    lists_.apply(update, [this](BackendId i, bool returned) {
-      estimates_.listed(i, lists_[i].started, lists_[i].size);
-      if (returned) reset_backend(i);
-      if (!lists_.ready(i)) rotation_.remove(i);
+    lists_.apply(update, [this](BackendId backend, bool returned) {
+      estimates_.listed(backend, lists_[backend].started, lists_[backend].size);
+      if (returned) reset_backend(backend);
+      if (!lists_.ready(backend)) rotation_.remove(backend);
     });
     if (update.kind == ListKind::kStored) rotation_.renew_shares();
   }
 
   // A new or returned backend starts afresh: earlier measurements do not apply to it.
-  void reset_backend(BackendId i) {
-    probes_.reset(i);
-    confirmations_.reset(i);
-    rotation_.reset(i);
-    slow_start_.begin(i);
-    estimates_.welcome(i);
-    health_.reset(i);
-    peer_exchange_.reset(i);
+  void reset_backend(BackendId backend) {
+    probes_.reset(backend);
+    confirmations_.reset(backend);
+    rotation_.reset(backend);
+    slow_start_.begin(backend);
+    estimates_.welcome(backend);
+    health_.reset(backend);
+    peer_exchange_.reset(backend);
   }
 
   void on(const TimerFired& fired) {
@@ -75,8 +75,9 @@
   void close_period() {
     rotation_.renew_shares();
     peer_exchange_.report_rates();
-    estimates_.close_period([this](std::size_t i) { return rotation_.usable(static_cast<BackendId>(i)); },
-                            lists_.size(), rotation_.mean_share());
+    estimates_.close_period(
+        [this](std::size_t backend) { return rotation_.usable(static_cast<BackendId>(backend)); },
+        lists_.size(), rotation_.mean_share());
     probes_.set_round_duration(estimates_.rate(), rotation_.mean_share());
   }
 
--- a/src/policy/probe_before_send.h
+++ b/src/policy/probe_before_send.h
@@ -37,9 +37,9 @@
           old + static_cast<std::size_t>(
                     context_.exceeds_probe_budget(kProbesPerAttempt) ? kProbesPerAttempt : kProbesPerRequest);
       while (r.probe_rounds < kMaxProbeRounds && r.candidates.size() < limit) {
-        const auto i = unconfirmed_backend(r, true);
-        if (!i) break;
-        r.candidates.push_back(*i);
+        const auto backend = unconfirmed_backend(r, true);
+        if (!backend) break;
+        r.candidates.push_back(*backend);
       }
     } else {
       const bool late = r.probe_rounds > 0 && context_.now > r.wait_until - kTimerTolerance;
@@ -57,19 +57,21 @@
     if (!confirmations_.list_outdated() || context_.probes_before_send() ||
         context_.exceeds_probe_budget(kProbesPerAttempt))
       return;
-    if (const auto i = unconfirmed_backend(r, false)) probes_.probe_on_demand(*i);
+    if (const auto backend = unconfirmed_backend(r, false)) probes_.probe_on_demand(*backend);
   }
 
   // Requests a report on a backend: probes it, or queries its owner. Returns true if that owner is this node,
   // so that the answer is known already.
-  bool query(BackendId i) const {
-    if (!context_.by_keepers) return probes_.probe_on_demand(i), false;
-    return !peer_exchange_.reply_pending(i, 0) && peer_exchange_.query_owner(i);
+  bool query(BackendId backend) const {
+    if (!context_.by_keepers) return probes_.probe_on_demand(backend), false;
+    return !peer_exchange_.reply_pending(backend, 0) && peer_exchange_.query_owner(backend);
   }
   // Whether an answer will come at all; and whether it is still worth waiting for.
-  bool reply_expected(BackendId i) const { return !context_.by_keepers || peer_exchange_.queried(i); }
-  bool reply_pending(BackendId i) const {
-    return probes_.on_demand_pending(i) || peer_exchange_.reply_pending(i, kTimerTolerance);
+  bool reply_expected(BackendId backend) const {
+    return !context_.by_keepers || peer_exchange_.queried(backend);
+  }
+  bool reply_pending(BackendId backend) const {
+    return probes_.on_demand_pending(backend) || peer_exchange_.reply_pending(backend, kTimerTolerance);
   }
 
   Context& context_;
@@ -88,18 +90,18 @@
     const std::size_t count = lists_.size();
     const std::size_t start = count == 0 ? 0 : context_.random.below(count);
     for (std::size_t n = 0; n < count; ++n) {
-      const auto i = static_cast<BackendId>((start + n) % count);
-      if (r.is_candidate(i) || (!under_way && probes_.on_demand_pending(i))) continue;
-      if (selector_.needs_check(r, i)) return i;
+      const auto backend = static_cast<BackendId>((start + n) % count);
+      if (r.is_candidate(backend) || (!under_way && probes_.on_demand_pending(backend))) continue;
+      if (selector_.needs_check(r, backend)) return backend;
     }
     return std::nullopt;
   }
 
   // Adds the next in the rotation, which lose their turns.
   void add_next_in_rotation(Request& r, std::size_t limit) const {
-    rotation_.visit_turns([&](BackendId i) {
-      if (r.is_candidate(i) || !selector_.eligible(r, i)) return Rotation::Turn::kKept;
-      r.candidates.push_back(i);
+    rotation_.visit_turns([&](BackendId backend) {
+      if (r.is_candidate(backend) || !selector_.eligible(r, backend)) return Rotation::Turn::kKept;
+      r.candidates.push_back(backend);
       return r.candidates.size() < limit ? Rotation::Turn::kLost : Rotation::Turn::kTaken;
     });
   }
@@ -124,11 +126,13 @@
   // hashing).
   void add_preferred_for_key(Request& r, std::size_t limit) const {
     std::vector<std::pair<double, BackendId>> order;
-    for (BackendId i = 0; i < lists_.size(); ++i) {
-      const double share = rotation_.share(i);
-      if (!rotation_.usable(i) || share <= 0 || r.is_candidate(i) || !selector_.eligible(r, i)) continue;
-      Random draw(r.key ^ (lists_[i].tag * 0x9e3779b97f4a7c15ULL));
-      order.emplace_back(-std::log(1 - draw.unit()) / share, i);
+    for (BackendId backend = 0; backend < lists_.size(); ++backend) {
+      const double share = rotation_.share(backend);
+      if (!rotation_.usable(backend) || share <= 0 || r.is_candidate(backend) ||
+          !selector_.eligible(r, backend))
+        continue;
+      Random draw(r.key ^ (lists_[backend].tag * 0x9e3779b97f4a7c15ULL));
+      order.emplace_back(-std::log(1 - draw.unit()) / share, backend);
     }
     const std::size_t n = std::min(limit - r.candidates.size(), order.size());
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(n), order.end());
--- a/src/policy/probes.h
+++ b/src/policy/probes.h
@@ -17,8 +17,8 @@
 class Probes {
  public:
   Probes(Context& context, const Lists& lists) : context_(context), lists_(lists) {}
-  void reset(BackendId i) {
-    ProbeRecord& p = records_[i];
+  void reset(BackendId backend) {
+    ProbeRecord& p = records_[backend];
     p = {p.pending, p.on_demand_pending, context_.now - context_.random.unit() * kMaxProbeRound, false, {}};
   }
 
@@ -44,34 +44,34 @@
         ceiling > 0 ? std::ceil(ceiling * kPeriod / kTicksPerPeriod / 1000) : static_cast<double>(count);
     const std::size_t start = ceiling > 0 ? next_first_ : 0;
     for (std::size_t n = 0; n < count && left > 0; ++n) {
-      const BackendId i = static_cast<BackendId>((start + n) % count);
-      ProbeRecord& p = records_[i];
-      if (!lists_.ready(i) || p.pending || context_.now - p.sent_at < round_duration_ - kTimerTolerance)
+      const BackendId backend = static_cast<BackendId>((start + n) % count);
+      ProbeRecord& p = records_[backend];
+      if (!lists_.ready(backend) || p.pending || context_.now - p.sent_at < round_duration_ - kTimerTolerance)
         continue;
       left -= 1;
-      next_first_ = i + std::size_t{1};
+      next_first_ = backend + std::size_t{1};
       p.pending = true;
       p.sent_at = context_.now;
       if (!p.on_demand_pending)
-        context_.emit(SendProbe{i});  // otherwise the answer to the pending probe counts for both
+        context_.emit(SendProbe{backend});  // otherwise the answer to the pending probe counts for both
     }
   }
 
   // Probes a backend outside its round.
-  void probe_on_demand(BackendId i) {
-    ProbeRecord& p = records_[i];
+  void probe_on_demand(BackendId backend) {
+    ProbeRecord& p = records_[backend];
     if (std::exchange(p.on_demand_pending, true)) return;
-    if (!p.pending) context_.emit(SendProbe{i});  // otherwise the answer to the pending probe is used
+    if (!p.pending) context_.emit(SendProbe{backend});  // otherwise the answer to the pending probe is used
     // Where the last probe of the round is a period old, this one counts for the round as well.
     if (context_.now - p.sent_at >= kPeriod) p.pending = true, p.sent_at = context_.now;
   }
-  bool on_demand_pending(BackendId i) const { return records_[i].on_demand_pending; }
+  bool on_demand_pending(BackendId backend) const { return records_[backend].on_demand_pending; }
 
   // A probe has ended, with or without an answer. Returns true if it counts for the round; `record` is called
   // then.
-  bool ended(BackendId i) {
-    records_[i].on_demand_pending = false;
-    return std::exchange(records_[i].pending, false);
+  bool ended(BackendId backend) {
+    records_[backend].on_demand_pending = false;
+    return std::exchange(records_[backend].pending, false);
   }
   void record(const ProbeEnded& e) {
     // Where this node had no file descriptor for the probe, that says nothing about the backend.
@@ -80,13 +80,13 @@
     p.missed = e.outcome != Outcome::kServed || e.elapsed > kProbeTimeout;
     if (!p.missed) p.times.add(e.elapsed);
   }
-  void mark_missed(BackendId i) { records_[i].missed = true; }
-  bool unanswered(BackendId i) const {
-    const ProbeRecord& p = records_[i];
+  void mark_missed(BackendId backend) { records_[backend].missed = true; }
+  bool unanswered(BackendId backend) const {
+    const ProbeRecord& p = records_[backend];
     return context_.settings.probing &&
            (p.missed || (p.pending && context_.now - p.sent_at >= kProbeTimeout));
   }
-  const estimate::ResponseTimes& times(BackendId i) const { return records_[i].times; }
+  const estimate::ResponseTimes& times(BackendId backend) const { return records_[backend].times; }
 
  private:
   struct ProbeRecord {
--- a/src/policy/requests.h
+++ b/src/policy/requests.h
@@ -104,12 +104,14 @@
     for (const RequestId id : waiting) {
       Request* const r = find(id);
       if (r == nullptr) continue;
-      const bool open = std::any_of(r->candidates.begin(), r->candidates.end(),
-                                    [this](BackendId i) { return probe_before_send_.reply_pending(i); });
+      const bool open = std::any_of(r->candidates.begin(), r->candidates.end(), [this](BackendId backend) {
+        return probe_before_send_.reply_pending(backend);
+      });
       if (!open || context_.now > r->wait_until - kTimerTolerance || !retries_.may_send(*r)) {
         proceed(*r);
-      } else if (const auto i = context_.probes_before_send() ? std::nullopt : selector_.next_backend(*r)) {
-        send(*r, *i);
+      } else if (const auto backend =
+                     context_.probes_before_send() ? std::nullopt : selector_.next_backend(*r)) {
+        send(*r, *backend);
       } else {
         held_.push_back(id);
       }
@@ -123,7 +125,7 @@
     if (retries_.may_send(r)) {
       const auto [pick, good] = selector_.pick(r);
       if (!good && hold(r)) return;
-      if (const auto i = selector_.select_fallback(r, pick)) return send(r, *i);
+      if (const auto backend = selector_.select_fallback(r, pick)) return send(r, *backend);
     }
     if (r.in_flight() == 0) answer_unserved(r);
   }
@@ -149,11 +151,11 @@
     return true;
   }
 
-  void send(Request& r, BackendId i) {
-    const Millis expected = selector_.expected_response(r, i), begin_by = retries_.begin_by(r);
+  void send(Request& r, BackendId backend) {
+    const Millis expected = selector_.expected_response(r, backend), begin_by = retries_.begin_by(r);
     probe_before_send_.check_one_more(r);
-    slow_start_.sent(i), r.candidates.clear(), r.probe_rounds = 0;
-    r.attempts.push_back({i, estimates_.sent(i, r.request_class, r.work)});
+    slow_start_.sent(backend), r.candidates.clear(), r.probe_rounds = 0;
+    r.attempts.push_back({backend, estimates_.sent(backend, r.request_class, r.work)});
     if (r.attempts.size() > 1) retries_.spend();
     // Exception "early end": where answers are lost, an attempt that should be answered before ends early, so
     // that there is time for a retry at another backend.
@@ -161,12 +163,12 @@
     const Millis early = kEarlyEndShare * (stop - context_.now);
     const bool ends_early = estimates_.losing() > kLossThreshold && expected < early &&
                             retries_.may_send(r) && selector_.any_allowed(r);
-    context_.emit(SendAttempt{r.id, i, ends_early ? context_.now + early : stop, begin_by});
+    context_.emit(SendAttempt{r.id, backend, ends_early ? context_.now + early : stop, begin_by});
     const bool repeatable = context_.request_class(r.request_class).effect != Effect::kUnsafe;
     if (context_.probes_before_send() && r.parallel && repeatable) {
       set_hedge_timer(r, kOverdueFactor * std::max(expected, estimates_.mean_time()));
     }
-    peer_exchange_.report_attempts(i, PeerMessage::Ending::kSent);
+    peer_exchange_.report_attempts(backend, PeerMessage::Ending::kSent);
   }
 
   // Gives the final answer to a request that cannot be served: a refusal if a repeat does no harm, otherwise
@@ -216,8 +218,8 @@
   // Exception "tables full": a connection was refused at once, because idle connections of all nodes fill the
   // backend's connection table. Closes this node's idle connections.
   void close_idle_connections() {
-    for (BackendId i = 0; context_.now >= tables_full_until_ && i < lists_.size(); ++i) {
-      if (lists_.ready(i)) context_.emit(CloseIdle{i});
+    for (BackendId backend = 0; context_.now >= tables_full_until_ && backend < lists_.size(); ++backend) {
+      if (lists_.ready(backend)) context_.emit(CloseIdle{backend});
     }
     tables_full_until_ = context_.now + std::max(kPeriod, context_.settings.idle_timeout);
   }
--- a/src/policy/retries.h
+++ b/src/policy/retries.h
@@ -46,8 +46,8 @@
   auto in_flight() const {
     return std::count_if(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; });
   }
-  bool is_candidate(BackendId i) const {
-    return std::find(candidates.begin(), candidates.end(), i) != candidates.end();
+  bool is_candidate(BackendId backend) const {
+    return std::find(candidates.begin(), candidates.end(), backend) != candidates.end();
   }
 };
 
@@ -81,13 +81,13 @@
 
   // Rule "no effect twice": after a keyed attempt that may have run, retries stay in its deduplication group
   // and within the window.
-  bool in_group(const Request& r, BackendId i) const {
+  bool in_group(const Request& r, BackendId backend) const {
     const RequestClass& c = context_.request_class(r.request_class);
     if (c.effect != Effect::kKeyed) return true;
     for (const Attempt& a : r.attempts) {
       if (!a.may_have_run) continue;
       if (context_.now - a.sent.at >= c.dedup_window) return false;
-      const BackendEntry &there = lists_[a.backend], &here = lists_[i];
+      const BackendEntry &there = lists_[a.backend], &here = lists_[backend];
       if (c.group == DedupGroup::kZone && here.zone != there.zone) return false;
       if (c.group == DedupGroup::kCell && (here.cell != there.cell || here.zone != there.zone)) return false;
     }
--- a/src/policy/rotation.h
+++ b/src/policy/rotation.h
@@ -22,40 +22,40 @@
  public:
   Rotation(Context& context, const Lists& lists, const Probes& probes)
       : context_(context), lists_(lists), probes_(probes) {}
-  void reset(BackendId i) { records_[i] = {mean_share_, 0, false}; }
-  void remove(BackendId i) { records_[i].share = records_[i].credit = 0; }
+  void reset(BackendId backend) { records_[backend] = {mean_share_, 0, false}; }
+  void remove(BackendId backend) { records_[backend].share = records_[backend].credit = 0; }
   // Starts a new period: drops the backends that did not answer, computes the shares of the others by
   // Equation 5 or 6, and refills the rotation.
   void renew_shares() {
     std::vector<BackendId> ready;
     std::size_t missed = 0;
-    for (BackendId i = 0; i < lists_.size(); ++i) {
-      if (!lists_.ready(i)) continue;
-      ready.push_back(i);
-      records_[i].dropped = probes_.unanswered(i);
-      missed += records_[i].dropped;
+    for (BackendId backend = 0; backend < lists_.size(); ++backend) {
+      if (!lists_.ready(backend)) continue;
+      ready.push_back(backend);
+      records_[backend].dropped = probes_.unanswered(backend);
+      missed += records_[backend].dropped;
     }
     if (missed * 2 > ready.size()) {
       // If more than half did not answer, the cause is more likely this node or its network than the
       // backends: keep the last shares.
-      for (const BackendId i : ready) records_[i].dropped = false;
+      for (const BackendId backend : ready) records_[backend].dropped = false;
     } else {
       compute_shares(ready);
     }
     // Unused turns are returned as credit. A new round is earned only when less than half of one is left.
     const bool earn = turns_.size() * 2 < lists_.size();
-    for (const BackendId i : turns_) records_[i].credit += 1;
+    for (const BackendId backend : turns_) records_[backend].credit += 1;
     turns_.clear();
     add_round(earn);
   }
 
   // Excludes a backend until the next period.
-  void drop(BackendId i) { records_[i].dropped = true; }
-  bool usable(BackendId i) const { return lists_.ready(i) && !records_[i].dropped; }
-  double share(BackendId i) const { return records_[i].share; }
+  void drop(BackendId backend) { records_[backend].dropped = true; }
+  bool usable(BackendId backend) const { return lists_.ready(backend) && !records_[backend].dropped; }
+  double share(BackendId backend) const { return records_[backend].share; }
   double mean_share() const { return mean_share_; }
   const std::deque<BackendId>& turns() const { return turns_; }
-  void charge_turn(BackendId i) { records_[i].credit -= 1; }
+  void charge_turn(BackendId backend) { records_[backend].credit -= 1; }
 
   // Visits the turns in order, appending another round at the end, until `visit` takes a turn.
   // kTaken: the turn is used. kKept: it stays for another request. kLost: it is given up.
@@ -68,11 +68,11 @@
       bool taken = false;
       std::size_t n = 0;
       for (; n < turns_.size() && visited < kMaxCandidates && !taken; ++n) {
-        const BackendId i = turns_[n];
-        if (!usable(i)) continue;
+        const BackendId backend = turns_[n];
+        if (!usable(backend)) continue;
         ++visited;
-        const Turn turn = visit(i);
-        if (turn == Turn::kKept) turns_[kept++] = i;
+        const Turn turn = visit(backend);
+        if (turn == Turn::kKept) turns_[kept++] = backend;
         taken = turn == Turn::kTaken;
       }
       // The turns from `kept` up to `n` are used up. Costs O(kept), as a deque erases from its nearer end.
@@ -94,32 +94,33 @@
     std::vector<BackendId> included;
     std::vector<double> differences;
     bool quiet = false;
-    for (const BackendId i : ready) {
-      const estimate::ResponseTimes& times = probes_.times(i);
-      if (!records_[i].dropped) included.push_back(i);
-      if (records_[i].dropped || !times.known()) continue;
+    for (const BackendId backend : ready) {
+      const estimate::ResponseTimes& times = probes_.times(backend);
+      if (!records_[backend].dropped) included.push_back(backend);
+      if (records_[backend].dropped || !times.known()) continue;
       quiet = quiet || times.response() < kResponseThreshold;
       differences.push_back(times.response() - times.delay());
     }
     const double floor = std::max(kMinTimeDifference, kDifferenceFloor * median(differences));
     double sum = 0;
-    for (const BackendId i : included) {
-      if (!probes_.times(i).known()) continue;
-      const Millis response = probes_.times(i).response();
-      const Millis delay = probes_.times(i).delay();
-      records_[i].share = lists_[i].size / (delay * (quiet ? response : std::max(response - delay, floor)));
-      sum += records_[i].share;
+    for (const BackendId backend : included) {
+      if (!probes_.times(backend).known()) continue;
+      const Millis response = probes_.times(backend).response();
+      const Millis delay = probes_.times(backend).delay();
+      records_[backend].share =
+          lists_[backend].size / (delay * (quiet ? response : std::max(response - delay, floor)));
+      sum += records_[backend].share;
     }
-    for (const BackendId i : included) {
-      if (!probes_.times(i).known())
-        records_[i].share = sum > 0 ? sum / static_cast<double>(differences.size()) : 1;
+    for (const BackendId backend : included) {
+      if (!probes_.times(backend).known())
+        records_[backend].share = sum > 0 ? sum / static_cast<double>(differences.size()) : 1;
     }
     const double mean = mean_share_ = 1.0 / std::max(1.0, static_cast<double>(included.size()));
     std::vector<double> shares;
     std::vector<double> bounds;
-    for (const BackendId i : included) {
-      shares.push_back(records_[i].share);
-      bounds.push_back(mean * (probes_.times(i).probes() <= kNewBackendProbes ? 1.0 : kShareCap));
+    for (const BackendId backend : included) {
+      shares.push_back(records_[backend].share);
+      bounds.push_back(mean * (probes_.times(backend).probes() <= kNewBackendProbes ? 1.0 : kShareCap));
     }
     scale_to_one(shares, bounds);
     for (std::size_t n = 0; n < included.size(); ++n) records_[included[n]].share = shares[n];
@@ -129,11 +130,11 @@
   void add_round(bool earn) {
     const std::size_t old = turns_.size();
     std::size_t count = 0;
-    for (BackendId i = 0; i < lists_.size(); ++i) count += usable(i) ? 1 : 0;
-    for (BackendId i = 0; i < lists_.size(); ++i) {
-      ShareRecord& record = records_[i];
+    for (BackendId backend = 0; backend < lists_.size(); ++backend) count += usable(backend) ? 1 : 0;
+    for (BackendId backend = 0; backend < lists_.size(); ++backend) {
+      ShareRecord& record = records_[backend];
       double& credit = record.credit;
-      if (!usable(i)) {
+      if (!usable(backend)) {
         credit = 0;
         continue;
       }
@@ -141,7 +142,7 @@
       // that were taken early.
       if (earn)
         credit = std::clamp(credit + record.share * static_cast<double>(count), -1.0, 1.0 + kShareCap);
-      for (; credit > 1 - kCreditTolerance; credit -= 1) turns_.push_back(i);
+      for (; credit > 1 - kCreditTolerance; credit -= 1) turns_.push_back(backend);
     }
     for (std::size_t n = turns_.size() - old; n > 1; --n) {
       std::swap(turns_[old + n - 1], turns_[old + context_.random.below(n)]);
