--- a/src/guard/guard.h
+++ b/src/guard/guard.h
@@ -26,7 +26,7 @@
   kBodyTaken,         // its body was passed on to another attempt and cannot be sent again
   kSlotClosed,        // the slot of its key has moved
   kBackendWithdrawn,  // the backend is to get no new requests
-  kListOutdated,      // the list has expired and no health check confirms the backend
+  kListOutdated,      // the list is outdated and no health check confirms the backend
   // of a connection
   kRequestUnderWay,  // a request is in progress on it
   kInputUnread,      // input has arrived, or the end of the stream
--- a/src/policy/backend_selector.h
+++ b/src/policy/backend_selector.h
@@ -46,7 +46,7 @@
                : lowest_expected_response(r, admission_limit(r));
   }
 
-  // The next in the rotation. While the list has expired, only a few backends are confirmed and soon have no
+  // The next in the rotation. While the list is outdated, only a few backends are confirmed and soon have no
   // turn left: then the confirmed one with the lowest expected response time.
   std::optional<BackendId> next_backend(const Request& r) const {
     const std::optional<BackendId> backend = next_in_rotation(r);
--- a/src/policy/confirmations.h
+++ b/src/policy/confirmations.h
@@ -1,4 +1,4 @@
-// Which backends may get new requests although the list has expired: those that passed a health check
+// Which backends may get new requests although the list is outdated: those that passed a health check
 // recently. A draining backend fails its health check before discovery reports the drain, while it still
 // serves the requests that it is sent; hence an answered request confirms nothing. Owns the last check of
 // each backend; sends none itself.
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -98,7 +98,7 @@
   void on(const AttemptEnded& e) { requests_.ended(e); }
   void on(const StreamStarted& e) { requests_.stream_started(e.request); }
   void on(const RequestGone& e) { requests_.client_gone(e.request); }
-  void on(const RetriesAllowed& e) { retries_.set_allowed(e.left); }
+  void on(const RetriesAllowed& e) { retries_.set_fleet_budget(e.left); }
   void on(const ListValidity& e) { confirmations_.set_validity(e); }
 
   policy::Context context_;
--- a/src/policy/probe_before_send.h
+++ b/src/policy/probe_before_send.h
@@ -50,7 +50,7 @@
     }
   }
 
-  // While the list has expired, each request that is sent has one more backend checked for the requests
+  // While the list is outdated, each request that is sent has one more backend checked for the requests
   // behind it, so that as many are confirmed as the traffic needs. Where checks exceed the probe budget, only
   // those are made that a request has to wait for.
   void check_one_more(const Request& r) const {
--- a/src/policy/probes.h
+++ b/src/policy/probes.h
@@ -53,7 +53,7 @@
       p.pending = true;
       p.sent_at = context_.now;
       if (!p.on_demand_pending)
-        context_.emit(SendProbe{backend});  // otherwise the answer to the pending probe counts for both
+        context_.emit(SendProbe{backend});  // otherwise the pending answer counts for both
     }
   }
 
@@ -61,7 +61,7 @@
   void probe_on_demand(BackendId backend) {
     ProbeRecord& p = records_[backend];
     if (std::exchange(p.on_demand_pending, true)) return;
-    if (!p.pending) context_.emit(SendProbe{backend});  // otherwise the answer to the pending probe is used
+    if (!p.pending) context_.emit(SendProbe{backend});  // otherwise the pending answer is used
     // Where the last probe of the round is a period old, this one counts for the round as well.
     if (context_.now - p.sent_at >= kPeriod) p.pending = true, p.sent_at = context_.now;
   }
--- a/src/policy/requests.h
+++ b/src/policy/requests.h
@@ -80,8 +80,8 @@
     if (Request* const r = find(id)) forget(*r);
   }
 
-  // Exception "hedged request": the timer of an attempt fired that takes far longer
-  // than expected. A second attempt is sent beside it where that is allowed.
+  // Exception "hedged request": an attempt takes far longer than expected, as its timer says. A second one is
+  // sent beside it where that is allowed.
   void hedge(std::uint64_t id) {
     Request* const r = find(static_cast<RequestId>(id));
     if (r == nullptr) return;
--- a/src/policy/retries.h
+++ b/src/policy/retries.h
@@ -54,9 +54,9 @@
 class Retries {
  public:
   Retries(const Context& context, const Lists& lists) : context_(context), lists_(lists) {}
-  void earn() { left_ = std::min(kMaxSavedRetries, left_ + kRetriesPerRequest); }
-  void spend() { left_ -= 1, allowed_ -= 1; }
-  void set_allowed(double left) { allowed_ = left; }  // by the fleet's budget
+  void earn() { budget_ = std::min(kMaxSavedRetries, budget_ + kRetriesPerRequest); }
+  void spend() { budget_ -= 1, fleet_budget_ -= 1; }
+  void set_fleet_budget(double left) { fleet_budget_ = left; }
   int max_attempts() const { return std::min(context_.settings.max_attempts, kMaxAttempts); }
 
   bool may_send(const Request& r) const { return bool(guard::may_send(guard_state(r), context_.now)); }
@@ -111,14 +111,14 @@
     state.attempts = static_cast<int>(r.attempts.size());
     state.in_flight = static_cast<int>(r.in_flight());
     state.may_have_run = r.may_have_run();
-    state.retries_left = std::min(left_, allowed_);
+    state.retries_left = std::min(budget_, fleet_budget_);
     return state;
   }
 
   const Context& context_;
   const Lists& lists_;
-  double left_ = kMaxSavedRetries;
-  double allowed_ = std::numeric_limits<double>::infinity();
+  double budget_ = kMaxSavedRetries;
+  double fleet_budget_ = std::numeric_limits<double>::infinity();
 };
 
 }  // namespace shorelead::policy
--- a/src/policy/settings.h
+++ b/src/policy/settings.h
@@ -51,7 +51,7 @@
   // Without a subscription, a node with a list older than this counts as informed of all changes.
   Millis ask_every = 0;
   // How long new requests may still go to a backend that drains or is gone. None: not stated, lists never
-  // expire.
+  // become outdated.
   std::optional<Millis> drain_grace;
   Millis connect_timeout = 0;
   Millis idle_timeout = 0;           // an idle connection is closed after this
--- a/tests/guard/checker_test.cpp
+++ b/tests/guard/checker_test.cpp
@@ -127,9 +127,9 @@
   EXPECT_EQ(c.violations, Violations({Rule::kToWithdrawn}));
 }
 
-// Once the list has expired, only a health check that passed recently, and after the last lost list, confirms
+// Once the list is outdated, only a health check that passed recently, and after the last lost list, confirms
 // a backend.
-TEST(Checker, AnExpiredListNeedsAHealthCheck) {
+TEST(Checker, AnOutdatedListNeedsAHealthCheck) {
   ListedRecord listed;
   listed.begin_list(true);
   listed.listed("s-1", true);
--- a/tests/policy/confirmations_test.cpp
+++ b/tests/policy/confirmations_test.cpp
@@ -1,4 +1,4 @@
-// Which backends get requests once the list has expired: only those that passed a health check recently.
+// Which backends get requests once the list is outdated: only those that passed a health check recently.
 #include <gtest/gtest.h>
 
 #include "module_case.h"
@@ -9,16 +9,17 @@
 constexpr Millis kConfirmedFor = 500;
 constexpr BackendId kBackends = 4;
 
-// A node whose list has just expired. The test answers the health checks; no probe of the round is pending.
-struct NodeWithExpiredList : Node {
-  explicit NodeWithExpiredList(const Settings& settings) : Node(settings) {
+// A node whose list has just become outdated. The test answers the health checks; no probe of the round is
+// pending.
+struct NodeWithOutdatedList : Node {
+  explicit NodeWithOutdatedList(const Settings& settings) : Node(settings) {
     report_in_hand(kBackends, 0);
     list(entries(kBackends));
     run_past_probes();
     probe_time.clear();
-    expire();
+    outdate_list();
   }
-  void expire() { feed(ListValidity{.until = now, .confirmed_for = kConfirmedFor}); }
+  void outdate_list() { feed(ListValidity{.until = now, .confirmed_for = kConfirmedFor}); }
   // The backends to which health checks were sent.
   static std::vector<BackendId> checked_backends(const std::vector<Action>& actions) {
     std::vector<BackendId> all;
@@ -51,22 +52,22 @@
 }
 
 TEST(Confirmations, ARequestWaitsForAHealthCheckAndGoesToTheBackendThatPasses) {
-  NodeWithExpiredList node(probing_settings());
+  NodeWithOutdatedList node(probing_settings());
   // Checks of the last round passed too long ago to confirm a backend.
   node.run_to(node.now + kConfirmedFor);
   node.log.clear();
   const auto actions = node.arrive(1);
-  EXPECT_FALSE(NodeWithExpiredList::sent_to(actions));
-  const auto checked = NodeWithExpiredList::checked_backends(actions);
+  EXPECT_FALSE(NodeWithOutdatedList::sent_to(actions));
+  const auto checked = NodeWithOutdatedList::checked_backends(actions);
   ASSERT_FALSE(checked.empty());
   const auto after = node.check_ends(checked.front(), Outcome::kServed);
-  EXPECT_EQ(NodeWithExpiredList::sent_to(after), checked.front());
+  EXPECT_EQ(NodeWithOutdatedList::sent_to(after), checked.front());
 }
 
 TEST(Confirmations, WhenAllBackendsFailTheirChecksTheRequestIsRefusedAtOnce) {
-  NodeWithExpiredList node(probing_settings());
+  NodeWithOutdatedList node(probing_settings());
   node.run_to(node.now + kConfirmedFor);
-  auto open = NodeWithExpiredList::checked_backends(node.arrive(1));
+  auto open = NodeWithOutdatedList::checked_backends(node.arrive(1));
   std::size_t failed = 0;
   bool refused = false;
   while (!open.empty()) {
@@ -74,8 +75,8 @@
     open.pop_back();
     ++failed;
     const auto actions = node.check_ends(backend, Outcome::kRejected);
-    EXPECT_FALSE(NodeWithExpiredList::sent_to(actions));
-    for (const BackendId more : NodeWithExpiredList::checked_backends(actions)) open.push_back(more);
+    EXPECT_FALSE(NodeWithOutdatedList::sent_to(actions));
+    for (const BackendId more : NodeWithOutdatedList::checked_backends(actions)) open.push_back(more);
     refused = refused || !none<Refuse>(actions);
   }
   EXPECT_TRUE(refused);
@@ -91,13 +92,13 @@
   node.feed(ListValidity{.until = node.now, .confirmed_for = kConfirmedFor});
   EXPECT_FALSE(none<Refuse>(node.arrive(1)));
   node.feed(ListValidity{});
-  EXPECT_TRUE(NodeWithExpiredList::sent_to(node.arrive(2))) << "once the list holds again";
+  EXPECT_TRUE(NodeWithOutdatedList::sent_to(node.arrive(2))) << "once the list holds again";
 }
 
 TEST(Confirmations, AnAnswerToARequestConfirmsNothing) {
-  NodeWithExpiredList node(probing_settings());
+  NodeWithOutdatedList node(probing_settings());
   node.run_to(node.now + kConfirmedFor);
-  const auto checked = NodeWithExpiredList::checked_backends(node.arrive(1));
+  const auto checked = NodeWithOutdatedList::checked_backends(node.arrive(1));
   ASSERT_FALSE(checked.empty());
   const BackendId chosen = checked.front();
   node.check_ends(chosen, Outcome::kServed);
@@ -108,42 +109,42 @@
   node.end(1, chosen, Outcome::kServed);
   node.run_to(node.now + 20);
   const auto actions = node.arrive(2);
-  EXPECT_FALSE(NodeWithExpiredList::sent_to(actions)) << "its check is too old by now";
+  EXPECT_FALSE(NodeWithOutdatedList::sent_to(actions)) << "its check is too old by now";
 }
 
 TEST(Confirmations, ARetryGoesOnlyToAConfirmedBackend) {
-  NodeWithExpiredList node(probing_settings());
+  NodeWithOutdatedList node(probing_settings());
   node.run_to(node.now + kConfirmedFor);
-  const auto checked = NodeWithExpiredList::checked_backends(node.arrive(1));
+  const auto checked = NodeWithOutdatedList::checked_backends(node.arrive(1));
   ASSERT_GE(checked.size(), 2U);
-  const auto more = NodeWithExpiredList::checked_backends(node.check_ends(checked[0], Outcome::kServed));
+  const auto more = NodeWithOutdatedList::checked_backends(node.check_ends(checked[0], Outcome::kServed));
   ASSERT_EQ(more.size(), 1U) << "who has not been asked yet";
   for (std::size_t n = 1; n < checked.size(); ++n) node.check_ends(checked[n], Outcome::kRejected);
-  EXPECT_FALSE(NodeWithExpiredList::sent_to(node.end(1, checked[0], Outcome::kError)));
-  EXPECT_EQ(NodeWithExpiredList::sent_to(node.check_ends(more.front(), Outcome::kServed)), more.front());
+  EXPECT_FALSE(NodeWithOutdatedList::sent_to(node.end(1, checked[0], Outcome::kError)));
+  EXPECT_EQ(NodeWithOutdatedList::sent_to(node.check_ends(more.front(), Outcome::kServed)), more.front());
 }
 
 TEST(Confirmations, ExpensiveChecksAreSentOnlyForRequestsThatWait) {
   for (const double price : {0.0, 0.08}) {
-    NodeWithExpiredList node(probing_settings(price));
+    NodeWithOutdatedList node(probing_settings(price));
     node.run_to(node.now + kConfirmedFor);
-    const auto checked = NodeWithExpiredList::checked_backends(node.arrive(1));
+    const auto checked = NodeWithOutdatedList::checked_backends(node.arrive(1));
     EXPECT_EQ(checked.size(), price > 0 ? 2U : 3U);
     const auto after = node.check_ends(checked.front(), Outcome::kServed);
-    EXPECT_EQ(NodeWithExpiredList::sent_to(after), checked.front());
-    EXPECT_EQ(NodeWithExpiredList::checked_backends(after).size(), price > 0 ? 0U : 1U)
+    EXPECT_EQ(NodeWithOutdatedList::sent_to(after), checked.front());
+    EXPECT_EQ(NodeWithOutdatedList::checked_backends(after).size(), price > 0 ? 0U : 1U)
         << "one more, for those behind it";
   }
 }
 
 TEST(Confirmations, ACheckFromBeforeALostListConfirmsNothing) {
-  NodeWithExpiredList node(probing_settings());
+  NodeWithOutdatedList node(probing_settings());
   node.run_to(node.now + kConfirmedFor);
-  const auto checked = NodeWithExpiredList::checked_backends(node.arrive(1));
+  const auto checked = NodeWithOutdatedList::checked_backends(node.arrive(1));
   ASSERT_FALSE(checked.empty());
   node.check_ends(checked.front(), Outcome::kServed);
   node.feed(ListValidity{.until = node.now, .confirmed_for = kConfirmedFor, .confirmed_after = node.now + 1});
-  EXPECT_FALSE(NodeWithExpiredList::sent_to(node.arrive(2)));
+  EXPECT_FALSE(NodeWithOutdatedList::sent_to(node.arrive(2)));
 }
 
 }  // namespace
