--- a/src/policy/requests.h
+++ b/src/policy/requests.h
@@ -136,7 +136,7 @@
     const std::size_t first_new = r.candidates.size();
     const Millis wait = probe_before_send_.max_wait(r);
     probe_before_send_.add_candidates(r);
-    if (r.candidates.size() == old) return false;
+    if (r.candidates.size() == first_new) return false;
     bool open = false;
     for (std::size_t n = first_new; n < r.candidates.size(); ++n) {
       if (probe_before_send_.query(r.candidates[n])) resume_held();
