--- a/src/node/policy_host.h
+++ b/src/node/policy_host.h
@@ -67,7 +67,7 @@
   void describe(RequestId request, BackendId backend, Millis now, guard::RequestState& state,
                 guard::BackendState& there) const {
     requests_.describe(request, state);
-    there.wanted = endpoints_.wanted(backend);
+    there.in_service = endpoints_.wanted(backend);
     there.confirmed = policy_.confirmed(backend, now);
   }
   void report_client_gone(RequestId request, Millis now);
--- a/src/node/retry_allowance.h
+++ b/src/node/retry_allowance.h
@@ -23,17 +23,17 @@
 class RetryAllowanceBound {
  public:
   // From now on. What the module is to be told at once, if anything.
-  std::optional<FurtherAllowed> set(RetryAllowance retry_allowance) {
+  std::optional<RetriesAllowed> set(RetryAllowance retry_allowance) {
     retry_allowance_ = std::move(retry_allowance);
     if (retry_allowance_.left) return std::nullopt;
-    return FurtherAllowed{told_ = std::numeric_limits<double>::infinity()};
+    return RetriesAllowed{told_ = std::numeric_limits<double>::infinity()};
   }
   // Before each event: what the module does not know yet.
-  std::optional<FurtherAllowed> news() {
+  std::optional<RetriesAllowed> news() {
     if (!retry_allowance_.left) return std::nullopt;
     const double left = retry_allowance_.left();
     if (left == told_) return std::nullopt;
-    return FurtherAllowed{told_ = left};
+    return RetriesAllowed{told_ = left};
   }
   void made() {
     if (retry_allowance_.made) retry_allowance_.made();
--- a/src/policy/confirmations.h
+++ b/src/policy/confirmations.h
@@ -1,44 +1,45 @@
-// Which backends may get something new although the list may be out of date: those whose health check has
-// passed lately enough. A backend that drains fails its health check before discovery tells of it, while it
-// still serves what it is sent, so that an answer to a request confirms nothing. Owns the last check of each
-// backend; it must never send one.
+// Which backends may get new requests although the list is outdated: those that passed a health check
+// recently. A draining backend fails its health check before discovery reports the drain, while it still
+// serves the requests that it is sent; hence an answered request confirms nothing. Owns the last check of
+// each backend; sends none itself.
 #pragma once
 
 #include "policy/context.h"
 
 namespace shorelead::policy {
 
-constexpr Millis kCheckAgain = 500;  // after a health check that did not pass, before the next for a request
+// Time after a failed health check in which no request causes another one.
+constexpr Millis kRecheckDelay = 500;
 
 class Confirmations {
  public:
-  explicit Confirmations(const Context& context) : c_(context) {}
-
-  void change(const ListValidity& validity) { validity_ = validity; }
-  void welcome(BackendId i) { of_[i] = {}; }
-  // A health check has ended, which was sent `elapsed` ago.
-  void probed(BackendId i, Outcome outcome, Millis elapsed) {
-    Checked& checked = of_[i];
-    if (outcome == Outcome::kServed) return checked.last.passed(c_.now - elapsed);
-    if (outcome == Outcome::kTurnedAway) checked.last.failed();
-    checked.again_at = c_.now + kCheckAgain;
+  explicit Confirmations(const Context& context) : context_(context) {}
+
+  void set_validity(const ListValidity& validity) { validity_ = validity; }
+  void reset(BackendId backend) { records_[backend] = {}; }
+  // A health check that was sent `elapsed` ago has ended.
+  void check_ended(BackendId backend, Outcome outcome, Millis elapsed) {
+    CheckRecord& record = records_[backend];
+    if (outcome == Outcome::kServed) return record.last.passed(context_.now - elapsed);
+    if (outcome == Outcome::kRejected) record.last.failed();
+    record.next_check_at = context_.now + kRecheckDelay;
   }
 
-  bool list_outdated() const { return c_.now >= validity_.until; }
-  bool holds(BackendId i, Millis now) const {
-    return now < validity_.until || of_[i].last.within(validity_, now);
+  bool list_outdated() const { return context_.now >= validity_.until; }
+  bool confirmed(BackendId backend, Millis now) const {
+    return now < validity_.until || records_[backend].last.within(validity_, now);
   }
-  // Whether a check of one that does not hold is worth its while: the last did not fail just now.
-  bool worth_a_check(BackendId i) const { return c_.now >= of_[i].again_at; }
+  // Whether a backend that is not confirmed may be checked again: its last check did not fail just now.
+  bool may_check(BackendId backend) const { return context_.now >= records_[backend].next_check_at; }
 
  private:
-  struct Checked {
+  struct CheckRecord {
     LastConfirmation last;
-    Millis again_at = 0;  // after one that failed
+    Millis next_check_at = 0;  // after a check that failed
   };
 
-  const Context& c_;
-  GrowingVector<Checked> of_;
+  const Context& context_;
+  GrowingVector<CheckRecord> records_;
   ListValidity validity_;
 };
 
--- a/src/policy/rotation.h
+++ b/src/policy/rotation.h
@@ -1,5 +1,5 @@
-// ALBL's shares and the weighted rotation that is dealt by them. It owns each backend's share, credit and
-// turns; it must never look at a request: who takes a turn, its visitor says.
+// The shares of ALBL and the weighted rotation built from them. Owns each backend's share, credit and turns.
+// Knows nothing about requests: the visitor passed to visit_turns() decides who takes a turn.
 #pragma once
 
 #include <deque>
@@ -9,142 +9,150 @@
 
 namespace shorelead::policy {
 
-constexpr Millis kThreshold = 150;        // above ordinary probe times, so Equation 5 applies when quiet
-constexpr double kDifferenceFloor = 0.5;  // of the median of (response - delay), Equation 6
-constexpr double kShareCap = 1.5;         // no share above this multiple of the mean
-constexpr std::size_t kNewPeriods = 3;    // probes: till then a backend gets at most the mean share
-constexpr double kRounding = 1e-9;        // a credit this close to a whole turn is one
-constexpr Millis kTiniestTime = 0.01;     // floor of a difference, so no share is infinite
+// Milliseconds. Lies above ordinary probe times, so that Equation 5 applies while no backend is loaded.
+constexpr Millis kResponseThreshold = 150;
+// Equation 6: lower bound of (response - delay), relative to its median.
+constexpr double kDifferenceFloor = 0.5;
+constexpr double kShareCap = 1.5;             // upper bound of a share, relative to the mean share
+constexpr std::size_t kNewBackendProbes = 3;  // up to this many probes a backend gets at most the mean share
+constexpr double kCreditTolerance = 1e-9;    // rounding tolerance when a credit is compared with a whole turn
+constexpr Millis kMinTimeDifference = 0.01;  // lower bound of a time difference, so that no share is infinite
 
 class Rotation {
  public:
   Rotation(Context& context, const Lists& lists, const Probes& probes)
-      : c_(context), lists_(lists), probes_(probes) {}
-  void welcome(BackendId i) { of_[i] = {mean_share_, 0, false}; }
-  void leave(BackendId i) { of_[i].share = of_[i].credit = 0; }
-  // Drops who did not answer, weighs the others by Equation 5 or 6, starts a rotation.
-  void renew() {
+      : context_(context), lists_(lists), probes_(probes) {}
+  void reset(BackendId backend) { records_[backend] = {mean_share_, 0, false}; }
+  void remove(BackendId backend) { records_[backend].share = records_[backend].credit = 0; }
+  // Starts a new period: drops the backends that did not answer, computes the shares of the others by
+  // Equation 5 or 6, and refills the rotation.
+  void renew_shares() {
     std::vector<BackendId> ready;
     std::size_t missed = 0;
-    for (BackendId i = 0; i < lists_.size(); ++i) {
-      if (!lists_.ready(i)) continue;
-      ready.push_back(i);
-      of_[i].dropped = probes_.silent(i);
-      missed += of_[i].dropped;
+    for (BackendId backend = 0; backend < lists_.size(); ++backend) {
+      if (!lists_.ready(backend)) continue;
+      ready.push_back(backend);
+      records_[backend].dropped = probes_.unanswered(backend);
+      missed += records_[backend].dropped;
     }
     if (missed * 2 > ready.size()) {
-      // Over half unanswered says more of this node or its paths than of the backends: keep the last shares.
-      for (const BackendId i : ready) of_[i].dropped = false;
+      // If more than half did not answer, the cause is more likely this node or its network than the
+      // backends: keep the last shares.
+      for (const BackendId backend : ready) records_[backend].dropped = false;
     } else {
-      weigh(ready);
+      compute_shares(ready);
     }
-    // Unsent turns go back to the credits; a new round is earned only once less than half of one is left.
+    // Unused turns are returned as credit. A new round is earned only when less than half of one is left.
     const bool earn = turns_.size() * 2 < lists_.size();
-    for (const BackendId i : turns_) of_[i].credit += 1;
+    for (const BackendId backend : turns_) records_[backend].credit += 1;
     turns_.clear();
-    deal(earn);
+    add_round(earn);
   }
 
-  // It gets nothing this period.
-  void drop(BackendId i) { of_[i].dropped = true; }
-  bool usable(BackendId i) const { return lists_.ready(i) && !of_[i].dropped; }
-  double share(BackendId i) const { return of_[i].share; }
+  // Excludes a backend until the next period.
+  void drop(BackendId backend) { records_[backend].dropped = true; }
+  bool usable(BackendId backend) const { return lists_.ready(backend) && !records_[backend].dropped; }
+  double share(BackendId backend) const { return records_[backend].share; }
   double mean_share() const { return mean_share_; }
   const std::deque<BackendId>& turns() const { return turns_; }
-  void turn_taken_early(BackendId i) { of_[i].credit -= 1; }
+  void charge_turn(BackendId backend) { records_[backend].credit -= 1; }
 
-  // Goes along the rotation, with another round where it ends, till `visit` takes a turn.
+  // Visits the turns in order, appending another round at the end, until `visit` takes a turn.
+  // kTaken: the turn is used. kKept: it stays for another request. kLost: it is given up.
   enum class Turn { kTaken, kKept, kLost };
   template <typename Visit>
-  void walk(Visit visit) {
-    std::size_t weighed = 0;
-    for (int round = 0; round < 2 && weighed < kMostWeighed; ++round) {
+  void visit_turns(Visit visit) {
+    std::size_t visited = 0;
+    for (int round = 0; round < 2 && visited < kMaxCandidates; ++round) {
       std::size_t kept = 0;
       bool taken = false;
       std::size_t n = 0;
-      for (; n < turns_.size() && weighed < kMostWeighed && !taken; ++n) {
-        const BackendId i = turns_[n];
-        if (!usable(i)) continue;
-        ++weighed;
-        const Turn turn = visit(i);
-        if (turn == Turn::kKept) turns_[kept++] = i;
+      for (; n < turns_.size() && visited < kMaxCandidates && !taken; ++n) {
+        const BackendId backend = turns_[n];
+        if (!usable(backend)) continue;
+        ++visited;
+        const Turn turn = visit(backend);
+        if (turn == Turn::kKept) turns_[kept++] = backend;
         taken = turn == Turn::kTaken;
       }
-      // The turns from `kept` up to `n` are taken. Costs by `kept`, as a deque gives way at its nearer end.
+      // The turns from `kept` up to `n` are used up. Costs O(kept), as a deque erases from its nearer end.
       const auto at = [this](std::size_t t) { return turns_.begin() + static_cast<std::ptrdiff_t>(t); };
       turns_.erase(at(kept), at(n));
       if (taken) return;
-      if (weighed < kMostWeighed && kept < lists_.size()) deal(true);
+      if (visited < kMaxCandidates && kept < lists_.size()) add_round(true);
     }
   }
 
  private:
-  struct Part {
+  struct ShareRecord {
     double share = 0;
     double credit = 0;
     bool dropped = false;
   };
 
-  void weigh(const std::vector<BackendId>& ready) {
-    std::vector<BackendId> in;
+  void compute_shares(const std::vector<BackendId>& ready) {
+    std::vector<BackendId> included;
     std::vector<double> differences;
     bool quiet = false;
-    for (const BackendId i : ready) {
-      const estimate::ResponseTimes& times = probes_.times(i);
-      if (!of_[i].dropped) in.push_back(i);
-      if (of_[i].dropped || !times.known()) continue;
-      quiet = quiet || times.response() < kThreshold;
+    for (const BackendId backend : ready) {
+      const estimate::ResponseTimes& times = probes_.times(backend);
+      if (!records_[backend].dropped) included.push_back(backend);
+      if (records_[backend].dropped || !times.known()) continue;
+      quiet = quiet || times.response() < kResponseThreshold;
       differences.push_back(times.response() - times.delay());
     }
-    const double floor = std::max(kTiniestTime, kDifferenceFloor * median(differences));
+    const double floor = std::max(kMinTimeDifference, kDifferenceFloor * median(differences));
     double sum = 0;
-    for (const BackendId i : in) {
-      if (!probes_.times(i).known()) continue;
-      const Millis response = probes_.times(i).response();
-      const Millis delay = probes_.times(i).delay();
-      of_[i].share = lists_[i].size / (delay * (quiet ? response : std::max(response - delay, floor)));
-      sum += of_[i].share;
+    for (const BackendId backend : included) {
+      if (!probes_.times(backend).known()) continue;
+      const Millis response = probes_.times(backend).response();
+      const Millis delay = probes_.times(backend).delay();
+      records_[backend].share =
+          lists_[backend].size / (delay * (quiet ? response : std::max(response - delay, floor)));
+      sum += records_[backend].share;
     }
-    for (const BackendId i : in) {
-      if (!probes_.times(i).known())
-        of_[i].share = sum > 0 ? sum / static_cast<double>(differences.size()) : 1;
+    for (const BackendId backend : included) {
+      if (!probes_.times(backend).known())
+        records_[backend].share = sum > 0 ? sum / static_cast<double>(differences.size()) : 1;
     }
-    const double mean = mean_share_ = 1.0 / std::max(1.0, static_cast<double>(in.size()));
+    const double mean = mean_share_ = 1.0 / std::max(1.0, static_cast<double>(included.size()));
     std::vector<double> shares;
     std::vector<double> bounds;
-    for (const BackendId i : in) {
-      shares.push_back(of_[i].share);
-      bounds.push_back(mean * (probes_.times(i).probes() <= kNewPeriods ? 1.0 : kShareCap));
+    for (const BackendId backend : included) {
+      shares.push_back(records_[backend].share);
+      bounds.push_back(mean * (probes_.times(backend).probes() <= kNewBackendProbes ? 1.0 : kShareCap));
     }
     scale_to_one(shares, bounds);
-    for (std::size_t n = 0; n < in.size(); ++n) of_[in[n]].share = shares[n];
+    for (std::size_t n = 0; n < included.size(); ++n) records_[included[n]].share = shares[n];
   }
 
-  // Adds one round to the rotation: each backend earns its share of as many turns as there are backends.
-  void deal(bool earn) {
+  // Appends one round to the rotation: each backend earns its share of as many turns as there are backends.
+  void add_round(bool earn) {
     const std::size_t old = turns_.size();
     std::size_t count = 0;
-    for (BackendId i = 0; i < lists_.size(); ++i) count += usable(i) ? 1 : 0;
-    for (BackendId i = 0; i < lists_.size(); ++i) {
-      Part& part = of_[i];
-      double& credit = part.credit;
-      if (!usable(i)) {
+    for (BackendId backend = 0; backend < lists_.size(); ++backend) count += usable(backend) ? 1 : 0;
+    for (BackendId backend = 0; backend < lists_.size(); ++backend) {
+      ShareRecord& record = records_[backend];
+      double& credit = record.credit;
+      if (!usable(backend)) {
         credit = 0;
         continue;
       }
-      // Bounded both ways: neither a hoard of turns nor a long penance for turns taken early.
-      if (earn) credit = std::clamp(credit + part.share * static_cast<double>(count), -1.0, 1.0 + kShareCap);
-      for (; credit > 1 - kRounding; credit -= 1) turns_.push_back(i);
+      // Bounded on both sides, so that a backend neither hoards turns nor is excluded for long after turns
+      // that were taken early.
+      if (earn)
+        credit = std::clamp(credit + record.share * static_cast<double>(count), -1.0, 1.0 + kShareCap);
+      for (; credit > 1 - kCreditTolerance; credit -= 1) turns_.push_back(backend);
     }
     for (std::size_t n = turns_.size() - old; n > 1; --n) {
-      std::swap(turns_[old + n - 1], turns_[old + c_.random.below(n)]);
+      std::swap(turns_[old + n - 1], turns_[old + context_.random.below(n)]);
     }
   }
 
-  Context& c_;
+  Context& context_;
   const Lists& lists_;
   const Probes& probes_;
-  GrowingVector<Part> of_;
+  GrowingVector<ShareRecord> records_;
   std::deque<BackendId> turns_;
   double mean_share_ = 1;  // of the backends in the rotation
 };
--- a/tests/home_test.cpp
+++ b/tests/home_test.cpp
@@ -48,7 +48,7 @@
     Choice choice = policy_host->pick(++last, info, now);
     while (choice.kind == Choice::Kind::kSend) {
       all.push_back(policy_host->host(choice.backend));
-      choice = policy_host->report(last, choice.attempt, Ending::kTurnedAway, 1, nullptr, now);
+      choice = policy_host->report(last, choice.attempt, Ending::kRejected, 1, nullptr, now);
     }
     EXPECT_EQ(choice.kind, Choice::Kind::kRefuse);
     return all;
@@ -62,9 +62,9 @@
     policy_host->report(last, choice.attempt, Ending::kServed, 2, nullptr, now += 2);
     return policy_host->host(choice.backend);
   }
-  Unit unit(Unit::Kind kind, const std::string& name, bool only) {
+  Unit unit(Unit::Kind kind, const std::string& name, bool required) {
     Unit unit = policy_host->see(kind, name)->unit;
-    unit.only = only;
+    unit.required = required;
     return unit;
   }
 
