--- a/src/node/config_reloader.cpp
+++ b/src/node/config_reloader.cpp
@@ -8,43 +8,43 @@
 namespace {
 
 // A new configuration counts 4 s after it was told; half of that is left for what it brings.
-constexpr Millis kReadAgain = 50;
-constexpr int kMostTries = 40;
+constexpr Millis kRetryInterval = 50;
+constexpr int kMaxAttempts = 40;
 
 }  // namespace
 
-void ConfigReloader::reload(const Read& read) {
-  loop_.cancel(again_);
-  tries_ = 0;
+void ConfigReloader::reload(const ReadConfig& read) {
+  loop_.cancel(retry_timer_);
+  attempts_ = 0;
   attempt(read);
 }
 
-void ConfigReloader::attempt(const Read& read) {
+void ConfigReloader::attempt(const ReadConfig& read) {
   Config fresh;
   try {
     fresh = read();
     fresh.shape.covers(host_.shape());
   } catch (const UnreadableConfig& error) {
-    if (++tries_ >= kMostTries) return refuse("reloaded", error);
+    if (++attempts_ >= kMaxAttempts) return reject("reloaded", error);
     spdlog::warn("configuration not read, it is read again: {}", error.what());
-    again_ = loop_.after(kReadAgain, [this, read] {
-      again_ = 0;
+    retry_timer_ = loop_.after(kRetryInterval, [this, read] {
+      retry_timer_ = 0;
       attempt(read);
     });
     return;
   } catch (const std::exception& error) {
-    return refuse("reloaded", error);
+    return reject("reloaded", error);
   }
   try {
-    host_.take_up(std::move(fresh));
-    ++done_;
+    host_.apply(std::move(fresh));
+    ++succeeded_;
   } catch (const std::exception& error) {
-    refuse("taken up", error);
+    reject("taken up", error);
   }
 }
 
-void ConfigReloader::refuse(const char* what, const std::exception& error) {
-  ++refused_;
+void ConfigReloader::reject(const char* what, const std::exception& error) {
+  ++failed_;
   spdlog::error("configuration not {}, the old one stays: {}", what, error.what());
 }
 
--- a/src/node/config_reloader.h
+++ b/src/node/config_reloader.h
@@ -13,34 +13,34 @@
 
 class ConfigReloader {
  public:
-  using Read = std::function<Config()>;
+  using ReadConfig = std::function<Config()>;
   struct Host {
     std::function<const Shape&()> shape;  // of the file in force, whose keys a new one has to have
-    std::function<void(Config)> take_up;  // throws where that cannot be; all is as before then
+    std::function<void(Config)> apply;    // throws where that cannot be; all is as before then
   };
 
   ConfigReloader(Loop& loop, Host host) : loop_(loop), host_(std::move(host)) {}
-  ~ConfigReloader() { loop_.cancel(again_); }
+  ~ConfigReloader() { loop_.cancel(retry_timer_); }
   ConfigReloader(const ConfigReloader&) = delete;
   ConfigReloader& operator=(const ConfigReloader&) = delete;
 
   // What `read` brings counts from now on. Where it throws, or lacks a key, all stays as it was; but a file
   // that cannot be read now is read again for a while, as what it says is owed.
-  void reload(const Read& read);
+  void reload(const ReadConfig& read);
 
-  std::uint64_t done() const { return done_; }
-  std::uint64_t refused() const { return refused_; }
+  std::uint64_t succeeded() const { return succeeded_; }
+  std::uint64_t failed() const { return failed_; }
 
  private:
-  void attempt(const Read& read);
-  void refuse(const char* what, const std::exception& error);
+  void attempt(const ReadConfig& read);
+  void reject(const char* what, const std::exception& error);
 
   Loop& loop_;
   const Host host_;
-  Loop::TimerId again_ = 0;
-  int tries_ = 0;
-  std::uint64_t done_ = 0;
-  std::uint64_t refused_ = 0;
+  Loop::TimerId retry_timer_ = 0;
+  int attempts_ = 0;
+  std::uint64_t succeeded_ = 0;
+  std::uint64_t failed_ = 0;
 };
 
 }  // namespace shorelead::node
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -8,13 +8,14 @@
 namespace shorelead::node {
 namespace {
 
-constexpr int kOwnDescriptors = 32;    // standard streams, reactor, timers, signals, listener, watch, spare
-constexpr double kFlowShare = 0.25;    // of the node's memory, for bodies that are not kept whole
-constexpr double kMemoryUntold = 256;  // MB, where the configuration does not tell
-constexpr int kCrowded = 8;            // room is short when less than one in so many descriptors is free
-constexpr int kRoomy = 2;              // and plentiful when less than one in so many is in use
-constexpr int kManyUnused = 6;         // clients' unused connections are many beyond one in so many
-constexpr Millis kBansWait = 5000;     // for the file of those that are out by hand
+constexpr int kReservedDescriptors =
+    32;  // standard streams, reactor, timers, signals, listener, watch, spare
+constexpr double kFlowMemoryShare = 0.25;  // of the node's memory, for bodies that are not kept whole
+constexpr double kDefaultMemoryMb = 256;   // MB, where the configuration does not tell
+constexpr int kNearlyFullDivisor = 8;      // room is short when less than one in so many descriptors is free
+constexpr int kPlentifulDivisor = 2;       // and plentiful when less than one in so many is in use
+constexpr int kManyIdleDivisor = 6;        // clients' unused connections are many beyond one in so many
+constexpr Millis kBanFileTimeout = 5000;   // for the file of those that are out by hand
 
 }  // namespace
 
@@ -26,11 +27,13 @@
       shape_(config.shape),
       waits_(waits),
       reloader_(loop, {[this]() -> const Shape& { return shape_; },
-                       [this](Config fresh) { take_up(std::move(fresh)); }}),
+                       [this](Config fresh) { apply(std::move(fresh)); }}),
       admissions_(loop, place.inherited.has_value(),
                   [this](RequestId request) { request_table_.again(request); }),
       generations_(loop, admissions_,
-                   {[this](const PoolConfig& one, const Config& whole) { return make_pool(one, whole); },
+                   {[this](const PoolConfig& pool_config, const Config& whole) {
+                      return make_pool(pool_config, whole);
+                    },
                     [this](Pool& pool) {
                       pool.ban(bans_->bans());
                       pool.start();
@@ -39,22 +42,23 @@
                       recorder_.generation(next->number);
                       front_->go_by(std::move(next));
                     }}),
-      room_(generations_.pools(), [this] { return most_streams(); }),
+      room_(generations_.pools(), [this] { return max_streams(); }),
       request_table_([this](RequestId request, const Refusal& words) { front_->refuse(request, words); }),
       shutdown_(loop, waits.accept_on,
                 {[this]() -> Front& { return *front_; }, [this] { return open_requests(); },
                  [this] { return admissions_.give_back(snapshot()); }}),
-      hot_restart_(loop, place,
-                   {[this] { return could_serve(); }, [this](bool held) { front_->hold(held); },
-                    [this] { return front_->listening(); },
-                    [this] { return generations_.pools().front()->list_text(); },
-                    [this] { return shutdown_.leaving(); }, [this] { flows_->state(flow_bytes()); },
-                    [this] { trim(); }, [this] { shutdown_.replaced(); },
-                    [this] { return shutdown_.resume(); }, [this] { return admissions_.give_reserve(); },
-                    [this](Millis before) { admissions_.take_reserve(before); }}),
+      hot_restart_(
+          loop, place,
+          {[this] { return can_serve(); }, [this](bool held) { front_->hold(held); },
+           [this] { return front_->listening(); },
+           [this] { return generations_.pools().front()->list_text(); },
+           [this] { return shutdown_.leaving(); }, [this] { flow_budget_->state(flow_budget_bytes()); },
+           [this] { trim_connections(); }, [this] { shutdown_.replaced(); },
+           [this] { return shutdown_.resume(); }, [this] { return admissions_.give_reserve(); },
+           [this](Millis before) { admissions_.take_reserve(before); }}),
       readiness_(loop, {.list = waits.list, .pushed_list = waits.pushed_list}) {
   limits_.sockets = allowed_descriptors(limits_.sockets);
-  flows_ = std::make_shared<net::FlowBudget>(flow_bytes());
+  flow_budget_ = std::make_shared<net::FlowBudget>(flow_budget_bytes());
   const auto listed = [this](const std::string& id) {
     return std::any_of(generations_.pools().begin(), generations_.pools().end(),
                        [&id](const auto& pool) { return pool->lists(id); });
@@ -79,19 +83,21 @@
             if (is_ready) readiness_.log_first(snapshot());
             return recorder_.reported_ready(is_ready);
           },
-          [this] { return Stream::open_count() * kCrowded >= most_streams() * (kCrowded - 1); },
-          [this](std::size_t unused) { return static_cast<int>(unused) * kManyUnused > most_streams(); },
-          [this] { return Stream::open_count() * kRoomy < most_streams(); },
+          [this] {
+            return Stream::open_count() * kNearlyFullDivisor >= max_streams() * (kNearlyFullDivisor - 1);
+          },
+          [this](std::size_t unused) { return static_cast<int>(unused) * kManyIdleDivisor > max_streams(); },
+          [this] { return Stream::open_count() * kPlentifulDivisor < max_streams(); },
           [this] { return room_.make(limits::Purpose::kClient, *front_); },
-          [this](RequestId request, Millis due) { request_table_.body_whole(request, due); }, flows_,
+          [this](RequestId request, Millis due) { request_table_.body_whole(request, due); }, flow_budget_,
           &recorder_});
   if (!hot_restart_.alone()) bans_->share(place.bans());
   admissions_.go_by(snapshot(), snapshot());
   for (const auto& pool : generations_.pools()) pool->start();
   hot_restart_.begin();
   if (config.admin) {
-    admin_server_ = std::make_unique<AdminServer>(loop_, *config.admin,
-                                                  [this](const manage::Call& told) { return call(told); });
+    admin_server_ = std::make_unique<AdminServer>(
+        loop_, *config.admin, [this](const manage::Call& operator_call) { return call(operator_call); });
   }
 }
 
@@ -115,36 +121,36 @@
   host.recorder = &recorder_;
   // Pools of one node must not draw the same numbers; a node of one pool draws as it always has.
   const std::uint64_t seed = whole.pools.size() <= 1 ? whole.seed : whole.seed ^ subset::hash_of(config.name);
-  return std::make_shared<Pool>(loop_, config, seed, flows_, std::move(host));
+  return std::make_shared<Pool>(loop_, config, seed, flow_budget_, std::move(host));
 }
 
 // The node's, not this process's alone: replaced, it speaks for the one that serves.
 bool Server::ready() const {
   if (hot_restart_.replaced()) return true;
   return bool(guard::may_report_ready(
-      {.held = front_->held(), .draining = !shutdown_.serving(), .list_known = could_serve()}));
+      {.held = front_->held(), .draining = !shutdown_.serving(), .list_known = can_serve()}));
 }
 
-bool Server::could_serve() const {
+bool Server::can_serve() const {
   if (!readiness_.admission_suffices(snapshot())) return false;
-  if (!bans_->known() && readiness_.running() < kBansWait) return false;
+  if (!bans_->known() && readiness_.running() < kBanFileTimeout) return false;
   return readiness_.lists_suffice(snapshot(), hot_restart_.beside());
 }
 
-int Server::most_streams() const {
+int Server::max_streams() const {
   const int all = hot_restart_.two_run() ? limits_.sockets / 2 : limits_.sockets;
-  return all - kOwnDescriptors - (config_.admin ? AdminServer::kDescriptors : 0);
+  return all - kReservedDescriptors - (config_.admin ? AdminServer::kDescriptors : 0);
 }
 
-std::size_t Server::flow_bytes() const {
-  const double mb = limits_.memory_mb > 0 ? limits_.memory_mb : kMemoryUntold;
-  return static_cast<std::size_t>(mb * 1048576 * kFlowShare / (hot_restart_.two_run() ? 2 : 1));
+std::size_t Server::flow_budget_bytes() const {
+  const double mb = limits_.memory_mb > 0 ? limits_.memory_mb : kDefaultMemoryMb;
+  return static_cast<std::size_t>(mb * 1048576 * kFlowMemoryShare / (hot_restart_.two_run() ? 2 : 1));
 }
 
 // Down to what it may hold from now on, as far as connections stand unused.
-void Server::trim() {
-  flows_->state(flow_bytes());
-  while (Stream::open_count() > most_streams()) {
+void Server::trim_connections() {
+  flow_budget_->state(flow_budget_bytes());
+  while (Stream::open_count() > max_streams()) {
     if (!room_.evict_of_pools() && !front_->evict_idle()) return;
   }
 }
@@ -186,8 +192,8 @@
     gauges.skipped_backends += pool->skipped();
   }
   gauges.upstream_tries += generations_.written_by_ended();
-  gauges.loads = reloader_.done();
-  gauges.load_errors = reloader_.refused();
+  gauges.loads = reloader_.succeeded();
+  gauges.load_errors = reloader_.failed();
   gauges.rule_violations = recorder_.violations();
   return manage::metrics_text(front_->request_counters(), gauges);
 }
@@ -197,17 +203,17 @@
   shutdown_.shut_down(std::min(snapshot().longest_deadline(), waits_.deadline), hot_restart_.replaced());
 }
 
-void Server::take_up(Config fresh) {
+void Server::apply(Config fresh) {
   const Limits before = std::exchange(limits_, fresh.limits);
   limits_.sockets = allowed_descriptors(limits_.sockets);
-  flows_->state(flow_bytes());
+  flow_budget_->state(flow_budget_bytes());
   try {
     const bool adopts = fresh.pools.empty() && config_.pools.empty();
     adopts ? generations_.adopt(fresh) : generations_.follow(fresh);
     if (!adopts) spdlog::info("configuration reloaded, {} sockets", limits_.sockets);
   } catch (const std::exception&) {
     limits_ = before;
-    flows_->state(flow_bytes());
+    flow_budget_->state(flow_budget_bytes());
     throw;
   }
   shape_ = std::move(fresh.shape);
@@ -220,7 +226,7 @@
       "counters: up_s={:.1f} taken={} served={} refused={} failed={} client_gone={} left_early={} "
       "malformed={} reloads={} bad_reloads={} generation={} pools={} stood_in={}",
       readiness_.running() / 1000, all.taken(), all.passed, all.dropped, all.bad_gateway, all.left,
-      front.left_early, front.malformed, reloader_.done(), reloader_.refused(), snapshot().number,
+      front.left_early, front.malformed, reloader_.succeeded(), reloader_.failed(), snapshot().number,
       generations_.pools().size(), request_table_.stood_in());
   spdlog::info("counters: answers {}",
                listed(front.by_status, [](int code) { return std::to_string(code); }));
@@ -234,7 +240,7 @@
       Stream::open_count(), room_.most_seen(), front_->clients(), front_->acceptor().accepted(), front.silent,
       front.idle, front.evicted, front_->acceptor().pauses());
   spdlog::info("counters: descriptors state={} most={} backends_budget={} probing={}",
-               limits::name_of(room_.rules().state(room_.counts())), most_streams(),
+               limits::name_of(room_.rules().state(room_.counts())), max_streams(),
                room_.rules().backends_budget(), room_.counts().probing);
   spdlog::info("counters: open_requests={} worst_timer_lag_ms={:.2f} wakeups={}", open_requests(),
                loop_.worst_lag(), loop_.wakeups());
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -51,7 +51,7 @@
   // routes count without a new start, and its pool goes on; of a .shore file, classes, routes and pools:
   // pools that are told as before go on with what they have learnt, new ones are waited for a little, and
   // those no longer named end once nothing is with them.
-  void reload(const ConfigReloader::Read& read) { reloader_.reload(read); }
+  void reload(const ConfigReloader::ReadConfig& read) { reloader_.reload(read); }
   std::string call(const manage::Call& call);  // an operator's; the answer, whole
   void log_counters() const;
   unsigned short port() const { return front_->port(); }
@@ -66,11 +66,11 @@
   std::shared_ptr<Pool> make_pool(const PoolConfig& config, const Config& whole);
   const RoutingSnapshot& snapshot() const { return *generations_.snapshot(); }  // in force
   bool ready() const;
-  bool could_serve() const;
-  void take_up(Config fresh);  // throws where that cannot be; all is as before then
-  void trim();
-  int most_streams() const;
-  std::size_t flow_bytes() const;
+  bool can_serve() const;
+  void apply(Config fresh);  // throws where that cannot be; all is as before then
+  void trim_connections();
+  int max_streams() const;
+  std::size_t flow_budget_bytes() const;
   std::size_t open_requests() const;
   std::string metrics() const;
 
@@ -81,7 +81,7 @@
   Shape shape_;  // of the file in force
   const Waits waits_;
   ConfigReloader reloader_;
-  std::shared_ptr<net::FlowBudget> flows_;  // memory for bodies that are not kept whole
+  std::shared_ptr<net::FlowBudget> flow_budget_;  // memory for bodies that are not kept whole
   FleetAdmissions admissions_;
   Generations generations_;
   DescriptorRoom room_;
