--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -21,47 +21,47 @@
 namespace {
 
 // What a start needs of the system may be missing for a moment; nine in ten starts have 10 s.
-constexpr int kStartTries = 100;
-constexpr std::chrono::milliseconds kStartAgain{20};
+constexpr int kMaxStartAttempts = 100;
+constexpr std::chrono::milliseconds kStartRetryInterval{20};
 
-std::string variable(const char* name) {
+std::string environment_variable(const char* name) {
   const char* const value = std::getenv(name);
   return value == nullptr ? "" : value;
 }
 
-bool missing_for_a_moment(int error) {
+bool is_transient(int error) {
   return error == EINTR || error == EAGAIN || error == EMFILE || error == ENFILE || error == ENOBUFS ||
          error == ENOMEM || error == ENOSPC || error == EIO;
 }
 
 // A step of the start, again for a while where the system could not give what it needs.
 template <typename Step>
-auto tried_again(Step step) {
+auto with_retries(Step step) {
   for (int n = 1;; ++n) {
     try {
       return step();
     } catch (const UnreadableConfig& error) {
-      if (n == kStartTries) throw;
+      if (n == kMaxStartAttempts) throw;
       spdlog::warn("start: {}", error.what());
     } catch (const std::system_error& error) {
-      if (n == kStartTries || !missing_for_a_moment(error.code().value())) throw;
+      if (n == kMaxStartAttempts || !is_transient(error.code().value())) throw;
       spdlog::warn("start: {}", error.what());
     } catch (const Poco::IOException& error) {
-      if (n == kStartTries || !missing_for_a_moment(error.code())) throw;
+      if (n == kMaxStartAttempts || !is_transient(error.code())) throw;
       spdlog::warn("start: {}", error.displayText());
     }
-    std::this_thread::sleep_for(kStartAgain);
+    std::this_thread::sleep_for(kStartRetryInterval);
   }
 }
 
 // The folder that one process of a node shares with the next, and what a process that serves hands over.
 Server::Place take_place(Config& config) {
-  constexpr double kWait = 1500;  // ms, for the other process to answer
+  constexpr double kHandoverTimeout = 1500;  // ms, for the other process to answer
   Server::Place place;
-  place.folder = variable("TMPDIR");
+  place.folder = environment_variable("TMPDIR");
   if (place.folder.empty()) return place;
   try {
-    place.inherited = handover::ask(place.socket(), kWait);
+    place.inherited = handover::ask(place.socket(), kHandoverTimeout);
   } catch (const std::system_error& error) {
     spdlog::warn("no other process can be asked: {}", error.what());
   }
@@ -78,15 +78,15 @@
 
 }  // namespace
 
-Config load(const ServeOptions& options, bool again) {
-  const Overrides variables{variable("NODE_NAME"), variable("NODE_LISTEN"), variable("NODE_DISCOVERY"),
-                            variable("NODE_MGMT")};
+Config load(const ServeOptions& options, bool is_reload) {
+  const Overrides from_environment{environment_variable("NODE_NAME"), environment_variable("NODE_LISTEN"),
+                                   environment_variable("NODE_DISCOVERY"), environment_variable("NODE_MGMT")};
   if (is_shore(options.config)) {
     if (!options.own.empty())
       throw FieldError("--own goes with the platform's JSON: a .shore file says it itself");
-    return load_shore(options.config, merge(options.flags, variables, again), language::disk());
+    return load_shore(options.config, merge(options.flags, from_environment, is_reload), language::disk());
   }
-  Config config = load_config(options.config, options.flags, variables, again);
+  Config config = load_config(options.config, options.flags, from_environment, is_reload);
   load_platform_file(options.own, config);
   return config;
 }
@@ -95,20 +95,20 @@
   Loop::hold_signals();
   const auto output = std::make_shared<LogOutput>(STDOUT_FILENO);
   spdlog::set_default_logger(std::make_shared<spdlog::logger>("shorelead", output));
-  Config config = tried_again([&] { return load(options, false); });
+  Config config = with_retries([&] { return load(options, false); });
   spdlog::set_default_logger(std::make_shared<spdlog::logger>(config.name, output));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %n %l %v");
   spdlog::set_level(spdlog::level::from_str(options.log_level));
   spdlog::flush_on(spdlog::level::info);
-  const std::unique_ptr<Loop> loop = tried_again([] { return std::make_unique<Loop>(); });
+  const std::unique_ptr<Loop> loop = with_retries([] { return std::make_unique<Loop>(); });
   Server::Place place;
   if (config.admin) place = take_place(config);
   const auto make_server = [&] { return std::make_unique<Server>(*loop, config, Server::Waits(), place); };
   // What was handed over can be used once.
-  const std::unique_ptr<Server> owned = place.inherited ? make_server() : tried_again(make_server);
+  const std::unique_ptr<Server> owned = place.inherited ? make_server() : with_retries(make_server);
   Server& server = *owned;
   server.recorder().write_at_crash();
-  tried_again([&] {
+  with_retries([&] {
     loop->on_signals([&server, &options](int signal) {
       if (signal == SIGUSR1) return server.log_counters();
       if (signal == SIGHUP) return server.reload([&options] { return load(options, true); });
@@ -117,7 +117,7 @@
   });
   for (const std::string& warning : config.warnings) spdlog::warn("configuration: {}", warning);
   // From here on each request that comes is owed an answer.
-  tried_again([&server] { server.open(); });
+  with_retries([&server] { server.open(); });
   if (config.pools.empty()) {
     spdlog::info("serving on {}, discovery at {}, list {} with {} backends", config.listen.toString(),
                  config.discovery.toString(), config.known.version, config.known.backends.size());
--- a/src/node/serve.h
+++ b/src/node/serve.h
@@ -15,8 +15,8 @@
   Overrides flags;
 };
 
-// As the options, the environment and the files say it now; `again`: for a reload. Throws FieldError.
-Config load(const ServeOptions& options, bool again);
+// As the options, the environment and the files say it now; `is_reload`: for a reload. Throws FieldError.
+Config load(const ServeOptions& options, bool is_reload);
 
 // Until SIGTERM; the exit code. Throws where the node cannot start.
 int serve(const ServeOptions& options);
