--- a/src/node/hot_restart.cpp
+++ b/src/node/hot_restart.cpp
@@ -7,60 +7,61 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kLookEvery = 10;  // whether it could serve
+constexpr Millis kCheckInterval = 10;  // whether it could serve
 
 }  // namespace
 
-HotRestart::HotRestart(Loop& loop, Place place, Host host)
-    : loop_(loop), place_(std::move(place)), host_(std::move(host)) {}
+HotRestart::HotRestart(Loop& loop, RestartContext context, Host host)
+    : loop_(loop), context_(std::move(context)), host_(std::move(host)) {}
 
-HotRestart::~HotRestart() { loop_.cancel(look_); }
+HotRestart::~HotRestart() { loop_.cancel(check_timer_); }
 
 void HotRestart::begin() {
-  if (!place_.inherited) return wait_for_successor();
-  const auto ceded = [this](bool ended, Millis still) {
-    host_.take_reserve(still);
+  if (!context_.inherited) return wait_for_successor();
+  const auto on_reserve_transferred = [this](bool ended, Millis remaining) {
+    host_.take_reserve(remaining);
     if (!ended) return;
     spdlog::info("the process before this one has ended");
-    host_.two_or_one();
+    host_.on_process_count_changed();
   };
-  predecessor_ = std::make_unique<handover::Successor>(loop_, place_.inherited->channel, ceded);
-  host_.hold(true);
-  look_if_it_could_serve();
+  predecessor_ =
+      std::make_unique<handover::Successor>(loop_, context_.inherited->channel, on_reserve_transferred);
+  host_.hold_clients(true);
+  check_can_serve();
 }
 
-bool HotRestart::two_run() const {
+bool HotRestart::two_processes_run() const {
   return (successors_ && successors_->has_successor()) || (predecessor_ && predecessor_->predecessor_lives());
 }
 
-void HotRestart::look_if_it_could_serve() {
-  if (!host_.could_serve()) {
-    look_ = loop_.after(kLookEvery, [this] { look_if_it_could_serve(); });
+void HotRestart::check_can_serve() {
+  if (!host_.can_serve()) {
+    check_timer_ = loop_.after(kCheckInterval, [this] { check_can_serve(); });
     return;
   }
   spdlog::info("takes clients from now on, in place of the process before it");
-  host_.hold(false);
+  host_.hold_clients(false);
   predecessor_->say_serving();
   wait_for_successor();
 }
 
 void HotRestart::wait_for_successor() {
-  if (alone()) return;
+  if (standalone()) return;
   handover::Predecessor::Listener listener;
   listener.listener = host_.listener;
   listener.list = host_.list;
   listener.refusal = [this] {
     if (host_.leaving()) return std::string("it is about to end");
-    return two_run() ? std::string("two processes run already") : std::string();
+    return two_processes_run() ? std::string("two processes run already") : std::string();
   };
   listener.successor_came = [this] {
     spdlog::info("a successor has come, with the listening socket and the list");
-    host_.came();
+    host_.on_successor_connected();
   };
   listener.successor_serves = [this] { successor_serves(); };
   listener.successor_gone = [this] { successor_gone(); };
   try {
-    successors_ = std::make_unique<handover::Predecessor>(loop_, place_.socket(), std::move(listener));
+    successors_ = std::make_unique<handover::Predecessor>(loop_, context_.socket_path(), std::move(listener));
   } catch (const std::exception& error) {
     spdlog::warn("no successor can be handed anything: {}", error.what());
   }
@@ -70,16 +71,16 @@
   if (std::exchange(replaced_, true)) return;
   spdlog::info("the successor takes clients from now on");
   successors_->cede(host_.give_reserve());
-  host_.hold(true);
-  host_.replaced();
+  host_.hold_clients(true);
+  host_.on_replaced();
 }
 
 void HotRestart::successor_gone() {
   spdlog::warn("the successor has ended{}",
                replaced_ ? ", this process takes clients again" : " before it served");
-  host_.two_or_one();
+  host_.on_process_count_changed();
   host_.take_reserve(0);
-  if (std::exchange(replaced_, false) && host_.resume()) host_.hold(false);
+  if (std::exchange(replaced_, false) && host_.resume()) host_.hold_clients(false);
 }
 
 }  // namespace shorelead::node
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -55,25 +55,25 @@
 }
 
 // The folder that one process of a node shares with the next, and what a process that serves hands over.
-Server::Place take_place(Config& config) {
+Server::RestartContext inherit_state(Config& config) {
   constexpr double kHandoverTimeout = 1500;  // ms, for the other process to answer
-  Server::Place place;
-  place.folder = environment_variable("TMPDIR");
-  if (place.folder.empty()) return place;
+  Server::RestartContext context;
+  context.directory = environment_variable("TMPDIR");
+  if (context.directory.empty()) return context;
   try {
-    place.inherited = handover::ask(place.socket(), kHandoverTimeout);
+    context.inherited = handover::ask(context.socket_path(), kHandoverTimeout);
   } catch (const std::system_error& error) {
     spdlog::warn("no other process can be asked: {}", error.what());
   }
-  if (!place.inherited) return place;
+  if (!context.inherited) return context;
   spdlog::info("a process that serves has handed over its listening socket");
   try {
-    const auto list = read_list(place.inherited->list);
+    const auto list = read_list(context.inherited->list);
     if (!list.backends.empty()) config.known = list;
   } catch (const std::exception& error) {
     spdlog::warn("its list is of no use, the configuration's stands: {}", error.what());
   }
-  return place;
+  return context;
 }
 
 }  // namespace
@@ -101,11 +101,11 @@
   spdlog::set_level(spdlog::level::from_str(options.log_level));
   spdlog::flush_on(spdlog::level::info);
   const std::unique_ptr<Loop> loop = with_retries([] { return std::make_unique<Loop>(); });
-  Server::Place place;
-  if (config.admin) place = take_place(config);
-  const auto make_server = [&] { return std::make_unique<Server>(*loop, config, Server::Waits(), place); };
+  Server::RestartContext context;
+  if (config.admin) context = inherit_state(config);
+  const auto make_server = [&] { return std::make_unique<Server>(*loop, config, Server::Waits(), context); };
   // What was handed over can be used once.
-  const std::unique_ptr<Server> owned = place.inherited ? make_server() : with_retries(make_server);
+  const std::unique_ptr<Server> owned = context.inherited ? make_server() : with_retries(make_server);
   Server& server = *owned;
   server.recorder().write_at_crash();
   with_retries([&] {
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Server::Server(Loop& loop, const Config& config, const Waits& waits, const Place& place)
+Server::Server(Loop& loop, const Config& config, const Waits& waits, const RestartContext& context)
     : loop_(loop),
       recorder_(loop),
       config_(config),
@@ -28,7 +28,7 @@
       waits_(waits),
       reloader_(loop, {[this]() -> const Shape& { return shape_; },
                        [this](Config fresh) { apply(std::move(fresh)); }}),
-      admissions_(loop, place.inherited.has_value(),
+      admissions_(loop, context.inherited.has_value(),
                   [this](RequestId request) { request_table_.again(request); }),
       generations_(loop, admissions_,
                    {[this](const PoolConfig& pool_config, const Config& whole) {
@@ -48,7 +48,7 @@
                 {[this]() -> Front& { return *front_; }, [this] { return open_requests(); },
                  [this] { return admissions_.give_back(snapshot()); }}),
       hot_restart_(
-          loop, place,
+          loop, context,
           {[this] { return can_serve(); }, [this](bool held) { front_->hold(held); },
            [this] { return front_->listening(); },
            [this] { return generations_.pools().front()->list_text(); },
@@ -68,8 +68,8 @@
   });
   generations_.begin(config);
   Front::Entry entry(config.listen);
-  entry.shared = !hot_restart_.alone();
-  if (place.inherited) entry.listening = place.inherited->listener;
+  entry.shared = !hot_restart_.standalone();
+  if (context.inherited) entry.listening = context.inherited->listener;
   front_ = std::make_unique<Front>(
       loop_, entry, generations_.snapshot(),
       Front::Listener{
@@ -91,7 +91,7 @@
           [this] { return room_.make(limits::Purpose::kClient, *front_); },
           [this](RequestId request, Millis due) { request_table_.body_whole(request, due); }, flow_budget_,
           &recorder_});
-  if (!hot_restart_.alone()) bans_->share(place.bans());
+  if (!hot_restart_.standalone()) bans_->share(context.ban_file_path());
   admissions_.go_by(snapshot(), snapshot());
   for (const auto& pool : generations_.pools()) pool->start();
   hot_restart_.begin();
@@ -126,7 +126,7 @@
 
 // The node's, not this process's alone: replaced, it speaks for the one that serves.
 bool Server::ready() const {
-  if (hot_restart_.replaced()) return true;
+  if (hot_restart_.is_replaced()) return true;
   return bool(guard::may_report_ready(
       {.held = front_->held(), .draining = !shutdown_.serving(), .list_known = can_serve()}));
 }
@@ -134,17 +134,18 @@
 bool Server::can_serve() const {
   if (!readiness_.admission_suffices(snapshot())) return false;
   if (!bans_->known() && readiness_.running() < kBanFileTimeout) return false;
-  return readiness_.lists_suffice(snapshot(), hot_restart_.beside());
+  return readiness_.lists_suffice(snapshot(), hot_restart_.started_with_predecessor());
 }
 
 int Server::max_streams() const {
-  const int all = hot_restart_.two_run() ? limits_.sockets / 2 : limits_.sockets;
+  const int all = hot_restart_.two_processes_run() ? limits_.sockets / 2 : limits_.sockets;
   return all - kReservedDescriptors - (config_.admin ? AdminServer::kDescriptors : 0);
 }
 
 std::size_t Server::flow_budget_bytes() const {
   const double mb = limits_.memory_mb > 0 ? limits_.memory_mb : kDefaultMemoryMb;
-  return static_cast<std::size_t>(mb * 1048576 * kFlowMemoryShare / (hot_restart_.two_run() ? 2 : 1));
+  return static_cast<std::size_t>(mb * 1048576 * kFlowMemoryShare /
+                                  (hot_restart_.two_processes_run() ? 2 : 1));
 }
 
 // Down to what it may hold from now on, as far as connections stand unused.
@@ -165,7 +166,7 @@
   const bool of_this_process = call.kind == manage::CallKind::kReady ||
                                call.kind == manage::CallKind::kDrain ||
                                call.kind == manage::CallKind::kResume;
-  if (hot_restart_.replaced() && of_this_process) return manage::no("replaced: another process serves");
+  if (hot_restart_.is_replaced() && of_this_process) return manage::no("replaced: another process serves");
   switch (call.kind) {
     case manage::CallKind::kReady:
       return ready() ? manage::yes("ready") : manage::no(shutdown_.serving() ? "not ready yet" : "draining");
@@ -200,7 +201,7 @@
 
 void Server::shut_down() {
   recorder_.phase(guard::ProcessPhase::kLeaving);
-  shutdown_.shut_down(std::min(snapshot().longest_deadline(), waits_.deadline), hot_restart_.replaced());
+  shutdown_.shut_down(std::min(snapshot().longest_deadline(), waits_.deadline), hot_restart_.is_replaced());
 }
 
 void Server::apply(Config fresh) {
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -36,11 +36,12 @@
     Millis pushed_list = Readiness::Waits().pushed_list;
   };
 
-  using Place = HotRestart::Place;
+  using RestartContext = HotRestart::RestartContext;
 
   Server(Loop& loop, const Config& config) : Server(loop, config, Waits()) {}
-  Server(Loop& loop, const Config& config, const Waits& waits) : Server(loop, config, waits, Place()) {}
-  Server(Loop& loop, const Config& config, const Waits& waits, const Place& place);
+  Server(Loop& loop, const Config& config, const Waits& waits)
+      : Server(loop, config, waits, RestartContext()) {}
+  Server(Loop& loop, const Config& config, const Waits& waits, const RestartContext& context);
 
   // The last step of a start: clients can connect from now on. Throws std::system_error where that is not to
   // be had now; it may be tried again.
