--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -21,12 +21,12 @@
   std::string list;   // backends as it last had them, in discovery's form; may be empty
 };
 
-// Asks at `path` before there is a loop; waits for `wait` milliseconds at most. None where nobody is there or
-// no whole answer came. Throws std::runtime_error with the reason where a predecessor refuses.
-std::optional<InheritedState> ask(const std::string& path, Millis wait);
+// Asks at `path` before there is a loop; waits for `timeout` milliseconds at most. None where nobody is there
+// or no whole answer came. Throws std::runtime_error with the reason where a predecessor refuses.
+std::optional<InheritedState> request_handover(const std::string& path, Millis timeout);
 
 // The old process's side.
-class Predecessor : public net::Watch::Handler {
+class HandoverServer : public net::Watch::Handler {
  public:
   struct Listener {
     std::function<int()> listener;           // the clients' listening socket; -1 = none to give
@@ -38,50 +38,50 @@
   };
 
   // Takes the place at `path` from whoever had it. Throws std::system_error.
-  Predecessor(net::Loop& loop, std::string path, Listener listener);
-  ~Predecessor() override;
+  HandoverServer(net::Loop& loop, std::string path, Listener listener);
+  ~HandoverServer() override;
 
-  bool has_successor() const { return heir_ != nullptr; }
+  bool has_successor() const { return successor_ != nullptr; }
   // To the successor: what only one of the two may have (a fleet's reserve) is its from now on; what was
-  // begun with it here is over after `still`. One of an earlier version does not listen.
-  void cede(Millis still);
+  // begun with it here is over after `remaining`. One of an earlier version does not listen.
+  void transfer_reserve(Millis remaining);
 
  private:
-  class Heir;
+  class SuccessorConnection;
 
   void on_readable() override;
-  void accept_later();
-  void lose(Heir& heir);
+  void pause_accepting();
+  void on_successor_lost(SuccessorConnection& connection);
 
   net::Loop& loop_;
   const std::string path_;
   Listener listener_;
   std::unique_ptr<net::Descriptor> socket_;
   std::unique_ptr<net::Watch> watch_;
-  net::Loop::TimerId resume_ = 0;  // accepting, which was put off
-  std::shared_ptr<Heir> heir_;
+  net::Loop::TimerId accept_timer_ = 0;  // accepting, which was put off
+  std::shared_ptr<SuccessorConnection> successor_;
 };
 
 // The new process's side, for as long as the old one lives.
-class Successor : public net::Watch::Handler {
+class HandoverClient : public net::Watch::Handler {
  public:
   // What only one of the two may have is this one's: the predecessor says so, once, with how long what it
   // began with it lasts still; or it has ended, and said so or not.
-  using Ceded = std::function<void(bool ended, Millis still)>;
-  Successor(net::Loop& loop, int channel, Ceded ceded);
-  ~Successor() override { loop_.cancel(say_again_); }
+  using ReserveTransferred = std::function<void(bool ended, Millis remaining)>;
+  HandoverClient(net::Loop& loop, int channel, ReserveTransferred reserve_transferred);
+  ~HandoverClient() override { loop_.cancel(announce_timer_); }
 
-  void say_serving();
-  bool predecessor_lives() const { return watch_ != nullptr; }
+  void announce_serving();
+  bool predecessor_alive() const { return watch_ != nullptr; }
 
  private:
   void on_readable() override;
-  void hear();
+  void parse_message();
 
   net::Loop& loop_;
-  Ceded ceded_;
-  std::string said_;
-  net::Loop::TimerId say_again_ = 0;
+  ReserveTransferred reserve_transferred_;
+  std::string received_;
+  net::Loop::TimerId announce_timer_ = 0;
   std::unique_ptr<net::Descriptor> socket_;
   std::unique_ptr<net::Watch> watch_;
 };
--- a/src/node/hot_restart.cpp
+++ b/src/node/hot_restart.cpp
@@ -24,14 +24,15 @@
     spdlog::info("the process before this one has ended");
     host_.on_process_count_changed();
   };
-  predecessor_ =
-      std::make_unique<handover::Successor>(loop_, context_.inherited->channel, on_reserve_transferred);
+  handover_client_ =
+      std::make_unique<handover::HandoverClient>(loop_, context_.inherited->channel, on_reserve_transferred);
   host_.hold_clients(true);
   check_can_serve();
 }
 
 bool HotRestart::two_processes_run() const {
-  return (successors_ && successors_->has_successor()) || (predecessor_ && predecessor_->predecessor_lives());
+  return (handover_server_ && handover_server_->has_successor()) ||
+         (handover_client_ && handover_client_->predecessor_alive());
 }
 
 void HotRestart::check_can_serve() {
@@ -41,13 +42,13 @@
   }
   spdlog::info("takes clients from now on, in place of the process before it");
   host_.hold_clients(false);
-  predecessor_->say_serving();
+  handover_client_->announce_serving();
   wait_for_successor();
 }
 
 void HotRestart::wait_for_successor() {
   if (standalone()) return;
-  handover::Predecessor::Listener listener;
+  handover::HandoverServer::Listener listener;
   listener.listener = host_.listener;
   listener.list = host_.list;
   listener.refusal = [this] {
@@ -61,7 +62,8 @@
   listener.successor_serves = [this] { successor_serves(); };
   listener.successor_gone = [this] { successor_gone(); };
   try {
-    successors_ = std::make_unique<handover::Predecessor>(loop_, context_.socket_path(), std::move(listener));
+    handover_server_ =
+        std::make_unique<handover::HandoverServer>(loop_, context_.socket_path(), std::move(listener));
   } catch (const std::exception& error) {
     spdlog::warn("no successor can be handed anything: {}", error.what());
   }
@@ -70,7 +72,7 @@
 void HotRestart::successor_serves() {
   if (std::exchange(replaced_, true)) return;
   spdlog::info("the successor takes clients from now on");
-  successors_->cede(host_.give_reserve());
+  handover_server_->transfer_reserve(host_.give_reserve());
   host_.hold_clients(true);
   host_.on_replaced();
 }
--- a/src/node/hot_restart.h
+++ b/src/node/hot_restart.h
@@ -50,7 +50,9 @@
   bool standalone() const { return context_.directory.empty(); }
   const RestartContext& context() const { return context_; }
   bool is_replaced() const { return replaced_; }  // another process of the node serves
-  bool started_with_predecessor() const { return predecessor_ != nullptr; }  // it began beside another one
+  bool started_with_predecessor() const {
+    return handover_client_ != nullptr;
+  }  // it began beside another one
   // Two processes are one node: each keeps to half of what it may hold.
   bool two_processes_run() const;
 
@@ -63,8 +65,8 @@
   Loop& loop_;
   const RestartContext context_;
   const Host host_;
-  std::unique_ptr<handover::Successor> predecessor_;   // the process before this one
-  std::unique_ptr<handover::Predecessor> successors_;  // where the next one comes
+  std::unique_ptr<handover::HandoverClient> handover_client_;  // the process before this one
+  std::unique_ptr<handover::HandoverServer> handover_server_;  // where the next one comes
   bool replaced_ = false;
   Loop::TimerId check_timer_ = 0;
 };
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -61,7 +61,7 @@
   context.directory = environment_variable("TMPDIR");
   if (context.directory.empty()) return context;
   try {
-    context.inherited = handover::ask(context.socket_path(), kHandoverTimeout);
+    context.inherited = handover::request_handover(context.socket_path(), kHandoverTimeout);
   } catch (const std::system_error& error) {
     spdlog::warn("no other process can be asked: {}", error.what());
   }
--- a/tests/faults/accept_test.cpp
+++ b/tests/faults/accept_test.cpp
@@ -96,7 +96,7 @@
   const faults::StrikeThisThread strike;
   Loop loop;
   const std::string path = testing::TempDir() + "shorelead-accept-" + std::to_string(::getpid());
-  handover::Predecessor predecessor(loop, path, {});
+  handover::HandoverServer predecessor(loop, path, {});
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
   std::strncpy(address.sun_path, path.c_str(), sizeof address.sun_path - 1);
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -41,15 +41,15 @@
   std::string refusal;
   Millis still = 0;
   std::promise<void> came, serves, gone;
-  Predecessor predecessor{loop,
-                          folder.at("s"),
-                          {[this] { return listening(); }, [] { return std::string(R"({"a":"list"})"); },
-                           [this] { return refusal; }, [this] { came.set_value(); },
-                           [this] {
-                             predecessor.cede(still);
-                             serves.set_value();
-                           },
-                           [this] { gone.set_value(); }}};
+  HandoverServer predecessor{loop,
+                             folder.at("s"),
+                             {[this] { return listening(); }, [] { return std::string(R"({"a":"list"})"); },
+                              [this] { return refusal; }, [this] { came.set_value(); },
+                              [this] {
+                                predecessor.transfer_reserve(still);
+                                serves.set_value();
+                              },
+                              [this] { gone.set_value(); }}};
   struct Ends : net::Watch::Handler {
     explicit Ends(net::Loop& loop) : loop(loop) {}
     void on_readable() override { loop.stop(); }
@@ -70,7 +70,7 @@
   Old old;
   node::Line waits = node::Line::connect(old.clients.port());
   waits.write("x");
-  const auto inherited = ask(old.folder.at("s"), 5000);
+  const auto inherited = request_handover(old.folder.at("s"), 5000);
   ASSERT_TRUE(inherited);
   EXPECT_EQ(inherited->list, R"({"a":"list"})");
   old.came.get_future().wait();
@@ -80,8 +80,8 @@
   node::Line later = node::Line::connect(node::port_of(inherited->listener));
   ::close(inherited->listener);
   net::Loop loop;
-  Successor successor(loop, inherited->channel, [](bool, Millis) {});
-  successor.say_serving();
+  HandoverClient successor(loop, inherited->channel, [](bool, Millis) {});
+  successor.announce_serving();
   old.serves.get_future().wait();
 }
 
@@ -92,33 +92,33 @@
   for (const auto& [said, heard] : cases) {
     Old old;
     old.still = said;
-    const auto inherited = ask(old.folder.at("s"), 5000);
+    const auto inherited = request_handover(old.folder.at("s"), 5000);
     ASSERT_TRUE(inherited);
     ::close(inherited->listener);
     net::Loop loop;
     std::optional<Millis> ceded;
-    Successor successor(loop, inherited->channel, [&](bool ended, Millis still) {
+    HandoverClient successor(loop, inherited->channel, [&](bool ended, Millis still) {
       if (!ended) ceded = still;
       loop.stop();
     });
-    successor.say_serving();
+    successor.announce_serving();
     loop.run();
     EXPECT_EQ(ceded, heard);
-    EXPECT_TRUE(successor.predecessor_lives());
+    EXPECT_TRUE(successor.predecessor_alive());
   }
 }
 
 TEST(Handover, ASuccessorThatEndsBeforeItServesIsToldAndAnotherMayCome) {
   Old old;
-  const auto first = ask(old.folder.at("s"), 5000);
+  const auto first = request_handover(old.folder.at("s"), 5000);
   ASSERT_TRUE(first);
   old.came.get_future().wait();
-  EXPECT_THROW(ask(old.folder.at("s"), 5000), std::runtime_error);  // a third process
+  EXPECT_THROW(request_handover(old.folder.at("s"), 5000), std::runtime_error);  // a third process
   ::close(first->channel);
   ::close(first->listener);
   old.gone.get_future().wait();
   old.came = std::promise<void>();
-  const auto second = ask(old.folder.at("s"), 5000);
+  const auto second = request_handover(old.folder.at("s"), 5000);
   ASSERT_TRUE(second);
   ::close(second->channel);
   ::close(second->listener);
@@ -126,11 +126,11 @@
 
 TEST(Handover, NobodyThereOrARefusal) {
   const Folder empty;
-  EXPECT_FALSE(ask(empty.at("s"), 1000));
+  EXPECT_FALSE(request_handover(empty.at("s"), 1000));
   Old old;
   old.refusal = "two processes run already";
   try {
-    ask(old.folder.at("s"), 5000);
+    request_handover(old.folder.at("s"), 5000);
     ADD_FAILURE();
   } catch (const std::runtime_error& error) {
     EXPECT_NE(std::string(error.what()).find("two processes run already"), std::string::npos);
