--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -178,10 +178,10 @@
 }
 
 void HandoverServer::transfer_reserve(Millis remaining) {
-  const auto total =
+  const auto milliseconds =
       std::to_string(static_cast<std::uint64_t>(std::ceil(std::clamp(remaining, 0.0, kMaxRemaining))));
   if (successor_)
-    send_with(successor_->socket.fd(), std::string(kReserveTransferredPrefix) + total + "\n", -1);
+    send_with(successor_->socket.fd(), std::string(kReserveTransferredPrefix) + milliseconds + "\n", -1);
 }
 
 HandoverClient::HandoverClient(net::Loop& loop, int channel, ReserveTransferred reserve_transferred)
--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -8,10 +8,10 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kListWait =
+constexpr Millis kListTimeout =
     3000;  // for the lists of new pools, before a generation comes in force without them
-constexpr Millis kLookEvery = 10;   // whether they are there
-constexpr Millis kSweepEvery = 50;  // whether pools that were left are done
+constexpr Millis kActivationCheckInterval = 10;  // whether they are there
+constexpr Millis kRemovalCheckInterval = 50;     // whether pools that were left are done
 
 }  // namespace
 
@@ -19,147 +19,151 @@
     : loop_(loop), admissions_(admissions), host_(std::move(host)) {}
 
 Generations::~Generations() {
-  loop_.cancel(look_);
-  loop_.cancel(sweep_);
+  loop_.cancel(activation_timer_);
+  loop_.cancel(removal_timer_);
 }
 
-void Generations::begin(const Config& config) { snapshot_ = make_snapshot(config).snapshot; }
+void Generations::start(const Config& config) { snapshot_ = make_snapshot(config).snapshot; }
 
-void Generations::follow(const Config& config) {
+void Generations::apply(const Config& config) {
   // What was pending is overtaken; its pools go on where the newer one has them as well.
   const std::vector<std::shared_ptr<Pool>> before = pools_;
   try {
-    Pending made = make_snapshot(config);
-    pending_ = std::move(made);
+    Pending pending = make_snapshot(config);
+    pending_ = std::move(pending);
   } catch (...) {
     // Keys that are of no use are seen only when a pool is made.
     pools_ = before;
     throw;
   }
   for (const auto& pool : pools_) {
-    if (std::find(before.begin(), before.end(), pool) == before.end()) host_.begin(*pool);
+    if (std::find(before.begin(), before.end(), pool) == before.end()) host_.start_pool(*pool);
   }
-  put_in_force();
-  sweep_pools();
+  activate_when_ready();
+  remove_unused_pools();
 }
 
-void Generations::adopt(const Config& config) {
+void Generations::apply_in_place(const Config& config) {
   auto next = std::make_shared<RoutingSnapshot>(*snapshot_);
   ++next->number;
   next->classes = config.settings.classes;
   next->names = config.host.classes;
   next->tenants = config.host.tenants;
   next->routes = config.routes;
-  PoolConfig told = next->pools.front()->config();
-  told.discovery = config.discovery;
-  told.settings = config.settings;
-  told.host = config.host;
-  next->class_in_pool = {next->pools.front()->adopt(told)};
+  PoolConfig pool_config = next->pools.front()->config();
+  pool_config.discovery = config.discovery;
+  pool_config.settings = config.settings;
+  pool_config.host = config.host;
+  next->class_in_pool = {next->pools.front()->adopt(pool_config)};
   spdlog::info("configuration reloaded: discovery at {}, {} sockets, {} classes, {} attempts at most",
                config.discovery.toString(), config.limits.sockets, next->names.size(),
                config.settings.max_attempts);
-  pending_ = Pending{next, {told}, 0};
-  put_in_force();
+  pending_ = Pending{next, {pool_config}, 0};
+  activate_when_ready();
 }
 
 // Pools that are told as they are now go on, under another name if need be; the others are made.
 Generations::Pending Generations::make_snapshot(const Config& config) {
-  Pending made;
-  made.told = pools_of(config);
+  Pending pending;
+  pending.pool_configs = pools_of(config);
   auto snapshot = std::make_shared<RoutingSnapshot>();
   snapshot->number = snapshot_ ? snapshot_->number + 1 : 1;
   snapshot->classes = config.settings.classes;
   snapshot->names = config.host.classes;
   snapshot->tenants = config.host.tenants;
   snapshot->routes = config.routes;
-  std::vector<std::shared_ptr<Pool>> free = pools_;
-  const auto claim = [&free](const auto& fits) {
-    const auto it = std::find_if(free.begin(), free.end(), fits);
-    if (it == free.end()) return std::shared_ptr<Pool>();
+  std::vector<std::shared_ptr<Pool>> available = pools_;
+  const auto claim = [&available](const auto& fits) {
+    const auto it = std::find_if(available.begin(), available.end(), fits);
+    if (it == available.end()) return std::shared_ptr<Pool>();
     const std::shared_ptr<Pool> pool = *it;
-    free.erase(it);
+    available.erase(it);
     return pool;
   };
-  snapshot->pools.resize(made.told.size());
-  for (std::size_t n = 0; n < made.told.size(); ++n) {
-    snapshot->pools[n] = claim(
-        [&](const auto& pool) { return pool->name() == made.told[n].name && pool->serves_as(made.told[n]); });
+  snapshot->pools.resize(pending.pool_configs.size());
+  for (std::size_t n = 0; n < pending.pool_configs.size(); ++n) {
+    snapshot->pools[n] = claim([&](const auto& pool) {
+      return pool->name() == pending.pool_configs[n].name && pool->serves_as(pending.pool_configs[n]);
+    });
   }
-  for (std::size_t n = 0; n < made.told.size(); ++n) {
-    const PoolConfig& told = made.told[n];
+  for (std::size_t n = 0; n < pending.pool_configs.size(); ++n) {
+    const PoolConfig& pool_config = pending.pool_configs[n];
     const auto same_backends = [&](const auto& pool) {
-      const bool source = told.discovery ? pool->config().discovery == told.discovery
-                                         : pool->config().known.backends == told.known.backends;
-      const bool named = std::any_of(made.told.begin(), made.told.end(),
-                                     [&](const PoolConfig& other) { return other.name == pool->name(); });
-      return !named && source && pool->serves_as(told);
+      const bool same_source = pool_config.discovery
+                                   ? pool->config().discovery == pool_config.discovery
+                                   : pool->config().known.backends == pool_config.known.backends;
+      const bool still_named =
+          std::any_of(pending.pool_configs.begin(), pending.pool_configs.end(),
+                      [&](const PoolConfig& other) { return other.name == pool->name(); });
+      return !still_named && same_source && pool->serves_as(pool_config);
     };
     if (!snapshot->pools[n]) snapshot->pools[n] = claim(same_backends);
     if (!snapshot->pools[n]) {
-      snapshot->pools[n] = host_.make_pool(told, config);
+      snapshot->pools[n] = host_.make_pool(pool_config, config);
       pools_.push_back(snapshot->pools[n]);
     }
-    snapshot->class_in_pool.push_back(told.classes);
-    snapshot->fallbacks.push_back(told.fallback);
+    snapshot->class_in_pool.push_back(pool_config.classes);
+    snapshot->fallbacks.push_back(pool_config.fallback);
   }
   snapshot->admission = admissions_.make(config, snapshot_.get());
-  made.snapshot = std::move(snapshot);
-  made.until = loop_.now() + kListWait;
-  return made;
+  pending.snapshot = std::move(snapshot);
+  pending.deadline = loop_.now() + kListTimeout;
+  return pending;
 }
 
-void Generations::put_in_force() {
-  loop_.cancel(look_);
+void Generations::activate_when_ready() {
+  loop_.cancel(activation_timer_);
   if (!pending_) return;
   const std::shared_ptr<RoutingSnapshot> next = pending_->snapshot;
   const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->told(); };
-  const auto late = std::find_if(next->pools.begin(), next->pools.end(), waits);
+  const auto without_list = std::find_if(next->pools.begin(), next->pools.end(), waits);
   // Keys have no backend by a fleet admission that has no plan yet.
-  const bool planless = next->admission && !next->admission->told();
-  if ((late != next->pools.end() || planless) && loop_.now() < pending_->until) {
-    look_ = loop_.after(kLookEvery, [this] { put_in_force(); });
+  const bool without_plan = next->admission && !next->admission->told();
+  if ((without_list != next->pools.end() || without_plan) && loop_.now() < pending_->deadline) {
+    activation_timer_ = loop_.after(kActivationCheckInterval, [this] { activate_when_ready(); });
     return;
   }
-  if (late != next->pools.end() && pending_->until > 0)
-    spdlog::warn("pool {} has no list yet, generation {} goes on without", (*late)->name(), next->number);
-  const std::vector<PoolConfig> told = std::move(pending_->told);
+  if (without_list != next->pools.end() && pending_->deadline > 0)
+    spdlog::warn("pool {} has no list yet, generation {} goes on without", (*without_list)->name(),
+                 next->number);
+  const std::vector<PoolConfig> pool_configs = std::move(pending_->pool_configs);
   pending_.reset();
-  for (std::size_t n = 0; n < told.size(); ++n) {
-    next->pools[n]->follow(told[n]);
+  for (std::size_t n = 0; n < pool_configs.size(); ++n) {
+    next->pools[n]->follow(pool_configs[n]);
     next->pools[n]->rejoin();
   }
   admissions_.go_by(*snapshot_, *next);
   snapshot_ = next;
-  host_.in_force(next);
+  host_.on_activated(next);
   for (const auto& pool : pools_) {
     if (std::find(next->pools.begin(), next->pools.end(), pool) == next->pools.end()) pool->leave();
   }
   spdlog::info("generation {} in force: {} pools, {} routes", next->number, next->pools.size(),
                next->routes ? next->routes->routes.size() : 0);
-  sweep_pools();
+  remove_unused_pools();
 }
 
 // Ends pools that nothing can come to any more and nothing is with. Never from within one of their handlers.
-void Generations::sweep_pools() {
-  loop_.cancel(sweep_);
-  const auto wanted = [this](const std::shared_ptr<Pool>& pool) {
-    const auto in = [&pool](const RoutingSnapshot& t) {
-      return std::find(t.pools.begin(), t.pools.end(), pool) != t.pools.end();
+void Generations::remove_unused_pools() {
+  loop_.cancel(removal_timer_);
+  const auto in_use = [this](const std::shared_ptr<Pool>& pool) {
+    const auto in = [&pool](const RoutingSnapshot& snapshot) {
+      return std::find(snapshot.pools.begin(), snapshot.pools.end(), pool) != snapshot.pools.end();
     };
     return in(*snapshot_) || (pending_ && in(*pending_->snapshot));
   };
   std::size_t left = 0;
-  for (const auto& pool : pools_) left += wanted(pool) ? 0 : 1;
+  for (const auto& pool : pools_) left += in_use(pool) ? 0 : 1;
   if (left == 0) return;
-  sweep_ = loop_.after(kSweepEvery, [this, wanted] {
+  removal_timer_ = loop_.after(kRemovalCheckInterval, [this, in_use] {
     std::erase_if(pools_, [&](const std::shared_ptr<Pool>& pool) {
       // Past generations hold theirs for repeats.
-      const bool done = !wanted(pool) && pool.use_count() == 1 && pool->idle();
+      const bool done = !in_use(pool) && pool.use_count() == 1 && pool->idle();
       if (done) spdlog::info("pool {} has ended", pool->name());
-      if (done) written_by_ended_ += pool->written();
+      if (done) attempts_of_removed_pools_ += pool->written();
       return done;
     });
-    sweep_pools();
+    remove_unused_pools();
   });
 }
 
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -66,7 +66,7 @@
   bans_ = std::make_unique<BanList>(loop_, listed, [this] {
     for (const auto& pool : generations_.pools()) pool->ban(bans_->bans());
   });
-  generations_.begin(config);
+  generations_.start(config);
   Front::Entry entry(config.listen);
   entry.shared = !hot_restart_.standalone();
   if (context.inherited) entry.listening = context.inherited->listener;
@@ -192,7 +192,7 @@
     gauges.known_backends += pool->in_list();
     gauges.skipped_backends += pool->skipped();
   }
-  gauges.upstream_tries += generations_.written_by_ended();
+  gauges.upstream_tries += generations_.attempts_of_removed_pools();
   gauges.loads = reloader_.succeeded();
   gauges.load_errors = reloader_.failed();
   gauges.rule_violations = recorder_.violations();
@@ -209,9 +209,9 @@
   limits_.sockets = allowed_descriptors(limits_.sockets);
   flow_budget_->state(flow_budget_bytes());
   try {
-    const bool adopts = fresh.pools.empty() && config_.pools.empty();
-    adopts ? generations_.adopt(fresh) : generations_.follow(fresh);
-    if (!adopts) spdlog::info("configuration reloaded, {} sockets", limits_.sockets);
+    const bool in_place = fresh.pools.empty() && config_.pools.empty();
+    in_place ? generations_.apply_in_place(fresh) : generations_.apply(fresh);
+    if (!in_place) spdlog::info("configuration reloaded, {} sockets", limits_.sockets);
   } catch (const std::exception&) {
     limits_ = before;
     flow_budget_->state(flow_budget_bytes());
