--- a/src/manage/drain.cpp
+++ b/src/manage/drain.cpp
@@ -29,17 +29,17 @@
 }
 
 bool Drain::resume() {
-  if (leaving_) return false;
+  if (shutting_down_) return false;
   since_ = unused_until_ = 0;
   return true;
 }
 
-void Drain::leave(Millis now) {
-  if (leaving_) return;
+void Drain::shut_down(Millis now) {
+  if (shutting_down_) return;
   const Millis until = now + kUnusedAtEnd;
   unused_until_ = serving() ? until : std::min(unused_until_, until);
   if (serving()) since_ = now;
-  leaving_ = true;
+  shutting_down_ = true;
 }
 
 DrainState Drain::state(Millis now) const {
--- a/src/manage/drain.h
+++ b/src/manage/drain.h
@@ -29,18 +29,18 @@
   void drain(Millis now);  // by call; nothing if it drains already
   bool resume();           // by call; false if the process is about to end
   void replaced(
-      Millis now);         // a successor takes clients now: unused connections stay until it is time to leave
-  void leave(Millis now);  // for good
+      Millis now);  // a successor takes clients now: unused connections stay until it is time to leave
+  void shut_down(Millis now);  // for good
 
   DrainState state(Millis now) const;
   bool serving() const { return since_ == 0; }
-  bool leaving() const { return leaving_; }
+  bool shutting_down() const { return shutting_down_; }
   Millis until() const { return unused_until_; }  // when draining becomes drained, or kNever; 0 while serving
 
  private:
   Millis since_ = 0;
   Millis unused_until_ = 0;
-  bool leaving_ = false;
+  bool shutting_down_ = false;
 };
 
 }  // namespace shorelead::manage
--- a/src/node/graceful_shutdown.h
+++ b/src/node/graceful_shutdown.h
@@ -23,28 +23,28 @@
   // `accept_on`: after the word to end clients go on coming for so long.
   GracefulShutdown(Loop& loop, Millis accept_on, Host host)
       : loop_(loop), accept_on_(accept_on), host_(std::move(host)) {}
-  ~GracefulShutdown() { loop_.cancel(drain_at_); }
+  ~GracefulShutdown() { loop_.cancel(drain_timer_); }
   GracefulShutdown(const GracefulShutdown&) = delete;
   GracefulShutdown& operator=(const GracefulShutdown&) = delete;
 
   bool serving() const { return drain_.serving(); }
-  bool leaving() const { return drain_.leaving(); }
+  bool shutting_down() const { return drain_.shutting_down(); }
   void drain();
   bool resume();  // false: it is about to end
   void replaced();
-  // `longest`: what is under way may take so long. `replaced`: nobody comes here any more.
-  void shut_down(Millis longest, bool replaced);
+  // `longest_deadline`: what is under way may take so long. `replaced`: nobody comes here any more.
+  void shut_down(Millis longest_deadline, bool replaced);
 
  private:
-  void let_go();  // as the drain's state says, now and when it changes
-  void leave_when_empty(Millis until);
-  void end(Millis until);
+  void apply_drain_state();  // as the drain's state says, now and when it changes
+  void finish_when_empty(Millis deadline);
+  void finish(Millis deadline);
 
   Loop& loop_;
   const Millis accept_on_;
   const Host host_;
   manage::Drain drain_;
-  Loop::TimerId drain_at_ = 0;
+  Loop::TimerId drain_timer_ = 0;
 };
 
 }  // namespace shorelead::node
--- a/src/node/hot_restart.cpp
+++ b/src/node/hot_restart.cpp
@@ -52,7 +52,7 @@
   listener.listener = host_.listener;
   listener.list = host_.list;
   listener.refusal = [this] {
-    if (host_.leaving()) return std::string("it is about to end");
+    if (host_.shutting_down()) return std::string("it is about to end");
     return two_processes_run() ? std::string("two processes run already") : std::string();
   };
   listener.successor_came = [this] {
--- a/src/node/hot_restart.h
+++ b/src/node/hot_restart.h
@@ -29,7 +29,7 @@
     std::function<void(bool)> hold_clients;  // whether clients are left to the other process
     std::function<int()> listener;           // the socket, for the next one
     std::function<std::string()> list;       // and the list
-    std::function<bool()> leaving;           // this process is about to end
+    std::function<bool()> shutting_down;     // this process is about to end
     std::function<void()>
         on_process_count_changed;  // so many run now: each has its part of what the node may hold
     std::function<void()> on_successor_connected;  // the next one has
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -52,7 +52,7 @@
           {[this] { return can_serve(); }, [this](bool held) { front_->hold(held); },
            [this] { return front_->listening(); },
            [this] { return generations_.pools().front()->list_text(); },
-           [this] { return shutdown_.leaving(); }, [this] { flow_budget_->state(flow_budget_bytes()); },
+           [this] { return shutdown_.shutting_down(); }, [this] { flow_budget_->state(flow_budget_bytes()); },
            [this] { trim_connections(); }, [this] { shutdown_.replaced(); },
            [this] { return shutdown_.resume(); }, [this] { return admissions_.give_reserve(); },
            [this](Millis before) { admissions_.take_reserve(before); }}),
--- a/tests/manage/manage_test.cpp
+++ b/tests/manage/manage_test.cpp
@@ -122,7 +122,7 @@
   EXPECT_TRUE(drain.resume());
   EXPECT_EQ(drain.state(9000), DrainState::kServing);
   drain.drain(10000);
-  drain.leave(10100);
+  drain.shut_down(10100);
   EXPECT_FALSE(drain.resume());
   EXPECT_EQ(drain.state(10100 + Drain::kUnusedAtEnd), DrainState::kDrained);
   EXPECT_LE(Drain::kUnusedByCall,
