--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -14,30 +14,30 @@
 }
 
 // Lists of earlier will do if discovery takes its time.
-bool Readiness::lists_suffice(const RoutingSnapshot& snapshot, bool beside) const {
-  bool told = true;
+bool Readiness::lists_suffice(const RoutingSnapshot& snapshot, bool with_predecessor) const {
+  bool has_list = true;
   bool pushed = false;
   bool known = false;
   bool unusable = false;
   for (const auto& pool : snapshot.pools) {
-    told = told && pool->told();
+    has_list = has_list && pool->told();
     // While discovery is down it learns nothing, so what was known when it went down is all there is.
     pushed = pushed || (pool->pushed() && !pool->told() && !pool->unreached());
     known = known || pool->backends() > 0;
     unusable = unusable || (!pool->told() && !pool->may_use_given_list());
   }
-  if (told) return true;
-  const Millis wait = beside     ? waits_.beside
-                      : unusable ? waits_.unusable_list
-                      : pushed   ? waits_.pushed_list
-                                 : waits_.list;
-  return known && running() >= wait;
+  if (has_list) return true;
+  const Millis wait = with_predecessor ? waits_.with_predecessor
+                      : unusable       ? waits_.unusable_list
+                      : pushed         ? waits_.pushed_list
+                                       : waits_.list;
+  return known && uptime() >= wait;
 }
 
-void Readiness::log_first(const RoutingSnapshot& snapshot) {
-  if (std::exchange(logged_, true)) return;
+void Readiness::log_first_ready(const RoutingSnapshot& snapshot) {
+  if (std::exchange(logged_ready_, true)) return;
   for (const auto& pool : snapshot.pools) {
-    spdlog::info("pool {}: ready {:.2f} s after the start, {}", pool->name(), running() / 1000,
+    spdlog::info("pool {}: ready {:.2f} s after the start, {}", pool->name(), uptime() / 1000,
                  pool->told() ? "by a list told since" : "by the list given at the start: none was told");
   }
 }
--- a/src/node/readiness.h
+++ b/src/node/readiness.h
@@ -16,7 +16,7 @@
     // The same where lists are pushed and somebody answers there: what is there counts as told from the first
     // moment. Nine in ten starts have 6 s.
     Millis pushed_list = 5000;
-    Millis beside = 3000;  // where another process serves meanwhile
+    Millis with_predecessor = 3000;  // where another process serves meanwhile
     // Where nothing may be sent by the list given at the start, as it may be out of date and no health checks
     // are allowed: nine in ten starts have 6 s. From then on clients are refused at once.
     Millis unusable_list = 5000;
@@ -24,19 +24,19 @@
 
   Readiness(Loop& loop, const Waits& waits) : loop_(loop), waits_(waits), started_(loop.now()) {}
 
-  // `beside`: another process of this node serves meanwhile.
-  bool lists_suffice(const RoutingSnapshot& snapshot, bool beside) const;
+  // `with_predecessor`: another process of this node serves meanwhile.
+  bool lists_suffice(const RoutingSnapshot& snapshot, bool with_predecessor) const;
   bool admission_suffices(const RoutingSnapshot& snapshot) const;
   // Says in the log, once, by which lists this process began to take clients.
-  void log_first(const RoutingSnapshot& snapshot);
+  void log_first_ready(const RoutingSnapshot& snapshot);
 
-  Millis running() const { return loop_.now() - started_; }
+  Millis uptime() const { return loop_.now() - started_; }
 
  private:
   Loop& loop_;
   const Waits waits_;
   const Millis started_;
-  bool logged_ = false;
+  bool logged_ready_ = false;
 };
 
 }  // namespace shorelead::node
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -80,7 +80,7 @@
           [this](RequestId request) { request_table_.gone(request); },
           [this] {
             const bool is_ready = ready();
-            if (is_ready) readiness_.log_first(snapshot());
+            if (is_ready) readiness_.log_first_ready(snapshot());
             return recorder_.reported_ready(is_ready);
           },
           [this] {
@@ -133,7 +133,7 @@
 
 bool Server::can_serve() const {
   if (!readiness_.admission_suffices(snapshot())) return false;
-  if (!bans_->known() && readiness_.running() < kBanFileTimeout) return false;
+  if (!bans_->known() && readiness_.uptime() < kBanFileTimeout) return false;
   return readiness_.lists_suffice(snapshot(), hot_restart_.started_with_predecessor());
 }
 
@@ -226,7 +226,7 @@
   spdlog::info(
       "counters: up_s={:.1f} taken={} served={} refused={} failed={} client_gone={} left_early={} "
       "malformed={} reloads={} bad_reloads={} generation={} pools={} stood_in={}",
-      readiness_.running() / 1000, all.taken(), all.passed, all.dropped, all.bad_gateway, all.left,
+      readiness_.uptime() / 1000, all.taken(), all.passed, all.dropped, all.bad_gateway, all.left,
       front.left_early, front.malformed, reloader_.succeeded(), reloader_.failed(), snapshot().number,
       generations_.pools().size(), request_table_.stood_in());
   spdlog::info("counters: answers {}",
