--- a/src/node/admin_server.h
+++ b/src/node/admin_server.h
@@ -19,21 +19,21 @@
 
 class AdminServer : public Watch::Handler {
  public:
-  static constexpr std::size_t kMostCallers = 24;
+  static constexpr std::size_t kMaxCallers = 24;
   static constexpr int kDescriptors =
-      static_cast<int>(kMostCallers) + 2;  // with the listener, one just accepted
+      static_cast<int>(kMaxCallers) + 2;  // with the listener, one just accepted
 
   struct Counters {
     std::uint64_t calls = 0;
-    std::uint64_t refused = 0;  // lines that were no call
-    std::uint64_t cut = 0;      // callers that gave way to others
-    std::uint64_t silent = 0;   // and that took too long
+    std::uint64_t refused = 0;    // lines that were no call
+    std::uint64_t evicted = 0;    // callers that gave way to others
+    std::uint64_t timed_out = 0;  // and that took too long
   };
 
-  using Answer = std::function<std::string(const manage::Call&)>;
+  using CallHandler = std::function<std::string(const manage::Call&)>;
 
   // Throws Poco::Exception where the address cannot be listened on.
-  AdminServer(Loop& loop, const Poco::Net::SocketAddress& address, Answer answer);
+  AdminServer(Loop& loop, const Poco::Net::SocketAddress& address, CallHandler handle_call);
   ~AdminServer() override;
 
   unsigned short port() const { return socket_.address().port(); }
@@ -43,17 +43,17 @@
   class Caller;
 
   void on_readable() override;
-  void forget(Caller& caller);
-  void make_room();
-  void sweep();
+  void close_caller(Caller& caller);
+  void evict_if_full();
+  void close_expired();
 
   Loop& loop_;
-  Answer answer_;
+  CallHandler handle_call_;
   Poco::Net::ServerSocket socket_;
   std::unique_ptr<Watch> watch_;
   std::list<std::shared_ptr<Caller>> callers_;  // the longest here first
-  Loop::TimerId sweep_ = 0;
-  Loop::TimerId resume_ = 0;
+  Loop::TimerId expiry_timer_ = 0;
+  Loop::TimerId accept_timer_ = 0;
   Counters counters_;
 };
 
--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -60,7 +60,7 @@
 TEST(AdminServer, HoldersGiveWayToACall) {
   const NodeWithAdminServer with_admin;
   std::vector<Line> holders;
-  for (std::size_t n = 0; n < 3 * AdminServer::kMostCallers; ++n) {
+  for (std::size_t n = 0; n < 3 * AdminServer::kMaxCallers; ++n) {
     holders.push_back(with_admin.caller());
     holders.back().write("dra");
   }
