--- a/src/files/whole_file.cpp
+++ b/src/files/whole_file.cpp
@@ -12,9 +12,9 @@
 namespace shorelead::files {
 namespace {
 
-constexpr int kTries = 3;  // of the whole, each from its beginning
+constexpr int kMaxAttempts = 3;  // of the whole, each from its beginning
 
-std::string in_words(const std::string& path, const char* what) {
+std::string describe_error(const std::string& path, const char* what) {
   return path + " " + what + ": " + std::strerror(errno);
 }
 
@@ -67,23 +67,23 @@
 // Once; the file beside is left behind only by a kill.
 ReplaceResult replace_once(const std::string& path, const std::string& text) {
   // Of this process alone: another may write at the same time.
-  const std::string beside = path + "." + std::to_string(::getpid()) + ".new";
+  const std::string temporary_path = path + "." + std::to_string(::getpid()) + ".new";
   ReplaceResult result;
   {
-    const File file(beside, O_WRONLY | O_CREAT | O_TRUNC);
+    const File file(temporary_path, O_WRONLY | O_CREAT | O_TRUNC);
     if (!file.open()) {
-      result.trouble = in_words(beside, "cannot be opened");
+      result.error = describe_error(temporary_path, "cannot be opened");
       return result;
     }
     if (!file.write(text) || !file.sync()) {
-      result.trouble = in_words(beside, "cannot be written");
-      ::unlink(beside.c_str());
+      result.error = describe_error(temporary_path, "cannot be written");
+      ::unlink(temporary_path.c_str());
       return result;
     }
   }
-  if (::rename(beside.c_str(), path.c_str()) != 0) {
-    result.trouble = in_words(path, "cannot be put in its place");
-    ::unlink(beside.c_str());
+  if (::rename(temporary_path.c_str(), path.c_str()) != 0) {
+    result.error = describe_error(path, "cannot be put in its place");
+    ::unlink(temporary_path.c_str());
     return result;
   }
   result.replaced = true;
@@ -95,18 +95,18 @@
   const std::size_t slash = path.rfind('/');
   const std::string folder = slash == std::string::npos ? "." : path.substr(0, slash + 1);
   const File file(folder, O_RDONLY | O_DIRECTORY);
-  return file.open() && file.sync() ? "" : in_words(folder, "cannot be synced");
+  return file.open() && file.sync() ? "" : describe_error(folder, "cannot be synced");
 }
 
 }  // namespace
 
 ReadResult read_whole(const std::string& path) {
   ReadResult result;
-  for (int n = 0; n < kTries; ++n) {
+  for (int n = 0; n < kMaxAttempts; ++n) {
     const File file(path, O_RDONLY);
     if (!file.open() && errno == ENOENT) {
       result.status = ReadStatus::kAbsent;
-      result.cause = in_words(path, "cannot be opened");
+      result.cause = describe_error(path, "cannot be opened");
       return result;
     }
     result.text.clear();
@@ -114,7 +114,7 @@
       result.status = ReadStatus::kRead;
       return result;
     }
-    result.cause = in_words(path, file.open() ? "cannot be read" : "cannot be opened");
+    result.cause = describe_error(path, file.open() ? "cannot be read" : "cannot be opened");
   }
   result.text.clear();
   return result;
@@ -122,11 +122,11 @@
 
 ReplaceResult replace_whole(const std::string& path, const std::string& text) {
   ReplaceResult result;
-  for (int n = 0; n < kTries && !result.replaced; ++n) result = replace_once(path, text);
+  for (int n = 0; n < kMaxAttempts && !result.replaced; ++n) result = replace_once(path, text);
   if (!result.replaced) return result;
-  for (int n = 0; n < kTries; ++n) {
-    result.trouble = sync_folder_of(path);
-    if (result.trouble.empty()) break;
+  for (int n = 0; n < kMaxAttempts; ++n) {
+    result.error = sync_folder_of(path);
+    if (result.error.empty()) break;
   }
   return result;
 }
--- a/src/files/whole_file.h
+++ b/src/files/whole_file.h
@@ -25,7 +25,7 @@
 struct ReplaceResult {
   bool replaced = false;  // readers find the new text from now on
   // In words. With a file that was replaced: it may be the old one again after a loss of power.
-  std::string trouble;
+  std::string error;
 };
 
 // Puts a file with this text in the place of the one at `path`, whole or not at all: written beside it,
--- a/src/handover/ban_file.h
+++ b/src/handover/ban_file.h
@@ -34,32 +34,32 @@
   bool known() const { return known_; }
 
   struct Changed {
-    manage::BanSet bans;  // `change` applied: to what stands there, or to `mine`
-    bool kept = false;    // and it is in the file
-    std::string trouble;  // in words, if there was any
+    manage::BanSet bans;  // `change` applied: to what stands there, or to `fallback`
+    bool saved = false;   // and it is in the file
+    std::string error;    // in words, if there was any
   };
-  // Applies `change` to what stands there (to `mine` where nothing usable does) and writes it, whole or not
-  // at all.
-  Changed change(const manage::BanSet& mine, const std::function<void(manage::BanSet&)>& change);
+  // Applies `change` to what stands there (to `fallback` where nothing usable does) and writes it, whole or
+  // not at all.
+  Changed change(const manage::BanSet& fallback, const std::function<void(manage::BanSet&)>& change);
 
  private:
-  struct Mark {
+  struct FileVersion {
     ino_t inode = 0;
     off_t size = 0;
     timespec time{};
-    bool operator==(const Mark& other) const {
+    bool operator==(const FileVersion& other) const {
       return inode == other.inode && size == other.size && time.tv_sec == other.time.tv_sec &&
              time.tv_nsec == other.time.tv_nsec;
     }
   };
-  enum class Found { kUsable, kUnusable, kAbsent, kUnknown };
+  enum class ReadOutcome { kUsable, kUnusable, kAbsent, kUnknown };
 
-  std::optional<Mark> mark() const;
-  Found read(manage::BanSet& into, std::string& cause) const;
+  std::optional<FileVersion> current_version() const;
+  ReadOutcome read(manage::BanSet& into, std::string& cause) const;
 
   const std::string path_;
   const LabelledTimes times_;
-  std::optional<Mark> seen_;
+  std::optional<FileVersion> last_seen_;
   bool known_ = false;
 };
 
--- a/src/membership/saved_list.cpp
+++ b/src/membership/saved_list.cpp
@@ -85,7 +85,7 @@
 
 std::optional<std::string> store_saved_list(const std::string& path, const std::string& text) {
   files::ReplaceResult result = files::replace_whole(path, text);
-  return result.trouble.empty() ? std::nullopt : std::optional(std::move(result.trouble));
+  return result.error.empty() ? std::nullopt : std::optional(std::move(result.error));
 }
 
 SavedListWriter::~SavedListWriter() {
--- a/src/node/ban_list.h
+++ b/src/node/ban_list.h
@@ -17,38 +17,38 @@
 
 class BanList {
  public:
-  // `listed`: whether a list names this backend now; `changed`: called when the set is another.
-  BanList(Loop& loop, std::function<bool(const std::string&)> listed, std::function<void()> changed)
-      : loop_(loop), listed_(std::move(listed)), changed_(std::move(changed)) {}
-  ~BanList() { loop_.cancel(look_); }
+  // `is_listed`: whether a list names this backend now; `changed`: called when the set is another.
+  BanList(Loop& loop, std::function<bool(const std::string&)> is_listed, std::function<void()> on_changed)
+      : loop_(loop), is_listed_(std::move(is_listed)), on_changed_(std::move(on_changed)) {}
+  ~BanList() { loop_.cancel(poll_timer_); }
   BanList(const BanList&) = delete;
   BanList& operator=(const BanList&) = delete;
 
-  void share(const std::string& path);  // with other processes, by this file
+  void use_file(const std::string& path);  // with other processes, by this file
   const manage::BanSet& bans() const { return bans_; }
   // Whether the file has been read, where there is one: until then backends may be out of which nothing is
   // known.
-  bool known() const { return !file_ || known_; }
+  bool file_read() const { return !file_ || file_read_; }
   std::string change(const manage::Call& call);  // disable or enable; the answer
 
  private:
-  void look();
-  void keep_what_is_not_kept();
+  void poll_file();
+  void save_unsaved();
   std::string disable(const std::string& id);
   std::string enable(const std::string& id);
   handover::BanFile::Changed apply(const std::function<void(manage::BanSet&)>& change);
-  void put_in_force(const manage::BanSet& bans);
+  void set_bans(const manage::BanSet& bans);
 
   Loop& loop_;
-  const std::function<bool(const std::string&)> listed_;
-  const std::function<void()> changed_;
+  const std::function<bool(const std::string&)> is_listed_;
+  const std::function<void()> on_changed_;
   manage::BanSet bans_;
   std::unique_ptr<handover::BanFile> file_;
-  std::set<std::string> not_kept_;  // out in this process alone, as the file could not be written
-  std::string told_cause_;          // of trouble with the file, in the log already
-  bool known_ = false;              // ever
-  Millis keep_at_ = 0;              // when that is tried again
-  Loop::TimerId look_ = 0;
+  std::set<std::string> unsaved_;  // out in this process alone, as the file could not be written
+  std::string logged_cause_;       // of trouble with the file, in the log already
+  bool file_read_ = false;         // ever
+  Millis next_save_ = 0;           // when that is tried again
+  Loop::TimerId poll_timer_ = 0;
 };
 
 }  // namespace shorelead::node
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -43,7 +43,7 @@
 
 void write_whole(const std::string& path, const std::string& text) {
   const auto result = shorelead::files::replace_whole(path, text);
-  if (!result.replaced) throw shorelead::FieldError(path + " cannot be written: " + result.trouble);
+  if (!result.replaced) throw shorelead::FieldError(path + " cannot be written: " + result.error);
 }
 
 // Prints a .shore file in its one form, or puts it there (`in_place`), or only says whether it has it
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -35,7 +35,7 @@
                       return make_pool(pool_config, whole);
                     },
                     [this](Pool& pool) {
-                      pool.ban(bans_->bans());
+                      pool.ban(ban_list_->bans());
                       pool.start();
                     },
                     [this](std::shared_ptr<const RoutingSnapshot> next) {
@@ -63,8 +63,8 @@
     return std::any_of(generations_.pools().begin(), generations_.pools().end(),
                        [&id](const auto& pool) { return pool->lists(id); });
   };
-  bans_ = std::make_unique<BanList>(loop_, listed, [this] {
-    for (const auto& pool : generations_.pools()) pool->ban(bans_->bans());
+  ban_list_ = std::make_unique<BanList>(loop_, listed, [this] {
+    for (const auto& pool : generations_.pools()) pool->ban(ban_list_->bans());
   });
   generations_.start(config);
   Front::Entry entry(config.listen);
@@ -91,7 +91,7 @@
           [this] { return room_.make(limits::Purpose::kClient, *front_); },
           [this](RequestId request, Millis due) { request_table_.body_whole(request, due); }, flow_budget_,
           &recorder_});
-  if (!hot_restart_.standalone()) bans_->share(context.ban_file_path());
+  if (!hot_restart_.standalone()) ban_list_->use_file(context.ban_file_path());
   admissions_.go_by(snapshot(), snapshot());
   for (const auto& pool : generations_.pools()) pool->start();
   hot_restart_.begin();
@@ -133,7 +133,7 @@
 
 bool Server::can_serve() const {
   if (!readiness_.admission_suffices(snapshot())) return false;
-  if (!bans_->known() && readiness_.uptime() < kBanFileTimeout) return false;
+  if (!ban_list_->file_read() && readiness_.uptime() < kBanFileTimeout) return false;
   return readiness_.lists_suffice(snapshot(), hot_restart_.started_with_predecessor());
 }
 
@@ -174,7 +174,7 @@
       return manage::listing(metrics());
     case manage::CallKind::kDisable:
     case manage::CallKind::kEnable:
-      return bans_->change(call);
+      return ban_list_->change(call);
     case manage::CallKind::kDrain:
       shutdown_.drain();
       return manage::yes("draining");
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -88,7 +88,7 @@
   DescriptorRoom room_;
   RequestTable request_table_;
   std::unique_ptr<Front> front_;
-  std::unique_ptr<BanList> bans_;
+  std::unique_ptr<BanList> ban_list_;
   GracefulShutdown shutdown_;
   HotRestart hot_restart_;
   std::unique_ptr<AdminServer> admin_server_;  // only where the configuration names one
--- a/tests/faults/bans_test.cpp
+++ b/tests/faults/bans_test.cpp
@@ -56,13 +56,13 @@
   for (const Call call : kWrites) {
     for (const int error : {ENOSPC, EIO}) {
       for (const int times : {1, 1000}) {
-        Kept kept;
-        ASSERT_TRUE(done(kept.disable("s-before")));
+        Kept saved;
+        ASSERT_TRUE(done(saved.disable("s-before")));
         fail_next(call, error, times);
-        const std::string answer = kept.disable("s-1");
+        const std::string answer = saved.disable("s-1");
         faults::clear();
-        EXPECT_EQ(done(answer), kept.next_knows("s-1")) << name_of(call) << " " << times << ": " << answer;
-        EXPECT_TRUE(kept.next_knows("s-before")) << name_of(call) << " " << times;
+        EXPECT_EQ(done(answer), saved.next_knows("s-1")) << name_of(call) << " " << times << ": " << answer;
+        EXPECT_TRUE(saved.next_knows("s-before")) << name_of(call) << " " << times;
         if (times == 1) {
           EXPECT_TRUE(done(answer)) << name_of(call) << ": a moment passes: " << answer;
         }
@@ -74,61 +74,61 @@
 // The file cannot be read for a moment: what stands in it is neither passed over nor written over.
 TEST(Bans, WhatAnotherProcessKeptIsNotLostWhereReadingFails) {
   for (const int times : {1, 1000}) {
-    Kept kept;
+    Kept saved;
     Kept other;
-    other.bans.share(kept.path);
+    other.bans.share(saved.path);
     fail_next(Call::kReadFile, EIO, times);
-    kept.disable("s-1");
+    saved.disable("s-1");
     other.disable("s-2");
     faults::clear();
-    kept.disable("s-3");
-    EXPECT_TRUE(kept.next_knows("s-3"));
-    EXPECT_EQ(kept.next_knows("s-1"), true) << times;
+    saved.disable("s-3");
+    EXPECT_TRUE(saved.next_knows("s-3"));
+    EXPECT_EQ(saved.next_knows("s-1"), true) << times;
     if (times == 1) {
-      EXPECT_TRUE(kept.next_knows("s-2"));
+      EXPECT_TRUE(saved.next_knows("s-2"));
     }
   }
 }
 
 // A process that cannot read at its start what is out does not know, and says so until it does.
 TEST(Bans, AStartThatCannotReadThemDoesNotKnowThem) {
-  Kept kept;
-  ASSERT_TRUE(done(kept.disable("s-1")));
+  Kept saved;
+  ASSERT_TRUE(done(saved.disable("s-1")));
   BanList next(
-      kept.loop, [](const std::string&) { return true; }, [] {});
+      saved.loop, [](const std::string&) { return true; }, [] {});
   fail_next(Call::kReadFile, EIO, 10);
-  next.share(kept.path);
+  next.share(saved.path);
   EXPECT_FALSE(next.known());
-  kept.loop.after(300, [&kept] { kept.loop.stop(); });
-  kept.loop.run();
+  saved.loop.after(300, [&saved] { saved.loop.stop(); });
+  saved.loop.run();
   EXPECT_TRUE(next.known());
   EXPECT_TRUE(next.bans().out("s-1"));
 }
 
 // What could not be kept holds here, and is kept once that can be.
 TEST(Bans, WhatCouldNotBeKeptIsKeptLater) {
-  Kept kept;
+  Kept saved;
   fail_next(Call::kWriteFile, ENOSPC, 1000);
-  EXPECT_FALSE(done(kept.disable("s-1")));
-  EXPECT_TRUE(kept.bans.bans().out("s-1"));
+  EXPECT_FALSE(done(saved.disable("s-1")));
+  EXPECT_TRUE(saved.bans.bans().out("s-1"));
   faults::clear();
-  kept.loop.after(1200, [&kept] { kept.loop.stop(); });
-  kept.loop.run();
-  EXPECT_TRUE(kept.next_knows("s-1"));
-  EXPECT_TRUE(done(kept.disable("s-1")));
+  saved.loop.after(1200, [&saved] { saved.loop.stop(); });
+  saved.loop.run();
+  EXPECT_TRUE(saved.next_knows("s-1"));
+  EXPECT_TRUE(done(saved.disable("s-1")));
 }
 
 // One that cannot be kept as back stays out, here as there.
 TEST(Bans, WhoCannotBeKeptAsBackStaysOut) {
-  Kept kept;
-  ASSERT_TRUE(done(kept.disable("s-1")));
+  Kept saved;
+  ASSERT_TRUE(done(saved.disable("s-1")));
   fail_next(Call::kRename, EIO, 1000);
-  EXPECT_FALSE(done(kept.call(manage::CallKind::kEnable, "s-1")));
-  EXPECT_TRUE(kept.bans.bans().out("s-1"));
+  EXPECT_FALSE(done(saved.call(manage::CallKind::kEnable, "s-1")));
+  EXPECT_TRUE(saved.bans.bans().out("s-1"));
   faults::clear();
-  EXPECT_TRUE(kept.next_knows("s-1"));
-  EXPECT_TRUE(done(kept.call(manage::CallKind::kEnable, "s-1")));
-  EXPECT_FALSE(kept.next_knows("s-1"));
+  EXPECT_TRUE(saved.next_knows("s-1"));
+  EXPECT_TRUE(done(saved.call(manage::CallKind::kEnable, "s-1")));
+  EXPECT_FALSE(saved.next_knows("s-1"));
 }
 
 }  // namespace
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -146,9 +146,9 @@
   EXPECT_FALSE(one.read_if_new(cause));  // no file yet: nothing is out, and nothing is wrong
   EXPECT_EQ(cause, "");
   const auto of_one = one.change({}, [](auto& set) { set.disable("s-1", 10); });
-  EXPECT_TRUE(of_one.kept);
+  EXPECT_TRUE(of_one.saved);
   const auto of_two = two.change({}, [](auto& set) { set.disable("s-2", 20); });
-  EXPECT_TRUE(of_two.kept && of_two.bans.out("s-1")) << "what the other was told is not undone";
+  EXPECT_TRUE(of_two.saved && of_two.bans.out("s-1")) << "what the other was told is not undone";
   EXPECT_FALSE(two.read_if_new(cause)) << "its own change is no news";
   const auto seen = one.read_if_new(cause);
   ASSERT_TRUE(seen);
@@ -169,8 +169,8 @@
   BanFile file("/nowhere/at/all/bans");
   const auto changed = file.change({}, [](auto& set) { set.disable("s-1", 10); });
   EXPECT_TRUE(changed.bans.out("s-1"));
-  EXPECT_FALSE(changed.kept);
-  EXPECT_NE(changed.trouble.find("/nowhere/at/all/bans"), std::string::npos);
+  EXPECT_FALSE(changed.saved);
+  EXPECT_NE(changed.error.find("/nowhere/at/all/bans"), std::string::npos);
 }
 
 }  // namespace
