--- a/src/node/config_reloader.cpp
+++ b/src/node/config_reloader.cpp
@@ -7,7 +7,7 @@
 namespace shorelead::node {
 namespace {
 
-// A new configuration counts 4 s after it was told; half of that is left for what it brings.
+// A new configuration must be in force 4 s after the signal; half of that is left for its new pools.
 constexpr Millis kRetryInterval = 50;
 constexpr int kMaxAttempts = 40;
 
--- a/src/node/config_reloader.h
+++ b/src/node/config_reloader.h
@@ -1,6 +1,5 @@
-// New configurations: when one is read, and again where its file could not be read for a moment. Owns the
-// counts of both outcomes; it must never put anything in force itself, nor let a file that is wrong change
-// anything.
+// Reloads the configuration: reads it, retries while the file cannot be read, checks it against the current
+// one and hands it to the host. Counts successful and failed reloads. An invalid file changes nothing.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +14,8 @@
  public:
   using ReadConfig = std::function<Config()>;
   struct Host {
-    std::function<const Shape&()> shape;  // of the file in force, whose keys a new one has to have
-    std::function<void(Config)> apply;    // throws where that cannot be; all is as before then
+    std::function<const Shape&()> shape;  // of the current file, whose keys a new one must have
+    std::function<void(Config)> apply;    // throws if it cannot be applied; nothing has changed then
   };
 
   ConfigReloader(Loop& loop, Host host) : loop_(loop), host_(std::move(host)) {}
@@ -24,8 +23,8 @@
   ConfigReloader(const ConfigReloader&) = delete;
   ConfigReloader& operator=(const ConfigReloader&) = delete;
 
-  // What `read` brings counts from now on. Where it throws, or lacks a key, all stays as it was; but a file
-  // that cannot be read now is read again for a while, as what it says is owed.
+  // Applies the configuration that `read` returns. If `read` throws, or a key is missing, nothing changes. A
+  // file that cannot be read is retried for a while, so that a transient error does not lose the reload.
   void reload(const ReadConfig& read);
 
   std::uint64_t succeeded() const { return succeeded_; }
--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -8,10 +8,10 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kListTimeout =
-    3000;  // for the lists of new pools, before a generation comes in force without them
-constexpr Millis kActivationCheckInterval = 10;  // whether they are there
-constexpr Millis kRemovalCheckInterval = 50;     // whether pools that were left are done
+// For the lists of new pools; after it a generation is activated without them.
+constexpr Millis kListTimeout = 3000;
+constexpr Millis kActivationCheckInterval = 10;
+constexpr Millis kRemovalCheckInterval = 50;
 
 }  // namespace
 
@@ -26,13 +26,13 @@
 void Generations::start(const Config& config) { snapshot_ = make_snapshot(config).snapshot; }
 
 void Generations::apply(const Config& config) {
-  // What was pending is overtaken; its pools go on where the newer one has them as well.
+  // Replaces a pending generation; its pools are kept if the newer one has them as well.
   const std::vector<std::shared_ptr<Pool>> before = pools_;
   try {
     Pending pending = make_snapshot(config);
     pending_ = std::move(pending);
   } catch (...) {
-    // Keys that are of no use are seen only when a pool is made.
+    // Unusable TLS keys are detected only when a pool is made.
     pools_ = before;
     throw;
   }
@@ -62,7 +62,7 @@
   activate_when_ready();
 }
 
-// Pools that are told as they are now go on, under another name if need be; the others are made.
+// Reuses pools whose configuration has not changed, even if they were renamed, and makes the others.
 Generations::Pending Generations::make_snapshot(const Config& config) {
   Pending pending;
   pending.pool_configs = pools_of(config);
@@ -117,7 +117,7 @@
   const std::shared_ptr<RoutingSnapshot> next = pending_->snapshot;
   const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->told(); };
   const auto without_list = std::find_if(next->pools.begin(), next->pools.end(), waits);
-  // Keys have no backend by a fleet admission that has no plan yet.
+  // Without a plan, the fleet admission has no backend for a key.
   const bool without_plan = next->admission && !next->admission->told();
   if ((without_list != next->pools.end() || without_plan) && loop_.now() < pending_->deadline) {
     activation_timer_ = loop_.after(kActivationCheckInterval, [this] { activate_when_ready(); });
@@ -143,7 +143,8 @@
   remove_unused_pools();
 }
 
-// Ends pools that nothing can come to any more and nothing is with. Never from within one of their handlers.
+// Removes pools that get no new requests and have none left. Runs from a timer, as a pool must not be
+// destroyed within one of its own handlers.
 void Generations::remove_unused_pools() {
   loop_.cancel(removal_timer_);
   const auto in_use = [this](const std::shared_ptr<Pool>& pool) {
@@ -157,7 +158,7 @@
   if (left == 0) return;
   removal_timer_ = loop_.after(kRemovalCheckInterval, [this, in_use] {
     std::erase_if(pools_, [&](const std::shared_ptr<Pool>& pool) {
-      // Past generations hold theirs for repeats.
+      // Earlier generations hold references to their pools for repeated requests.
       const bool done = !in_use(pool) && pool.use_count() == 1 && pool->idle();
       if (done) spdlog::info("pool {} has ended", pool->name());
       if (done) attempts_of_removed_pools_ += pool->written();
--- a/src/node/generations.h
+++ b/src/node/generations.h
@@ -1,6 +1,6 @@
-// Generations of the configuration: how a new one is made out of the pools that live, waits for their lists,
-// and comes in force. Owns the pools, which end once no generation can send to them and nothing is with them.
-// It must never touch what is under way.
+// Generations of the configuration. A new generation reuses the pools that have not changed, waits for the
+// lists of its new pools, and is then activated. Owns the pools; one is removed when no generation can send
+// to it and it has no requests left. Requests in progress keep the generation that they began with.
 #pragma once
 
 #include <functional>
@@ -20,7 +20,7 @@
  public:
   struct Host {
     std::function<std::shared_ptr<Pool>(const PoolConfig&, const Config&)> make_pool;
-    std::function<void(Pool&)> start_pool;  // of a pool that has come with a reload
+    std::function<void(Pool&)> start_pool;  // called for each pool that a reload adds
     std::function<void(std::shared_ptr<const RoutingSnapshot>)> on_activated;
   };
 
@@ -29,29 +29,27 @@
   Generations(const Generations&) = delete;
   Generations& operator=(const Generations&) = delete;
 
-  void start(const Config& config);  // the first one, in force at once
-  // The next one. Throws where it cannot be made; then all stays as it was.
+  void start(const Config& config);  // makes and activates the first generation
+  // Makes the next generation. Throws if it cannot be made; nothing has changed then.
   void apply(const Config& config);
-  // The platform's form: the one pool goes on with what it has learnt.
+  // The same for the platform's JSON: its one pool is updated in place and keeps its statistics.
   void apply_in_place(const Config& config);
 
-  const std::shared_ptr<const RoutingSnapshot>& snapshot() const { return snapshot_; }  // in force
-  // All that live: in force, pending, or left with something to do.
+  const std::shared_ptr<const RoutingSnapshot>& snapshot() const { return snapshot_; }  // the active one
+  // All pools: of the active and the pending generation, and removed ones with requests left.
   const std::vector<std::shared_ptr<Pool>>& pools() const { return pools_; }
-  std::uint64_t attempts_of_removed_pools() const {
-    return attempts_of_removed_pools_;
-  }  // attempts of pools that have ended
+  std::uint64_t attempts_of_removed_pools() const { return attempts_of_removed_pools_; }
 
  private:
-  // One that waits for the lists of its new pools before requests go by it.
+  // A generation that waits for the lists of its new pools before it is activated.
   struct Pending {
     std::shared_ptr<RoutingSnapshot> snapshot;
-    std::vector<PoolConfig> pool_configs;  // by pool: what it is to follow once the generation is in force
+    std::vector<PoolConfig> pool_configs;  // by pool, applied at the activation
     Millis deadline = 0;
   };
 
   Pending make_snapshot(const Config& config);
-  void activate_when_ready();  // what is pending, if it is time
+  void activate_when_ready();  // the pending generation; also once its deadline has passed
   void remove_unused_pools();
 
   Loop& loop_;
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -5,13 +5,14 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kAfterListenerClosed = 100;  // and for a request on a connection taken in at the very end
+// For requests on connections that were accepted just before the listener was closed.
+constexpr Millis kAfterListenerClosed = 100;
 constexpr Millis kPollInterval = 20;
-// So long beyond the longest deadline what is left is answered: the kill comes 0.7 s beyond it, and this
-// process may be held up for 0.15 s by then.
+// After the longest deadline and this time, the remaining requests are answered with an error: SIGKILL
+// follows 0.7 s after the deadline, and the process may not be scheduled for 0.15 s before it.
 constexpr Millis kGraceAfterDeadline = 500;
-constexpr Millis kGiveBackTimeout =
-    300;  // what is shared may take so long to be given back; the lease ends the rest
+// For returning shares to the fleet; what is not returned in time ends with its lease.
+constexpr Millis kGiveBackTimeout = 300;
 
 }  // namespace
 
@@ -64,11 +65,10 @@
     loop_.after(kPollInterval, [this, deadline] { finish_when_empty(deadline); });
     return;
   }
-  // Guards against ending without an answer to what came at the very end, or has longer than any class of
-  // now.
+  // Answers requests that came last, or whose deadline is longer than that of any current class.
   host_.front().give_up();
   loop_.after(kPollInterval, [this] {
-    host_.front().give_up();  // what came meanwhile
+    host_.front().give_up();  // requests that came meanwhile
     finish(loop_.now() + kGiveBackTimeout);
   });
 }
--- a/src/node/graceful_shutdown.h
+++ b/src/node/graceful_shutdown.h
@@ -1,6 +1,6 @@
-// How a process lets go of its clients: drained by hand, replaced by another process of its node, or ending.
-// Owns the drain's state and the order of an end: it must never end without having answered what it had
-// taken, nor make an end wait for the store.
+// Draining and shutdown of a process: by an operator's call, after another process of the node took over, or
+// on SIGTERM. Owns the drain state and the order of the steps. Every accepted request is answered before the
+// process ends, and the end does not wait for the fleet's store beyond a time-out.
 #pragma once
 
 #include <functional>
@@ -16,11 +16,11 @@
   struct Host {
     std::function<Front&()> front;
     std::function<std::size_t()> open_requests;
-    // Gives back what is shared with other processes; whether that is done.
+    // Returns leases and shares to the fleet; true once that is done.
     std::function<bool()> give_back;
   };
 
-  // `accept_on`: after the word to end clients go on coming for so long.
+  // `accept_on`: time after shut_down() for which new clients are still accepted.
   GracefulShutdown(Loop& loop, Millis accept_on, Host host)
       : loop_(loop), accept_on_(accept_on), host_(std::move(host)) {}
   ~GracefulShutdown() { loop_.cancel(drain_timer_); }
@@ -30,13 +30,13 @@
   bool serving() const { return drain_.serving(); }
   bool shutting_down() const { return drain_.shutting_down(); }
   void drain();
-  bool resume();  // false: it is about to end
+  bool resume();  // false if the process is shutting down
   void replaced();
-  // `longest_deadline`: what is under way may take so long. `replaced`: nobody comes here any more.
+  // `longest_deadline`: time that requests in progress may take. `replaced`: another process accepts clients.
   void shut_down(Millis longest_deadline, bool replaced);
 
  private:
-  void apply_drain_state();  // as the drain's state says, now and when it changes
+  void apply_drain_state();  // to the front, now and at the next change of the state
   void finish_when_empty(Millis deadline);
   void finish(Millis deadline);
 
--- a/src/node/hot_restart.cpp
+++ b/src/node/hot_restart.cpp
@@ -7,7 +7,7 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kCheckInterval = 10;  // whether it could serve
+constexpr Millis kCheckInterval = 10;  // of whether this process can serve
 
 }  // namespace
 
--- a/src/node/hot_restart.h
+++ b/src/node/hot_restart.h
@@ -1,6 +1,6 @@
-// One process of a node after the other: what it takes over from the one before, and hands to the next. Owns
-// the two channels and who of them takes clients; it must never close the door on clients that nobody else
-// takes in.
+// Hot restart: a new process of a node takes over the listening socket and the list of backends from the
+// running one. Owns the connections to the predecessor and to a successor, and decides which process accepts
+// clients. At any time at least one of them does.
 #pragma once
 
 #include <functional>
@@ -15,8 +15,8 @@
 
 class HotRestart {
  public:
-  // What a process shares with others of its node: a folder, and what the one before handed over. Without a
-  // folder it is alone.
+  // What a process shares with others of its node: a directory, and the state inherited from the
+  // predecessor. Without a directory there is no hot restart.
   struct RestartContext {
     std::string directory;
     std::optional<handover::InheritedState> inherited;
@@ -26,17 +26,17 @@
   };
   struct Host {
     std::function<bool()> can_serve;
-    std::function<void(bool)> hold_clients;  // whether clients are left to the other process
-    std::function<int()> listener;           // the socket, for the next one
-    std::function<std::string()> list;       // and the list
-    std::function<bool()> shutting_down;     // this process is about to end
-    std::function<void()>
-        on_process_count_changed;  // so many run now: each has its part of what the node may hold
-    std::function<void()> on_successor_connected;  // the next one has
-    std::function<void()> on_replaced;             // and takes clients
-    std::function<bool()> resume;                  // it has ended: whether this one may take them again
-    // What one process of the node alone may have, a fleet's reserve: this one gives it up, and says how long
-    // what was begun with it lasts; or has it, the other's being over after `before`.
+    std::function<void(bool)> hold_clients;          // true: the other process accepts clients
+    std::function<int()> listener;                   // the listening socket, for the successor
+    std::function<std::string()> list;               // the list of backends, for the successor
+    std::function<bool()> shutting_down;             // whether this process is ending
+    std::function<void()> on_process_count_changed;  // each process has its part of the node's limits
+    std::function<void()> on_successor_connected;    // has the listening socket
+    std::function<void()> on_replaced;               // the successor accepts clients
+    std::function<bool()> resume;                    // the successor ended; whether this one may serve again
+    // Only one process of the node may use the fleet's reserve. give_reserve() gives it up and returns how
+    // long requests sent with it may still run; take_reserve() takes it, while those of the other process
+    // run for `before` at most.
     std::function<Millis()> give_reserve;
     std::function<void(Millis before)> take_reserve;
   };
@@ -50,10 +50,8 @@
   bool standalone() const { return context_.directory.empty(); }
   const RestartContext& context() const { return context_; }
   bool is_replaced() const { return replaced_; }  // another process of the node serves
-  bool started_with_predecessor() const {
-    return handover_client_ != nullptr;
-  }  // it began beside another one
-  // Two processes are one node: each keeps to half of what it may hold.
+  bool started_with_predecessor() const { return handover_client_ != nullptr; }
+  // While two processes run, each keeps to half of the node's limits.
   bool two_processes_run() const;
 
  private:
@@ -65,8 +63,8 @@
   Loop& loop_;
   const RestartContext context_;
   const Host host_;
-  std::unique_ptr<handover::HandoverClient> handover_client_;  // the process before this one
-  std::unique_ptr<handover::HandoverServer> handover_server_;  // where the next one comes
+  std::unique_ptr<handover::HandoverClient> handover_client_;  // connection to the predecessor
+  std::unique_ptr<handover::HandoverServer> handover_server_;  // listens for a successor
   bool replaced_ = false;
   Loop::TimerId check_timer_ = 0;
 };
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -1,4 +1,4 @@
-// The command line. It owns the reading of flags and the exit code; each command's work is done elsewhere.
+// The command line: parses flags, runs the command and sets the exit code.
 #include <Poco/Exception.h>
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -46,8 +46,8 @@
   if (!result.replaced) throw shorelead::FieldError(path + " cannot be written: " + result.error);
 }
 
-// Prints a .shore file in its one form, or puts it there (`in_place`), or only says whether it has it
-// (`only_check`).
+// Formats a .shore file: prints the result, replaces the file (`in_place`), or only reports whether it is
+// formatted (`only_check`).
 int format_file(const std::string& path, bool only_check, bool in_place) {
   namespace language = shorelead::language;
   const auto text = language::disk().read(path);
@@ -70,9 +70,9 @@
   return 0;
 }
 
-constexpr int kSomethingLeft = 3;  // exit code of `config migrate`: done, and not all was carried over
+constexpr int kPartlyMigrated = 3;  // exit code of `config migrate`: some settings were not migrated
 
-// Writes the counterpart of an old configuration for the new shape; `output` empty: to standard output.
+// Migrates an old configuration to the new shape; an empty `output` stands for standard output.
 int migrate_file(const std::string& path, const std::string& output, bool dry, bool replace,
                  const shorelead::node::NewShape& shape) {
   std::ifstream file(path, std::ios::binary);
@@ -95,7 +95,7 @@
   if (!dry && !output.empty()) write_whole(output, migration.text);
   std::cerr << path << ": " << migration.changed.size() << " changed, " << migration.left.size()
             << " left to do" << (dry ? "; nothing written" : "") << "\n";
-  return migration.left.empty() ? 0 : kSomethingLeft;
+  return migration.left.empty() ? 0 : kPartlyMigrated;
 }
 
 int check_file(const std::string& path, bool strict) {
@@ -105,8 +105,8 @@
     std::cerr << document.problems.size() << (document.problems.size() == 1 ? " mistake\n" : " mistakes\n");
     return 1;
   }
-  shorelead::node::load_shore(path, {}, shorelead::language::disk());  // what only the node can tell
-  for (const auto& doubt : document.warnings) std::cerr << doubt.text();
+  shorelead::node::load_shore(path, {}, shorelead::language::disk());  // semantic checks of the node
+  for (const auto& warning : document.warnings) std::cerr << warning.text();
   if (strict && !document.warnings.empty()) return 1;
   std::cout << path << ": " << document.sections.size() << " blocks in " << document.files.size()
             << (document.files.size() == 1 ? " file" : " files") << ", no mistake";
@@ -117,7 +117,7 @@
   return 0;
 }
 
-// What changes for traffic; exit code 1 if anything does, as diff has it.
+// Prints the differences that affect traffic. Returns exit code 1 if there are any, as diff(1) does.
 int print_difference(const std::string& before, const std::string& after, bool json) {
   const auto disk = shorelead::language::disk();
   const auto found = shorelead::node::differences(shorelead::node::load_shore(before, {}, disk),
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -13,7 +13,7 @@
   return snapshot.number != 1 || !snapshot.admission || snapshot.admission->told();
 }
 
-// Lists of earlier will do if discovery takes its time.
+// Older lists suffice if discovery does not answer in time.
 bool Readiness::lists_suffice(const RoutingSnapshot& snapshot, bool with_predecessor) const {
   bool has_list = true;
   bool pushed = false;
@@ -21,7 +21,7 @@
   bool unusable = false;
   for (const auto& pool : snapshot.pools) {
     has_list = has_list && pool->told();
-    // While discovery is down it learns nothing, so what was known when it went down is all there is.
+    // While discovery is down it has no news, so waiting for a pushed list gains nothing.
     pushed = pushed || (pool->pushed() && !pool->told() && !pool->unreached());
     known = known || pool->backends() > 0;
     unusable = unusable || (!pool->told() && !pool->may_use_given_list());
--- a/src/node/readiness.h
+++ b/src/node/readiness.h
@@ -1,6 +1,5 @@
-// Whether this process knows its backends well enough to take clients, and by what. Owns when it began and
-// whether it has said so; it must never ask for a list, nor look at anything but what pools and fleet
-// admissions say.
+// Decides whether a starting process knows its backends well enough to accept clients, from the state of its
+// pools and fleet admission. Requests no lists itself.
 #pragma once
 
 #include "node/net.h"
@@ -10,15 +9,15 @@
 
 class Readiness {
  public:
-  // How long a process waits at its start for a list of now, in milliseconds.
+  // How long a starting process waits for a current list, in milliseconds.
   struct Waits {
-    Millis list = 500;  // where one of earlier is known
-    // The same where lists are pushed and somebody answers there: what is there counts as told from the first
-    // moment. Nine in ten starts have 6 s.
+    Millis list = 500;  // if a saved or configured list is known
+    // The same where lists are pushed and discovery responds: its list counts as known from the first moment,
+    // so a start without it would use outdated backends. Nine in ten starts have 6 s.
     Millis pushed_list = 5000;
-    Millis with_predecessor = 3000;  // where another process serves meanwhile
-    // Where nothing may be sent by the list given at the start, as it may be out of date and no health checks
-    // are allowed: nine in ten starts have 6 s. From then on clients are refused at once.
+    Millis with_predecessor = 3000;  // if another process of the node serves meanwhile
+    // If no request may be sent by the list given at the start, because it may be out of date and health
+    // checks are not allowed. Nine in ten starts have 6 s. From then on requests are refused at once.
     Millis unusable_list = 5000;
   };
 
@@ -27,7 +26,7 @@
   // `with_predecessor`: another process of this node serves meanwhile.
   bool lists_suffice(const RoutingSnapshot& snapshot, bool with_predecessor) const;
   bool admission_suffices(const RoutingSnapshot& snapshot) const;
-  // Says in the log, once, by which lists this process began to take clients.
+  // Logs once by which lists this process began to serve.
   void log_first_ready(const RoutingSnapshot& snapshot);
 
   Millis uptime() const { return loop_.now() - started_; }
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -20,7 +20,7 @@
 namespace shorelead::node {
 namespace {
 
-// What a start needs of the system may be missing for a moment; nine in ten starts have 10 s.
+// Descriptors, memory or files may be unavailable for a moment. Nine in ten starts have 10 s.
 constexpr int kMaxStartAttempts = 100;
 constexpr std::chrono::milliseconds kStartRetryInterval{20};
 
@@ -34,7 +34,7 @@
          error == ENOMEM || error == ENOSPC || error == EIO;
 }
 
-// A step of the start, again for a while where the system could not give what it needs.
+// Runs a step of the start, and repeats it for a while after transient errors of the system.
 template <typename Step>
 auto with_retries(Step step) {
   for (int n = 1;; ++n) {
@@ -54,7 +54,8 @@
   }
 }
 
-// The folder that one process of a node shares with the next, and what a process that serves hands over.
+// Returns the directory shared between the processes of a node, and the state that a running process hands
+// over, if there is one; its list of backends replaces the configured one.
 Server::RestartContext inherit_state(Config& config) {
   constexpr double kHandoverTimeout = 1500;  // ms, for the other process to answer
   Server::RestartContext context;
@@ -104,7 +105,7 @@
   Server::RestartContext context;
   if (config.admin) context = inherit_state(config);
   const auto make_server = [&] { return std::make_unique<Server>(*loop, config, Server::Waits(), context); };
-  // What was handed over can be used once.
+  // The inherited descriptors can be used only once, so this is not retried.
   const std::unique_ptr<Server> owned = context.inherited ? make_server() : with_retries(make_server);
   Server& server = *owned;
   server.recorder().write_at_crash();
@@ -116,7 +117,7 @@
     });
   });
   for (const std::string& warning : config.warnings) spdlog::warn("configuration: {}", warning);
-  // From here on each request that comes is owed an answer.
+  // From here on every accepted request must be answered.
   with_retries([&server] { server.open(); });
   if (config.pools.empty()) {
     spdlog::info("serving on {}, discovery at {}, list {} with {} backends", config.listen.toString(),
--- a/src/node/serve.h
+++ b/src/node/serve.h
@@ -1,5 +1,5 @@
-// The command that runs one node: reads its configuration, takes over from the process before it, and serves
-// until it is told to end. Owns the start alone.
+// The `serve` command: reads the configuration, takes over from a running process of the same node, and
+// serves until SIGTERM.
 #pragma once
 
 #include <string>
@@ -10,15 +10,15 @@
 
 struct ServeOptions {
   std::string config;  // path of the configuration: the platform's JSON, or .shore
-  std::string own;     // path of the node's own file, TOML; empty: none
+  std::string own;     // path of the additional TOML file for the platform's JSON; empty: none
   std::string log_level = "info";
   Overrides flags;
 };
 
-// As the options, the environment and the files say it now; `is_reload`: for a reload. Throws FieldError.
+// Reads the configuration from the options, the environment and the files. Throws FieldError.
 Config load(const ServeOptions& options, bool is_reload);
 
-// Until SIGTERM; the exit code. Throws where the node cannot start.
+// Runs a node until SIGTERM and returns the exit code. Throws if the node cannot start.
 int serve(const ServeOptions& options);
 
 }  // namespace shorelead::node
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -8,14 +8,14 @@
 namespace shorelead::node {
 namespace {
 
-constexpr int kReservedDescriptors =
-    32;  // standard streams, reactor, timers, signals, listener, watch, spare
-constexpr double kFlowMemoryShare = 0.25;  // of the node's memory, for bodies that are not kept whole
-constexpr double kDefaultMemoryMb = 256;   // MB, where the configuration does not tell
-constexpr int kNearlyFullDivisor = 8;      // room is short when less than one in so many descriptors is free
-constexpr int kPlentifulDivisor = 2;       // and plentiful when less than one in so many is in use
-constexpr int kManyIdleDivisor = 6;        // clients' unused connections are many beyond one in so many
-constexpr Millis kBanFileTimeout = 5000;   // for the file of those that are out by hand
+// Standard streams, reactor, timers, signals, listener, watch, spare.
+constexpr int kReservedDescriptors = 32;
+constexpr double kFlowMemoryShare = 0.25;  // of the node's memory, for streamed bodies
+constexpr double kDefaultMemoryMb = 256;   // if the configuration gives no limit
+constexpr int kNearlyFullDivisor = 8;      // nearly full: less than 1/8 of the descriptors are free
+constexpr int kPlentifulDivisor = 2;       // plentiful: less than 1/2 of the descriptors are in use
+constexpr int kManyIdleDivisor = 6;        // too many idle: over 1/6 of the descriptors
+constexpr Millis kBanFileTimeout = 5000;   // after the start, to read the file of bans
 
 }  // namespace
 
@@ -119,12 +119,12 @@
   host.keep = [this](limits::Purpose purpose) { return room_.keep(purpose); };
   host.still_waits = [this](RequestId request) { return front_->still_waits(request); };
   host.recorder = &recorder_;
-  // Pools of one node must not draw the same numbers; a node of one pool draws as it always has.
+  // Each pool needs a random sequence of its own; a node with one pool uses the configured seed itself.
   const std::uint64_t seed = whole.pools.size() <= 1 ? whole.seed : whole.seed ^ subset::hash_of(config.name);
   return std::make_shared<Pool>(loop_, config, seed, flow_budget_, std::move(host));
 }
 
-// The node's, not this process's alone: replaced, it speaks for the one that serves.
+// Readiness of the node, not of this process alone: a replaced process answers for its successor.
 bool Server::ready() const {
   if (hot_restart_.is_replaced()) return true;
   return bool(guard::may_report_ready(
@@ -148,7 +148,7 @@
                                   (hot_restart_.two_processes_run() ? 2 : 1));
 }
 
-// Down to what it may hold from now on, as far as connections stand unused.
+// Evicts idle connections until the process is within its limits, which halve while two processes run.
 void Server::trim_connections() {
   flow_budget_->state(flow_budget_bytes());
   while (Stream::open_count() > max_streams()) {
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -1,6 +1,6 @@
-// One node: the front and the pools wired together, its counters, its reloads, its start and its end. It owns
-// the parts and the order in which they are told of each other. It must never parse, never decide, never
-// leave without having answered what it had taken, and never let a reload touch what is under way.
+// One node of the proxy: owns the front (clients), the pools (backends) and all other parts of the process,
+// and wires them together. Start, reload, drain and shutdown of the node go through here. A shutdown answers
+// every request that was accepted, and a reload does not affect requests in progress.
 #pragma once
 
 #include <functional>
@@ -29,9 +29,10 @@
 class Server {
  public:
   struct Waits {
-    Millis accept_on = 600;  // after SIGTERM: clients go on coming for up to 0.4 s
-    Millis deadline =
-        3000;  // and the kill comes so long after it at most, and 0.7 s, whatever the classes say
+    Millis accept_on = 600;  // after SIGTERM: new clients may connect for up to 0.4 s
+    // Upper bound on the time for requests in progress: SIGKILL follows 0.7 s after it at the latest,
+    // whatever deadlines the classes have.
+    Millis deadline = 3000;
     Millis list = Readiness::Waits().list;
     Millis pushed_list = Readiness::Waits().pushed_list;
   };
@@ -43,17 +44,17 @@
       : Server(loop, config, waits, RestartContext()) {}
   Server(Loop& loop, const Config& config, const Waits& waits, const RestartContext& context);
 
-  // The last step of a start: clients can connect from now on. Throws std::system_error where that is not to
-  // be had now; it may be tried again.
+  // Last step of a start: begins to listen for clients. Throws std::system_error if that fails; it may be
+  // called again.
   void open() { front_->open(); }
   void shut_down();  // as on SIGTERM
-  // As on SIGHUP: what `read` brings counts from now on. Where it throws, or lacks a key that the file in
-  // force has, all stays as it was. Of the platform's JSON discovery, the number of descriptors, settings and
-  // routes count without a new start, and its pool goes on; of a .shore file, classes, routes and pools:
-  // pools that are told as before go on with what they have learnt, new ones are waited for a little, and
-  // those no longer named end once nothing is with them.
+  // As on SIGHUP: applies the configuration that `read` returns. If `read` throws, or the new file lacks a
+  // key that the current one has, nothing changes. Of the platform's JSON, discovery, the descriptor limit,
+  // settings and routes can be reloaded; its pool continues. Of a .shore file, classes, routes and pools can:
+  // unchanged pools keep their statistics, new pools get some time to receive a list, and removed ones end
+  // when they have no requests left.
   void reload(const ConfigReloader::ReadConfig& read) { reloader_.reload(read); }
-  std::string call(const manage::Call& call);  // an operator's; the answer, whole
+  std::string call(const manage::Call& call);  // a call to the admin server; returns the whole response
   void log_counters() const;
   unsigned short port() const { return front_->port(); }
   unsigned short admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
@@ -65,10 +66,10 @@
 
  private:
   std::shared_ptr<Pool> make_pool(const PoolConfig& config, const Config& whole);
-  const RoutingSnapshot& snapshot() const { return *generations_.snapshot(); }  // in force
+  const RoutingSnapshot& snapshot() const { return *generations_.snapshot(); }  // the current one
   bool ready() const;
   bool can_serve() const;
-  void apply(Config fresh);  // throws where that cannot be; all is as before then
+  void apply(Config fresh);  // throws if it cannot be applied; nothing has changed then
   void trim_connections();
   int max_streams() const;
   std::size_t flow_budget_bytes() const;
@@ -77,12 +78,12 @@
 
   Loop& loop_;
   Recorder recorder_;
-  const Config& config_;  // as at the start
+  const Config& config_;  // the one of the start
   Limits limits_;
-  Shape shape_;  // of the file in force
+  Shape shape_;  // keys of the current configuration file
   const Waits waits_;
   ConfigReloader reloader_;
-  std::shared_ptr<net::FlowBudget> flow_budget_;  // memory for bodies that are not kept whole
+  std::shared_ptr<net::FlowBudget> flow_budget_;  // memory for streamed bodies
   FleetAdmissions admissions_;
   Generations generations_;
   DescriptorRoom room_;
@@ -91,7 +92,7 @@
   std::unique_ptr<BanList> ban_list_;
   GracefulShutdown shutdown_;
   HotRestart hot_restart_;
-  std::unique_ptr<AdminServer> admin_server_;  // only where the configuration names one
+  std::unique_ptr<AdminServer> admin_server_;  // null unless configured
   Readiness readiness_;
 };
 
