--- a/src/node/admin_server.cpp
+++ b/src/node/admin_server.cpp
@@ -76,7 +76,7 @@
     try {
       return owner.handle_call_(call);
     } catch (const std::exception& error) {
-      spdlog::error("a call failed within this node: {}", error.what());
+      spdlog::error("admin server: a call failed: {}", error.what());
       return manage::no("failed within this node");
     }
   }
@@ -112,7 +112,7 @@
       if (net::of_one_connection(errno)) continue;
       if (errno == EAGAIN || errno == EWOULDBLOCK) return;
       // Whoever waits is told of again and again, and the loop would spin.
-      spdlog::error("door: no caller can be taken in now: {}", std::strerror(errno));
+      spdlog::error("admin server: cannot accept a connection now: {}", std::strerror(errno));
       watch_->want_read(false);
       loop_.cancel(accept_timer_);
       accept_timer_ = loop_.after(kAcceptRetryInterval, [this] { watch_->want_read(true); });
--- a/src/node/ban_list.cpp
+++ b/src/node/ban_list.cpp
@@ -25,13 +25,13 @@
   std::string cause;
   auto fresh = file_->read_if_new(cause);
   file_read_ = file_read_ || file_->known();
-  if (!cause.empty() && cause != logged_cause_) spdlog::error("{}, not used", cause);
+  if (!cause.empty() && cause != logged_cause_) spdlog::error("{}, ignored", cause);
   logged_cause_ = cause;
   if (!unsaved_.empty() && loop_.now() >= next_save_) save_unsaved();
   if (!fresh) return;
   for (const std::string& id : unsaved_) fresh->disable(id, loop_.now());
   if (*fresh == bans_) return;
-  spdlog::info("backends out by hand: {}, as told to the other process", fresh->count_out());
+  spdlog::info("backends out by hand: {}, changed by the other process", fresh->count_out());
   set_bans(*fresh);
 }
 
@@ -41,7 +41,7 @@
     for (const std::string& id : unsaved_) bans.disable(id, loop_.now());
   });
   if (!saved.saved) return;
-  spdlog::info("{} backends taken out by hand are kept now", unsaved_.size());
+  spdlog::info("{} backends taken out by hand are now saved", unsaved_.size());
   unsaved_.clear();
   set_bans(saved.bans);
 }
--- a/src/node/config_reloader.cpp
+++ b/src/node/config_reloader.cpp
@@ -26,7 +26,7 @@
     fresh.shape.covers(host_.shape());
   } catch (const UnreadableConfig& error) {
     if (++attempts_ >= kMaxAttempts) return reject("reloaded", error);
-    spdlog::warn("configuration not read, it is read again: {}", error.what());
+    spdlog::warn("cannot read the configuration, retrying: {}", error.what());
     retry_timer_ = loop_.after(kRetryInterval, [this, read] {
       retry_timer_ = 0;
       attempt(read);
@@ -45,7 +45,7 @@
 
 void ConfigReloader::reject(const char* what, const std::exception& error) {
   ++failed_;
-  spdlog::error("configuration not {}, the old one stays: {}", what, error.what());
+  spdlog::error("configuration not {}, keeping the current one: {}", what, error.what());
 }
 
 }  // namespace shorelead::node
--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -55,7 +55,7 @@
   pool_config.settings = config.settings;
   pool_config.host = config.host;
   next->class_in_pool = {next->pools.front()->adopt(pool_config)};
-  spdlog::info("configuration reloaded: discovery at {}, {} sockets, {} classes, {} attempts at most",
+  spdlog::info("configuration reloaded: discovery at {}, {} sockets, {} classes, at most {} attempts",
                config.discovery.toString(), config.limits.sockets, next->names.size(),
                config.settings.max_attempts);
   pending_ = Pending{next, {pool_config}, 0};
@@ -124,7 +124,7 @@
     return;
   }
   if (without_list != next->pools.end() && pending_->deadline > 0)
-    spdlog::warn("pool {} has no list yet, generation {} goes on without", (*without_list)->name(),
+    spdlog::warn("pool {} has no list yet, generation {} starts without it", (*without_list)->name(),
                  next->number);
   const std::vector<PoolConfig> pool_configs = std::move(pending_->pool_configs);
   pending_.reset();
@@ -160,7 +160,7 @@
     std::erase_if(pools_, [&](const std::shared_ptr<Pool>& pool) {
       // Earlier generations hold references to their pools for repeated requests.
       const bool done = !in_use(pool) && pool.use_count() == 1 && pool->idle();
-      if (done) spdlog::info("pool {} has ended", pool->name());
+      if (done) spdlog::info("pool {} removed", pool->name());
       if (done) attempts_of_removed_pools_ += pool->written();
       return done;
     });
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -34,7 +34,7 @@
 
 void GracefulShutdown::shut_down(Millis longest_deadline, bool replaced) {
   if (drain_.shutting_down()) return;
-  spdlog::info("shutting down, {} requests under way", host_.open_requests());
+  spdlog::info("shutting down, {} requests in progress", host_.open_requests());
   drain_.shut_down(loop_.now());
   apply_drain_state();
   const Millis deadline = loop_.now() + longest_deadline + kGraceAfterDeadline;
@@ -53,7 +53,7 @@
   loop_.cancel(drain_timer_);
   const manage::DrainState state = drain_.state(loop_.now());
   host_.front().follow(state);
-  spdlog::info("{}, {} requests under way, {} connections", manage::name_of(state), host_.open_requests(),
+  spdlog::info("{}, {} requests in progress, {} connections", manage::name_of(state), host_.open_requests(),
                host_.front().clients());
   if (state == manage::DrainState::kDraining && drain_.until() < manage::Drain::kNever)
     drain_timer_ = loop_.at(drain_.until(), [this] { apply_drain_state(); });
--- a/src/node/hot_restart.cpp
+++ b/src/node/hot_restart.cpp
@@ -21,7 +21,7 @@
   const auto on_reserve_transferred = [this](bool ended, Millis remaining) {
     host_.take_reserve(remaining);
     if (!ended) return;
-    spdlog::info("the process before this one has ended");
+    spdlog::info("the predecessor has ended");
     host_.on_process_count_changed();
   };
   handover_client_ =
@@ -40,7 +40,7 @@
     check_timer_ = loop_.after(kCheckInterval, [this] { check_can_serve(); });
     return;
   }
-  spdlog::info("takes clients from now on, in place of the process before it");
+  spdlog::info("accepting clients in place of the predecessor");
   host_.hold_clients(false);
   handover_client_->announce_serving();
   wait_for_successor();
@@ -56,7 +56,7 @@
     return two_processes_run() ? std::string("two processes run already") : std::string();
   };
   listener.successor_came = [this] {
-    spdlog::info("a successor has come, with the listening socket and the list");
+    spdlog::info("a successor has received the listening socket and the list");
     host_.on_successor_connected();
   };
   listener.successor_serves = [this] { successor_serves(); };
@@ -65,21 +65,20 @@
     handover_server_ =
         std::make_unique<handover::HandoverServer>(loop_, context_.socket_path(), std::move(listener));
   } catch (const std::exception& error) {
-    spdlog::warn("no successor can be handed anything: {}", error.what());
+    spdlog::warn("hot restart is not available: {}", error.what());
   }
 }
 
 void HotRestart::successor_serves() {
   if (std::exchange(replaced_, true)) return;
-  spdlog::info("the successor takes clients from now on");
+  spdlog::info("the successor now accepts clients");
   handover_server_->transfer_reserve(host_.give_reserve());
   host_.hold_clients(true);
   host_.on_replaced();
 }
 
 void HotRestart::successor_gone() {
-  spdlog::warn("the successor has ended{}",
-               replaced_ ? ", this process takes clients again" : " before it served");
+  spdlog::warn("the successor has ended{}", replaced_ ? ", accepting clients again" : " before it served");
   host_.on_process_count_changed();
   host_.take_reserve(0);
   if (std::exchange(replaced_, false) && host_.resume()) host_.hold_clients(false);
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -30,12 +30,13 @@
 void add_options(CLI::App& command, ServeOptions& options) {
   command.add_option("--config", options.config, "configuration file: the platform's JSON, or .shore")
       ->envname("NODE_CONFIG");
-  command.add_option("--own", options.own, "file of our own, TOML: subsets, probes")->envname("NODE_OWN");
+  command.add_option("--own", options.own, "additional TOML file for the platform's JSON: subsets, probes")
+      ->envname("NODE_OWN");
   command.add_option("--name", options.flags.name, "name of this node (variable NODE_NAME)");
   command.add_option("--listen", options.flags.listen, "address:port for clients (variable NODE_LISTEN)");
   command.add_option("--discovery", options.flags.discovery,
                      "address:port of discovery (variable NODE_DISCOVERY, until the file is reloaded)");
-  command.add_option("--mgmt", options.flags.admin, "address:port for operators' calls (variable NODE_MGMT)");
+  command.add_option("--mgmt", options.flags.admin, "address:port of the admin server (variable NODE_MGMT)");
   command.add_option("--log-level", options.log_level, "debug, info, warning or error")
       ->envname("NODE_LOG_LEVEL")
       ->check(CLI::IsMember({"debug", "info", "warning", "error"}));
@@ -58,7 +59,7 @@
   const std::string formatted = language::format(tree);
   if (only_check) {
     if (formatted != *text)
-      std::cerr << path << ": not in its form; shorelead config format --write " << path << "\n";
+      std::cerr << path << ": not formatted; run shorelead config format --write " << path << "\n";
     return formatted == *text ? 0 : 1;
   }
   if (!in_place) {
@@ -80,7 +81,7 @@
   if (!file || !(text << file.rdbuf())) throw shorelead::FieldError(path + " cannot be read, or is empty");
   const auto migration = shorelead::node::migrate(std::move(text).str(), path, shape);
   if (migration.already) {
-    std::cerr << path << ": of the new shape already, nothing to do\n";
+    std::cerr << path << ": already in the new shape, nothing to do\n";
     return 0;
   }
   for (const std::string& line : migration.changed) std::cerr << "changed " << line << "\n";
@@ -88,9 +89,8 @@
   if (!dry && output.empty()) std::cout << migration.text;
   if (!output.empty() && std::filesystem::exists(output)) {
     if (std::filesystem::equivalent(output, path))
-      throw shorelead::FieldError(output + " is the old file, which stays as it is; name another");
-    if (!replace)
-      throw shorelead::FieldError(output + " is there already; --replace puts the new one in its place");
+      throw shorelead::FieldError(output + " is the input file; name another output");
+    if (!replace) throw shorelead::FieldError(output + " exists already; --replace overwrites it");
   }
   if (!dry && !output.empty()) write_whole(output, migration.text);
   std::cerr << path << ": " << migration.changed.size() << " changed, " << migration.left.size()
@@ -157,8 +157,7 @@
     ServeOptions options;
     CLI::App* const serving = app.add_subcommand("serve", "run one node until SIGTERM");
     add_options(*serving, options);
-    CLI::App* const checking =
-        app.add_subcommand("check-config", "read the configuration and say what is wrong");
+    CLI::App* const checking = app.add_subcommand("check-config", "read the configuration and report errors");
     add_options(*checking, options);
     CLI::App* const config = app.add_subcommand("config", "work on .shore files");
     config->require_subcommand(1);
@@ -166,44 +165,44 @@
     bool only_check = false;
     bool in_place = false;
     CLI::App* const check =
-        config->add_subcommand("check", "say every mistake of a file and what it includes");
+        config->add_subcommand("check", "report all errors of a file and the files it includes");
     check->add_option("file", file)->required();
     bool strict = false;
     check->add_flag("--strict", strict, "exit code 1 on warnings as well");
-    CLI::App* const format = config->add_subcommand("format", "print a file in its one form");
+    CLI::App* const format = config->add_subcommand("format", "print a file in the standard format");
     format->add_option("file", file)->required();
     auto* const checks =
-        format->add_flag("--check", only_check, "only say whether it has it: exit code 1 if not");
-    format->add_flag("--write", in_place, "put it in the file's place")->excludes(checks);
+        format->add_flag("--check", only_check, "only check the format: exit code 1 if it differs");
+    format->add_flag("--write", in_place, "overwrite the file")->excludes(checks);
     CLI::App* const explaining =
-        config->add_subcommand("explain", "say which route, class and limits a request gets");
+        config->add_subcommand("explain", "show the route, class and limits of a request");
     std::string request;
     std::vector<std::string> headers;
     explaining->add_option("file", file)->required();
     explaining->add_option("--request", request, "as in: 'GET a.example.org/checks/7'")->required();
     explaining->add_option("--header", headers, "as in: 'X-Version: 2'");
     CLI::App* const diffing = config->add_subcommand(
-        "diff", "say what changes for traffic: exit code 1 if anything does, 2 on a mistake");
+        "diff", "show what changes for traffic: exit code 1 if anything does, 2 on an error");
     std::string before;
     std::string after;
     bool json = false;
     diffing->add_option("old", before)->required();
     diffing->add_option("new", after)->required();
     diffing->add_flag("--json", json);
-    CLI::App* const migrating = config->add_subcommand(
-        "migrate",
-        "write the counterpart of a platform's JSON for a node beside each client process: exit "
-        "code 3 if something is left to do");
+    CLI::App* const migrating =
+        config->add_subcommand("migrate",
+                               "convert a platform's JSON for a node beside each client process: exit "
+                               "code 3 if something is left to do");
     std::string output;
     bool dry = false;
     bool replace = false;
     shorelead::node::NewShape shape;
     migrating->add_option("old", file)->required();
-    migrating->add_option("--output", output, "where to write it; standard output if not told");
-    migrating->add_option("--nodes", shape.nodes, "how many client processes have a node");
-    migrating->add_option("--index", shape.index, "which of them this one is, from 0");
-    migrating->add_flag("--dry-run", dry, "only say what would change");
-    migrating->add_flag("--replace", replace, "where --output names a file that is there");
+    migrating->add_option("--output", output, "output file; standard output by default");
+    migrating->add_option("--nodes", shape.nodes, "number of client processes that have a node");
+    migrating->add_option("--index", shape.index, "index of this client process, from 0");
+    migrating->add_flag("--dry-run", dry, "only show what would change");
+    migrating->add_flag("--replace", replace, "overwrite an existing --output file");
     CLI::App* const reference =
         config->add_subcommand("reference", "print all blocks and fields, as Markdown");
     reference->add_flag("--json", json, "for editors");
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -38,7 +38,8 @@
   if (std::exchange(logged_ready_, true)) return;
   for (const auto& pool : snapshot.pools) {
     spdlog::info("pool {}: ready {:.2f} s after the start, {}", pool->name(), uptime() / 1000,
-                 pool->told() ? "by a list told since" : "by the list given at the start: none was told");
+                 pool->told() ? "with a list from discovery"
+                              : "with the list given at the start, as discovery sent none");
   }
 }
 
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -64,15 +64,15 @@
   try {
     context.inherited = handover::request_handover(context.socket_path(), kHandoverTimeout);
   } catch (const std::system_error& error) {
-    spdlog::warn("no other process can be asked: {}", error.what());
+    spdlog::warn("cannot request a handover: {}", error.what());
   }
   if (!context.inherited) return context;
-  spdlog::info("a process that serves has handed over its listening socket");
+  spdlog::info("took over the listening socket of the running process");
   try {
     const auto list = read_list(context.inherited->list);
     if (!list.backends.empty()) config.known = list;
   } catch (const std::exception& error) {
-    spdlog::warn("its list is of no use, the configuration's stands: {}", error.what());
+    spdlog::warn("cannot read its list of backends, using the configured one: {}", error.what());
   }
   return context;
 }
@@ -84,7 +84,7 @@
                                    environment_variable("NODE_DISCOVERY"), environment_variable("NODE_MGMT")};
   if (is_shore(options.config)) {
     if (!options.own.empty())
-      throw FieldError("--own goes with the platform's JSON: a .shore file says it itself");
+      throw FieldError("--own is only for the platform's JSON; a .shore file has these settings itself");
     return load_shore(options.config, merge(options.flags, from_environment, is_reload), language::disk());
   }
   Config config = load_config(options.config, options.flags, from_environment, is_reload);
