--- a/src/manage/calls.h
+++ b/src/manage/calls.h
@@ -9,7 +9,7 @@
 
 namespace shorelead::manage {
 
-constexpr std::size_t kMostLine = 512;  // bytes of a call, its end of line apart
+constexpr std::size_t kMaxCallBytes = 512;  // bytes of a call, its end of line apart
 
 enum class CallKind { kReady, kShowStat, kDisable, kEnable, kDrain, kResume };
 
@@ -19,12 +19,12 @@
 };
 
 // What a line says: a call, or why it is none.
-struct Reading {
+struct ParsedCall {
   std::optional<Call> call;
   std::string cause;
 };
 
-Reading read_call(std::string_view line);
+ParsedCall parse_call(std::string_view line);
 
 // Takes a caller's bytes as they come, split anywhere, up to the first end of line (LF, or CR LF). What
 // follows it is none of its business: one line to a connection.
@@ -43,8 +43,8 @@
 };
 
 // Answers. `words` holds no end of line.
-std::string yes(std::string_view words);
-std::string no(std::string_view words);
-std::string listing(std::string_view lines);  // each with its end of line
+std::string ok_response(std::string_view words);
+std::string error_response(std::string_view words);
+std::string list_response(std::string_view lines);  // each with its end of line
 
 }  // namespace shorelead::manage
--- a/src/node/admin_server.cpp
+++ b/src/node/admin_server.cpp
@@ -48,15 +48,15 @@
 
   void respond(manage::LineReader::State state) {
     responded = true;
-    const manage::Reading reading = state == manage::LineReader::State::kTooLong
-                                        ? manage::Reading{std::nullopt, "a call of over 512 bytes"}
-                                        : manage::read_call(reader.line());
-    if (reading.call) {
+    const manage::ParsedCall parsed = state == manage::LineReader::State::kTooLong
+                                          ? manage::ParsedCall{std::nullopt, "a call of over 512 bytes"}
+                                          : manage::parse_call(reader.line());
+    if (parsed.call) {
       ++owner.counters_.calls;
-      output = response_to(*reading.call);
+      output = response_to(*parsed.call);
     } else {
       ++owner.counters_.refused;
-      output = manage::no(reading.cause);
+      output = manage::error_response(parsed.cause);
     }
     on_writable();
   }
@@ -77,7 +77,7 @@
       return owner.handle_call_(call);
     } catch (const std::exception& error) {
       spdlog::error("admin server: a call failed: {}", error.what());
-      return manage::no("failed within this node");
+      return manage::error_response("failed within this node");
     }
   }
 
--- a/src/node/ban_list.cpp
+++ b/src/node/ban_list.cpp
@@ -49,7 +49,7 @@
 // A backend that is out stays known, whatever became of it in the list: else the call back would be refused.
 std::string BanList::change(const manage::Call& call) {
   if (!is_listed_(call.id) && !bans_.knows(call.id))
-    return manage::no("no backend " + call.id + " in the list");
+    return manage::error_response("no backend " + call.id + " in the list");
   return call.kind == manage::CallKind::kDisable ? disable(call.id) : enable(call.id);
 }
 
@@ -73,10 +73,10 @@
   set_bans(next.bans);
   if (!next.saved) {
     unsaved_.insert(id);
-    return manage::no(id + " is out in this process alone: " + next.error);
+    return manage::error_response(id + " is out in this process alone: " + next.error);
   }
   unsaved_.erase(id);
-  return manage::yes(id + (changed ? " is out" : " was out already"));
+  return manage::ok_response(id + (changed ? " is out" : " was out already"));
 }
 
 // It stays out where that cannot be kept: the next process would have it out again.
@@ -86,11 +86,11 @@
     if (unsaved_.count(id) > 0) bans.disable(id, loop_.now());
     changed = bans.enable(id, loop_.now());
   });
-  if (!next.saved) return manage::no(id + " stays out: " + next.error);
+  if (!next.saved) return manage::error_response(id + " stays out: " + next.error);
   unsaved_.erase(id);
   if (changed) spdlog::info("backend {} taken back in by hand", id);
   set_bans(next.bans);
-  return manage::yes(id + (changed ? " is back" : " was in already"));
+  return manage::ok_response(id + (changed ? " is back" : " was in already"));
 }
 
 void BanList::set_bans(const manage::BanSet& bans) {
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -166,23 +166,25 @@
   const bool of_this_process = call.kind == manage::CallKind::kReady ||
                                call.kind == manage::CallKind::kDrain ||
                                call.kind == manage::CallKind::kResume;
-  if (hot_restart_.is_replaced() && of_this_process) return manage::no("replaced: another process serves");
+  if (hot_restart_.is_replaced() && of_this_process)
+    return manage::error_response("replaced: another process serves");
   switch (call.kind) {
     case manage::CallKind::kReady:
-      return ready() ? manage::yes("ready") : manage::no(shutdown_.serving() ? "not ready yet" : "draining");
+      return ready() ? manage::ok_response("ready")
+                     : manage::error_response(shutdown_.serving() ? "not ready yet" : "draining");
     case manage::CallKind::kShowStat:
-      return manage::listing(metrics());
+      return manage::list_response(metrics());
     case manage::CallKind::kDisable:
     case manage::CallKind::kEnable:
       return ban_list_->change(call);
     case manage::CallKind::kDrain:
       shutdown_.drain();
-      return manage::yes("draining");
+      return manage::ok_response("draining");
     case manage::CallKind::kResume:
-      if (!shutdown_.resume()) return manage::no("this process is about to end");
-      return manage::yes("serving");
+      if (!shutdown_.resume()) return manage::error_response("this process is about to end");
+      return manage::ok_response("serving");
   }
-  return manage::no("unknown call");
+  return manage::error_response("unknown call");
 }
 
 std::string Server::metrics() const {
--- a/tests/manage/manage_test.cpp
+++ b/tests/manage/manage_test.cpp
@@ -35,13 +35,13 @@
                                    {std::string("ready\0", 6), std::nullopt, "control character"},
                                    {"ready\r", std::nullopt, "control character"}};
   for (const Case& one : cases) {
-    const Reading reading = read_call(one.line);
-    ASSERT_EQ(reading.call.has_value(), one.kind.has_value()) << one.line;
-    if (reading.call) {
-      EXPECT_EQ(reading.call->kind, *one.kind);
-      EXPECT_EQ(reading.call->id, one.id_or_cause);
+    const ParsedCall parsed = parse_call(one.line);
+    ASSERT_EQ(parsed.call.has_value(), one.kind.has_value()) << one.line;
+    if (parsed.call) {
+      EXPECT_EQ(parsed.call->kind, *one.kind);
+      EXPECT_EQ(parsed.call->id, one.id_or_cause);
     } else {
-      EXPECT_NE(reading.cause.find(one.id_or_cause), std::string::npos) << reading.cause;
+      EXPECT_NE(parsed.cause.find(one.id_or_cause), std::string::npos) << parsed.cause;
     }
   }
 }
@@ -61,13 +61,13 @@
 
 TEST(Calls, ALineMayBeTooLongOrEndWithTheConnection) {
   LineReader longest;
-  EXPECT_EQ(longest.add(std::string(kMostLine, 'x') + "\r\n"), LineReader::State::kLine);
+  EXPECT_EQ(longest.add(std::string(kMaxCallBytes, 'x') + "\r\n"), LineReader::State::kLine);
   LineReader over;
-  EXPECT_EQ(over.add(std::string(kMostLine + 1, 'x') + "\n"), LineReader::State::kTooLong);
+  EXPECT_EQ(over.add(std::string(kMaxCallBytes + 1, 'x') + "\n"), LineReader::State::kTooLong);
   LineReader endless;
   for (int n = 0; n < 100000; ++n) endless.add("xxxxxxxxxx");
   EXPECT_EQ(endless.add("\n"), LineReader::State::kTooLong);
-  EXPECT_LE(endless.line().size(), kMostLine + 2);
+  EXPECT_LE(endless.line().size(), kMaxCallBytes + 2);
   LineReader ended;
   ended.add("ready");
   EXPECT_EQ(ended.finish(), LineReader::State::kLine);
