--- a/src/manage/bans.cpp
+++ b/src/manage/bans.cpp
@@ -10,21 +10,21 @@
 
 constexpr std::string_view kTitle = "shorelead bans 1";
 
-std::uint64_t sum_of(std::string_view text) {  // FNV-1a
+std::uint64_t checksum(std::string_view text) {  // FNV-1a
   std::uint64_t sum = 0xcbf29ce484222325ULL;
   for (const char c : text) sum = (sum ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
   return sum;
 }
 
 template <typename Number>
-std::optional<Number> whole(std::string_view text) {
+std::optional<Number> parse_integer(std::string_view text) {
   Number value = 0;
   const auto [rest, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || rest != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
-std::string_view cut(std::string_view& text, char at) {
+std::string_view take_until(std::string_view& text, char at) {
   const std::size_t end = std::min(text.find(at), text.size());
   const std::string_view part = text.substr(0, end);
   text.remove_prefix(std::min(end + 1, text.size()));
@@ -79,7 +79,7 @@
     text += (ban.out ? "out " : "back ") + std::to_string(std::llround(ban.since)) + " " +
             std::to_string(std::llround(ban.until)) + " " + id + "\n";
   }
-  const std::uint64_t sum = sum_of(text);
+  const std::uint64_t sum = checksum(text);
   return text + "end " + std::to_string(sum) + "\n";
 }
 
@@ -87,16 +87,16 @@
   const std::size_t last = text.rfind("end ");
   if (text.substr(0, kTitle.size()) != kTitle) return cause = "is no file of bans", std::nullopt;
   if (last == std::string_view::npos || text.back() != '\n') return cause = "is torn", std::nullopt;
-  const auto sum = whole<std::uint64_t>(text.substr(last + 4, text.size() - last - 5));
-  if (!sum || *sum != sum_of(text.substr(0, last))) return cause = "is torn or was changed", std::nullopt;
+  const auto sum = parse_integer<std::uint64_t>(text.substr(last + 4, text.size() - last - 5));
+  if (!sum || *sum != checksum(text.substr(0, last))) return cause = "is torn or was changed", std::nullopt;
   BanSet set;
   std::string_view rest = text.substr(0, last);
-  cut(rest, '\n');
+  take_until(rest, '\n');
   while (!rest.empty()) {
-    std::string_view line = cut(rest, '\n');
-    const std::string_view word = cut(line, ' ');
-    const auto since = whole<std::int64_t>(cut(line, ' '));
-    const auto until = whole<std::int64_t>(cut(line, ' '));
+    std::string_view line = take_until(rest, '\n');
+    const std::string_view word = take_until(line, ' ');
+    const auto since = parse_integer<std::int64_t>(take_until(line, ' '));
+    const auto until = parse_integer<std::int64_t>(take_until(line, ' '));
     if ((word != "out" && word != "back") || !since || !until || line.empty())
       return cause = "holds a line that is no ban", std::nullopt;
     set.bans_[std::string(line)] =
--- a/src/manage/drain.cpp
+++ b/src/manage/drain.cpp
@@ -19,32 +19,32 @@
 void Drain::drain(Millis now) {
   if (!serving()) return;
   since_ = now;
-  unused_until_ = now + kUnusedByCall;
+  idle_until_ = now + kIdleTimeAfterCall;
 }
 
 void Drain::replaced(Millis now) {
   if (!serving()) return;
   since_ = now;
-  unused_until_ = kNever;
+  idle_until_ = kNever;
 }
 
 bool Drain::resume() {
   if (shutting_down_) return false;
-  since_ = unused_until_ = 0;
+  since_ = idle_until_ = 0;
   return true;
 }
 
 void Drain::shut_down(Millis now) {
   if (shutting_down_) return;
-  const Millis until = now + kUnusedAtEnd;
-  unused_until_ = serving() ? until : std::min(unused_until_, until);
+  const Millis until = now + kIdleTimeAtShutdown;
+  idle_until_ = serving() ? until : std::min(idle_until_, until);
   if (serving()) since_ = now;
   shutting_down_ = true;
 }
 
 DrainState Drain::state(Millis now) const {
   if (serving()) return DrainState::kServing;
-  return now < unused_until_ ? DrainState::kDraining : DrainState::kDrained;
+  return now < idle_until_ ? DrainState::kDraining : DrainState::kDrained;
 }
 
 }  // namespace shorelead::manage
--- a/src/manage/drain.h
+++ b/src/manage/drain.h
@@ -21,9 +21,9 @@
   // By call the front stops within 0.2 s of the first no, and 4 s after the call nothing idle may be held,
   // nor a request of the last 2 s: so unused connections have a second and a half for one more request, whose
   // answer says that it is the last.
-  static constexpr Millis kUnusedByCall = 1500;
+  static constexpr Millis kIdleTimeAfterCall = 1500;
   // Before an end, the last request needs its whole deadline before the kill 0.7 s after the longest one.
-  static constexpr Millis kUnusedAtEnd = 350;
+  static constexpr Millis kIdleTimeAtShutdown = 350;
   static constexpr Millis kNever = 1e18;
 
   void drain(Millis now);  // by call; nothing if it drains already
@@ -35,11 +35,13 @@
   DrainState state(Millis now) const;
   bool serving() const { return since_ == 0; }
   bool shutting_down() const { return shutting_down_; }
-  Millis until() const { return unused_until_; }  // when draining becomes drained, or kNever; 0 while serving
+  Millis drained_at() const {
+    return idle_until_;
+  }  // when draining becomes drained, or kNever; 0 while serving
 
  private:
   Millis since_ = 0;
-  Millis unused_until_ = 0;
+  Millis idle_until_ = 0;
   bool shutting_down_ = false;
 };
 
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -40,7 +40,7 @@
   const Millis deadline = loop_.now() + longest_deadline + kGraceAfterDeadline;
   if (replaced) {
     host_.front().close_listener();
-    loop_.after(manage::Drain::kUnusedAtEnd, [this, deadline] { finish_when_empty(deadline); });
+    loop_.after(manage::Drain::kIdleTimeAtShutdown, [this, deadline] { finish_when_empty(deadline); });
     return;
   }
   loop_.after(accept_on_, [this, deadline] {
@@ -55,8 +55,8 @@
   host_.front().follow(state);
   spdlog::info("{}, {} requests in progress, {} connections", manage::name_of(state), host_.open_requests(),
                host_.front().clients());
-  if (state == manage::DrainState::kDraining && drain_.until() < manage::Drain::kNever)
-    drain_timer_ = loop_.at(drain_.until(), [this] { apply_drain_state(); });
+  if (state == manage::DrainState::kDraining && drain_.drained_at() < manage::Drain::kNever)
+    drain_timer_ = loop_.at(drain_.drained_at(), [this] { apply_drain_state(); });
 }
 
 void GracefulShutdown::finish_when_empty(Millis deadline) {
--- a/tests/manage/manage_test.cpp
+++ b/tests/manage/manage_test.cpp
@@ -118,14 +118,14 @@
   drain.drain(1000);
   EXPECT_EQ(drain.state(1000), DrainState::kDraining);
   drain.drain(2000);  // a second call does not begin anew
-  EXPECT_EQ(drain.state(1000 + Drain::kUnusedByCall), DrainState::kDrained);
+  EXPECT_EQ(drain.state(1000 + Drain::kIdleTimeAfterCall), DrainState::kDrained);
   EXPECT_TRUE(drain.resume());
   EXPECT_EQ(drain.state(9000), DrainState::kServing);
   drain.drain(10000);
   drain.shut_down(10100);
   EXPECT_FALSE(drain.resume());
-  EXPECT_EQ(drain.state(10100 + Drain::kUnusedAtEnd), DrainState::kDrained);
-  EXPECT_LE(Drain::kUnusedByCall,
+  EXPECT_EQ(drain.state(10100 + Drain::kIdleTimeAtShutdown), DrainState::kDrained);
+  EXPECT_LE(Drain::kIdleTimeAfterCall,
             2000);  // what comes later would be held, as a request of the last 2 s, after 4 s
 }
 
