--- a/src/handover/ban_file.cpp
+++ b/src/handover/ban_file.cpp
@@ -14,9 +14,9 @@
 namespace shorelead::handover {
 namespace {
 
-constexpr int kMaxAttempts = 3;  // of calls that may fail for a moment
+constexpr int kMaxAttempts = 3;  // of opening the lock file
 
-// Held while a change is read, made and written; gone with its process.
+// An exclusive lock on a file; the system releases it when the process ends.
 class Lock {
  public:
   explicit Lock(const std::string& path) {
@@ -85,7 +85,7 @@
   }
   if (outcome == ReadOutcome::kUsable) changed.bans = file_bans;
   change(changed.bans);
-  // Over what could not be read nothing is written: the other process's bans may stand there.
+  // A file that could not be read is not overwritten: it may hold bans made by the other process.
   if (outcome == ReadOutcome::kUnknown) return changed;
   const auto written = files::replace_whole(path_, changed.bans.with_times(times_.to_wall).text());
   changed.saved = written.replaced;
--- a/src/handover/ban_file.h
+++ b/src/handover/ban_file.h
@@ -1,7 +1,6 @@
-// The file through which two processes of one node share the backends taken out by hand, and by which the
-// next one knows them. It owns the file's changes, each made whole under a lock. It must never let one
-// process undo what the other was told, never take in a file that is not whole, and never take trouble in
-// reading for a file that is not there.
+// The file through which the processes of one node share the backends that an operator has banned. Each
+// change reads, modifies and replaces the whole file under a lock, so that no process undoes the change of
+// another. Damaged files are rejected, and a read error is not taken for a missing file.
 #pragma once
 
 #include <sys/types.h>
@@ -15,7 +14,7 @@
 
 namespace shorelead::handover {
 
-// Between a process's own steady time and the wall clock's labels, which cross processes.
+// Conversions between the steady time of a process and the wall-clock time written to the file.
 struct LabelledTimes {
   std::function<Millis(Millis label)> from_wall = [](Millis label) { return label; };
   std::function<Millis(Millis at)> to_wall = [](Millis at) { return at; };
@@ -26,20 +25,20 @@
   explicit BanFile(std::string path, LabelledTimes times = LabelledTimes())
       : path_(std::move(path)), times_(std::move(times)) {}
 
-  // What stands there, if it changed since it was last read or written here; `cause` tells of a file that
-  // cannot be used, once for each such file. One that could not be read now is looked at again.
+  // Returns the bans in the file if it changed since this object read or wrote it. For an unusable file sets
+  // `cause`, once per version of the file. After a read error the next call tries again.
   std::optional<manage::BanSet> read_if_new(std::string& cause);
 
-  // Whether the last look has told what stands there, be it nothing.
+  // Whether the last read_if_new() determined the content of the file, or that there is none.
   bool known() const { return known_; }
 
   struct Changed {
-    manage::BanSet bans;  // `change` applied: to what stands there, or to `fallback`
-    bool saved = false;   // and it is in the file
-    std::string error;    // in words, if there was any
+    manage::BanSet bans;  // after `change`
+    bool saved = false;   // whether they are in the file
+    std::string error;    // empty if there was none
   };
-  // Applies `change` to what stands there (to `fallback` where nothing usable does) and writes it, whole or
-  // not at all.
+  // Applies `change` to the content of the file, or to `fallback` if that is not usable, and replaces the
+  // file atomically.
   Changed change(const manage::BanSet& fallback, const std::function<void(manage::BanSet&)>& change);
 
  private:
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -23,15 +23,15 @@
 namespace shorelead::handover {
 namespace {
 
-// First line of an answer: the title and how many bytes of list follow, or the reason for a refusal.
+// First line of a response: this prefix and the size of the list that follows, or the reason for a refusal.
 constexpr std::string_view kAcceptedPrefix = "shorelead handover 1 ";
 constexpr std::string_view kRefusedPrefix = "shorelead refuses: ";
 constexpr std::string_view kServingMessage = "serving\n";
-constexpr std::string_view kReserveTransferredPrefix = "ceded ";  // and so many milliseconds
+constexpr std::string_view kReserveTransferredPrefix = "ceded ";  // followed by a time in milliseconds
 constexpr Millis kMaxRemaining = 1e9;
 constexpr Millis kAnnounceRetryInterval = 10;
-constexpr Millis kAcceptRetryInterval = 20;    // where there was no descriptor for a successor
-constexpr std::size_t kMaxListBytes = 131072;  // goes into the socket's buffer in one piece
+constexpr Millis kAcceptRetryInterval = 20;    // after accept failed
+constexpr std::size_t kMaxListBytes = 131072;  // fits into the socket's send buffer
 
 sockaddr_un address_of(const std::string& path) {
   sockaddr_un address{};
@@ -95,7 +95,7 @@
   return inherited;
 }
 
-// A successor, from its coming to its end.
+// Connection to one successor, until it ends.
 class HandoverServer::SuccessorConnection : public net::Watch::Handler {
  public:
   SuccessorConnection(HandoverServer& owner, const net::Descriptor& socket)
@@ -120,19 +120,19 @@
 
 HandoverServer::HandoverServer(net::Loop& loop, std::string path, Listener listener)
     : loop_(loop), path_(std::move(path)), listener_(std::move(listener)) {
-  // Bound beside and renamed, so that whoever comes finds the old one or the new one, never none.
-  const std::string beside = path_ + "." + std::to_string(::getpid());
-  const sockaddr_un address = address_of(beside);
+  // Bound under a temporary name and renamed, so that there is always a socket at the path.
+  const std::string temporary_path = path_ + "." + std::to_string(::getpid());
+  const sockaddr_un address = address_of(temporary_path);
   socket_ = std::make_unique<net::Descriptor>(
       checked(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0), "socket"));
-  ::unlink(beside.c_str());
-  checked(::bind(socket_->fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address), beside);
-  checked(::listen(socket_->fd(), 4), beside);
-  checked(::rename(beside.c_str(), path_.c_str()), path_);
+  ::unlink(temporary_path.c_str());
+  checked(::bind(socket_->fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address), temporary_path);
+  checked(::listen(socket_->fd(), 4), temporary_path);
+  checked(::rename(temporary_path.c_str(), path_.c_str()), path_);
   watch_ = std::make_unique<net::Watch>(loop_, *socket_, *this, true, false);
 }
 
-// The path stays: it may be the successor's by now, and nobody answers there otherwise.
+// The path is not removed: it may belong to the successor by now.
 HandoverServer::~HandoverServer() { loop_.cancel(accept_timer_); }
 
 void HandoverServer::on_readable() {
@@ -151,7 +151,7 @@
     return;
   }
   std::string list = listener_.list();
-  if (list.size() > kMaxListBytes) list.clear();  // discovery will tell
+  if (list.size() > kMaxListBytes) list.clear();  // too large to send; the successor asks discovery
   const int send_buffer = static_cast<int>(2 * kMaxListBytes);
   ::setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &send_buffer, sizeof send_buffer);
   if (!send_with(fd, std::string(kAcceptedPrefix) + std::to_string(list.size()) + "\n" + list, listener))
@@ -160,7 +160,7 @@
   listener_.successor_came();
 }
 
-// Whoever waits is told of again at once, and the loop would spin.
+// The pending connection keeps the listener readable, so the loop would spin.
 void HandoverServer::pause_accepting() {
   watch_->want_read(false);
   loop_.cancel(accept_timer_);
@@ -190,7 +190,7 @@
       socket_(std::make_unique<net::Descriptor>(channel)),
       watch_(std::make_unique<net::Watch>(loop, *socket_, *this, true, false)) {}
 
-// Until it is said the other one goes on taking clients, so it is said again where it could not be.
+// The predecessor accepts clients until it gets this message, so a failed send is retried.
 void HandoverClient::announce_serving() {
   loop_.cancel(announce_timer_);
   if (!watch_ || send_with(socket_->fd(), kServingMessage, -1)) return;
@@ -213,7 +213,7 @@
   reserve_transferred_(true, 0);
 }
 
-// What is no such line is a later version's, and nothing to this one.
+// Other messages may come from later versions, and are ignored.
 void HandoverClient::parse_message() {
   if (received_.empty() || received_.back() != '\n' ||
       received_.compare(0, kReserveTransferredPrefix.size(), kReserveTransferredPrefix) != 0)
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -1,7 +1,7 @@
-// What passes from a process to the one that replaces it: the listening socket, the list, and who serves. It
-// owns the Unix socket at which a successor asks, and the connection between the two. It must never block the
-// loop, never let a third process in while two run, and never decide what is done about either's coming or
-// going.
+// Handover between a process and its successor over a Unix socket: the listening socket, the list of
+// backends, and the messages about which process serves. HandoverServer runs in the old process,
+// HandoverClient in the new one; both report events to their owner and do not block the loop. A third process
+// is refused while two run.
 #pragma once
 
 #include <functional>
@@ -14,36 +14,37 @@
 
 namespace shorelead::handover {
 
-// What a predecessor gave.
+// What a process receives from its predecessor.
 struct InheritedState {
   int listener = -1;  // the clients' listening socket
   int channel = -1;   // the connection to the predecessor, for Successor
-  std::string list;   // backends as it last had them, in discovery's form; may be empty
+  std::string list;   // last list of backends, in discovery's format; may be empty
 };
 
-// Asks at `path` before there is a loop; waits for `timeout` milliseconds at most. None where nobody is there
-// or no whole answer came. Throws std::runtime_error with the reason where a predecessor refuses.
+// Requests the handover at `path`, blocking for at most `timeout` milliseconds; for use before the loop runs.
+// Returns nothing if no process listens there or its response is incomplete. Throws std::runtime_error with
+// the reason if the predecessor refuses.
 std::optional<InheritedState> request_handover(const std::string& path, Millis timeout);
 
-// The old process's side.
+// The side of the old process.
 class HandoverServer : public net::Watch::Handler {
  public:
   struct Listener {
-    std::function<int()> listener;           // the clients' listening socket; -1 = none to give
-    std::function<std::string()> list;       // to be handed over
-    std::function<std::string()> refusal;    // why none is let in now; empty = let in
-    std::function<void()> successor_came;    // and has its inherited state
-    std::function<void()> successor_serves;  // from now on
+    std::function<int()> listener;           // the clients' listening socket; -1 if there is none
+    std::function<std::string()> list;       // the list of backends
+    std::function<std::string()> refusal;    // why a successor is refused now; empty if it is not
+    std::function<void()> successor_came;    // it has received the listener and the list
+    std::function<void()> successor_serves;  // it accepts clients from now on
     std::function<void()> successor_gone;
   };
 
-  // Takes the place at `path` from whoever had it. Throws std::system_error.
+  // Listens at `path` in place of an earlier process. Throws std::system_error.
   HandoverServer(net::Loop& loop, std::string path, Listener listener);
   ~HandoverServer() override;
 
   bool has_successor() const { return successor_ != nullptr; }
-  // To the successor: what only one of the two may have (a fleet's reserve) is its from now on; what was
-  // begun with it here is over after `remaining`. One of an earlier version does not listen.
+  // Tells the successor that the fleet's reserve, which only one of the two may use, is its own from now on;
+  // requests that this process sent with it end within `remaining`. Earlier versions ignore the message.
   void transfer_reserve(Millis remaining);
 
  private:
@@ -58,15 +59,15 @@
   Listener listener_;
   std::unique_ptr<net::Descriptor> socket_;
   std::unique_ptr<net::Watch> watch_;
-  net::Loop::TimerId accept_timer_ = 0;  // accepting, which was put off
+  net::Loop::TimerId accept_timer_ = 0;  // resumes accepting
   std::shared_ptr<SuccessorConnection> successor_;
 };
 
-// The new process's side, for as long as the old one lives.
+// The side of the new process, while the old one runs.
 class HandoverClient : public net::Watch::Handler {
  public:
-  // What only one of the two may have is this one's: the predecessor says so, once, with how long what it
-  // began with it lasts still; or it has ended, and said so or not.
+  // Called when the fleet's reserve is this process's own: after the predecessor's message, with the time
+  // that its requests may still run, and (`ended`) when the predecessor has ended.
   using ReserveTransferred = std::function<void(bool ended, Millis remaining)>;
   HandoverClient(net::Loop& loop, int channel, ReserveTransferred reserve_transferred);
   ~HandoverClient() override { loop_.cancel(announce_timer_); }
--- a/src/handover/unix_message.h
+++ b/src/handover/unix_message.h
@@ -1,5 +1,5 @@
-// Bytes over a Unix socket, with an open file beside them where one is passed on (SCM_RIGHTS, unix(7)). Owns
-// nothing: descriptors stay the caller's.
+// Sends and receives bytes over a Unix socket, optionally with a file descriptor (SCM_RIGHTS, unix(7)). The
+// caller owns all descriptors.
 #pragma once
 
 #include <sys/types.h>
@@ -9,11 +9,11 @@
 
 namespace shorelead::handover {
 
-// Whether all of it went out, without waiting; `passed`: a descriptor to go along, or -1.
+// Sends without blocking; true if all bytes were sent. `passed`: a descriptor to send, or -1.
 bool send_with(int to, std::string_view text, int passed);
 
-// The bytes that came, 0 at the end, or -1 with errno; `passed` is set to a descriptor if one came along and
-// it has none yet.
+// Returns the number of bytes received, 0 at the end, or -1 with errno. Sets `passed` to a received
+// descriptor if it is still -1.
 ssize_t receive_with(int from, std::array<char, 4096>& into, int& passed);
 
 }  // namespace shorelead::handover
--- a/src/node/admin_server.cpp
+++ b/src/node/admin_server.cpp
@@ -13,16 +13,16 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kMaxConnectionTime = 10000;  // for which a caller may hold its connection, whole call or not
-constexpr Millis kAcceptRetryInterval = 20;   // after callers could not be taken in
+constexpr Millis kMaxConnectionTime = 10000;  // of a caller, in any state
+constexpr Millis kAcceptRetryInterval = 20;   // after accept failed
 constexpr Millis kExpiryCheckInterval = 500;
 constexpr int kBacklog = 64;
-constexpr int kMaxAcceptsPerTurn = 16;  // in one turn, so that a flood of callers leaves time for clients
+constexpr int kMaxAcceptsPerTurn = 16;  // so that many callers do not delay clients
 
 }  // namespace
 
-// One caller. Not a Stream: whoever has closed its half still gets its answer, and the node's count of
-// descriptors is for clients and backends.
+// Connection of one caller. Not a Stream: a caller that has closed its half still gets its response, and the
+// count of open streams is for clients and backends only.
 class AdminServer::Caller : public Watch::Handler {
  public:
   Caller(AdminServer& owner, int fd)
@@ -36,7 +36,7 @@
     const ssize_t got = ::recv(socket.fd(), part.data(), part.size(), MSG_DONTWAIT);
     if (got < 0 && net::passes(errno)) return;
     if (got < 0 || (got == 0 && responded)) return owner.close_caller(*this);
-    if (responded) return;  // a line behind the first is not asked for
+    if (responded) return;  // only the first line is a call
     const auto state = got == 0 ? reader.finish() : reader.add({part.data(), static_cast<std::size_t>(got)});
     if (state == manage::LineReader::State::kOpen) {
       if (got == 0) owner.close_caller(*this);
@@ -68,7 +68,7 @@
     if (output.empty() && half_closed) return owner.close_caller(*this);
     watch.want_write(!output.empty());
     if (half_closed) watch.want_read(false);
-    // By halves: a close with bytes unread would reset the connection and take the answer along.
+    // Only the sending half: closing with unread bytes would reset the connection and lose the response.
     if (output.empty()) ::shutdown(socket.fd(), SHUT_WR);
   }
 
@@ -87,7 +87,7 @@
   Watch watch;
   manage::LineReader reader;
   bool responded = false;
-  bool half_closed = false;  // it has closed its half
+  bool half_closed = false;  // the caller has closed its sending half
   std::string output;
 };
 
@@ -111,7 +111,7 @@
     if (fd < 0) {
       if (net::of_one_connection(errno)) continue;
       if (errno == EAGAIN || errno == EWOULDBLOCK) return;
-      // Whoever waits is told of again and again, and the loop would spin.
+      // The pending connection keeps the listener readable, so the loop would spin.
       spdlog::error("admin server: cannot accept a connection now: {}", std::strerror(errno));
       watch_->want_read(false);
       loop_.cancel(accept_timer_);
@@ -121,11 +121,11 @@
     evict_if_full();
     const auto caller = std::make_shared<Caller>(*this, fd);
     callers_.push_back(caller);
-    caller->on_readable();  // its line mostly came along
+    caller->on_readable();  // the line has usually arrived already
   }
 }
 
-// Who had its answer goes first, then whoever has held its connection for longest without a whole call.
+// Evicts a caller that has its response, else the one that has been connected longest.
 void AdminServer::evict_if_full() {
   if (callers_.size() < kMaxCallers) return;
   const auto done = std::find_if(callers_.begin(), callers_.end(),
@@ -134,7 +134,7 @@
   close_caller(done != callers_.end() ? **done : *callers_.front());
 }
 
-// Freed once the handler at hand, which may be its own, is done; but its descriptor is free from now on.
+// The object is destroyed later, as this may run within its own handler.
 void AdminServer::close_caller(Caller& caller) {
   const auto it = std::find_if(callers_.begin(), callers_.end(),
                                [&caller](const auto& one) { return one.get() == &caller; });
--- a/src/node/admin_server.h
+++ b/src/node/admin_server.h
@@ -1,6 +1,7 @@
-// The admin server on a socket: callers' connections, one line in, one answer out. It owns them and their
-// bounds. It must never know what a call means, hold more than a few callers, let one that says nothing keep
-// out one that does, or touch the descriptors that clients and backends share: it has a reserve of its own.
+// The admin server: accepts connections of callers, reads one line from each and writes one response. Calls
+// are carried out by the handler that it is given. The number of connections is bounded, with descriptors
+// reserved for them beside those of clients and backends; when it is reached, a new caller evicts an old one,
+// so that silent callers cannot lock others out.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -21,18 +22,18 @@
  public:
   static constexpr std::size_t kMaxCallers = 24;
   static constexpr int kDescriptors =
-      static_cast<int>(kMaxCallers) + 2;  // with the listener, one just accepted
+      static_cast<int>(kMaxCallers) + 2;  // and the listener, and one just accepted
 
   struct Counters {
     std::uint64_t calls = 0;
-    std::uint64_t refused = 0;    // lines that were no call
-    std::uint64_t evicted = 0;    // callers that gave way to others
-    std::uint64_t timed_out = 0;  // and that took too long
+    std::uint64_t refused = 0;    // lines that are no valid call
+    std::uint64_t evicted = 0;    // callers closed in favour of new ones
+    std::uint64_t timed_out = 0;  // callers that sent no whole call in time
   };
 
   using CallHandler = std::function<std::string(const manage::Call&)>;
 
-  // Throws Poco::Exception where the address cannot be listened on.
+  // Throws Poco::Exception if it cannot listen on the address.
   AdminServer(Loop& loop, const Poco::Net::SocketAddress& address, CallHandler handle_call);
   ~AdminServer() override;
 
@@ -51,7 +52,7 @@
   CallHandler handle_call_;
   Poco::Net::ServerSocket socket_;
   std::unique_ptr<Watch> watch_;
-  std::list<std::shared_ptr<Caller>> callers_;  // the longest here first
+  std::list<std::shared_ptr<Caller>> callers_;  // oldest first
   Loop::TimerId expiry_timer_ = 0;
   Loop::TimerId accept_timer_ = 0;
   Counters counters_;
--- a/src/node/ban_list.cpp
+++ b/src/node/ban_list.cpp
@@ -7,8 +7,8 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kPollInterval = 50;         // a fifth of the shortest grace in use
-constexpr Millis kSaveRetryInterval = 1000;  // what could not be written is tried again
+constexpr Millis kPollInterval = 50;         // 1/5 of the shortest grace in use
+constexpr Millis kSaveRetryInterval = 1000;  // after a failed write
 
 }  // namespace
 
@@ -46,7 +46,7 @@
   set_bans(saved.bans);
 }
 
-// A backend that is out stays known, whatever became of it in the list: else the call back would be refused.
+// A banned backend stays known even if the list no longer holds it; otherwise enabling it would be refused.
 std::string BanList::change(const manage::Call& call) {
   if (!is_listed_(call.id) && !bans_.knows(call.id))
     return manage::error_response("no backend " + call.id + " in the list");
@@ -64,8 +64,8 @@
   return changed;
 }
 
-// Where it cannot be kept it holds in this process, which is what an operator needs first; but the answer is
-// no, as the next one would not know.
+// If the file cannot be written, the ban still holds in this process, which an operator needs first. The
+// response is an error, as the next process would not know the ban.
 std::string BanList::disable(const std::string& id) {
   bool changed = false;
   const auto next = apply([&](manage::BanSet& bans) { changed = bans.disable(id, loop_.now()); });
@@ -79,7 +79,7 @@
   return manage::ok_response(id + (changed ? " is out" : " was out already"));
 }
 
-// It stays out where that cannot be kept: the next process would have it out again.
+// If the file cannot be written, the backend stays banned: the next process would ban it again.
 std::string BanList::enable(const std::string& id) {
   bool changed = false;
   const auto next = apply([&](manage::BanSet& bans) {
--- a/src/node/ban_list.h
+++ b/src/node/ban_list.h
@@ -1,6 +1,6 @@
-// Backends that are out by hand: the set in force, the file by which the processes of one node share it, and
-// the operators' calls that change it. Owns these; it must never know what a ban does, nor say that a call is
-// carried out which the next process would not know of.
+// Backends that an operator has taken out (banned). Owns the current set, the file through which the
+// processes of one node share it, and the admin calls that change it. A call is acknowledged only once the
+// file holds the change, so that the next process knows it.
 #pragma once
 
 #include <functional>
@@ -17,19 +17,18 @@
 
 class BanList {
  public:
-  // `is_listed`: whether a list names this backend now; `changed`: called when the set is another.
+  // `is_listed`: whether a current list holds this backend; `on_changed`: called after the set has changed.
   BanList(Loop& loop, std::function<bool(const std::string&)> is_listed, std::function<void()> on_changed)
       : loop_(loop), is_listed_(std::move(is_listed)), on_changed_(std::move(on_changed)) {}
   ~BanList() { loop_.cancel(poll_timer_); }
   BanList(const BanList&) = delete;
   BanList& operator=(const BanList&) = delete;
 
-  void use_file(const std::string& path);  // with other processes, by this file
+  void use_file(const std::string& path);  // shares the set with other processes of the node
   const manage::BanSet& bans() const { return bans_; }
-  // Whether the file has been read, where there is one: until then backends may be out of which nothing is
-  // known.
+  // Whether the file, if there is one, has been read; before that, banned backends may be unknown.
   bool file_read() const { return !file_ || file_read_; }
-  std::string change(const manage::Call& call);  // disable or enable; the answer
+  std::string change(const manage::Call& call);  // disable or enable; returns the response
 
  private:
   void poll_file();
@@ -44,10 +43,10 @@
   const std::function<void()> on_changed_;
   manage::BanSet bans_;
   std::unique_ptr<handover::BanFile> file_;
-  std::set<std::string> unsaved_;  // out in this process alone, as the file could not be written
-  std::string logged_cause_;       // of trouble with the file, in the log already
-  bool file_read_ = false;         // ever
-  Millis next_save_ = 0;           // when that is tried again
+  std::set<std::string> unsaved_;  // banned in this process only, as writing failed
+  std::string logged_cause_;       // the last error of the file that was logged
+  bool file_read_ = false;         // at least once
+  Millis next_save_ = 0;           // when unsaved_ is written again
   Loop::TimerId poll_timer_ = 0;
 };
 
