--- a/src/files/whole_file.cpp
+++ b/src/files/whole_file.cpp
@@ -12,7 +12,7 @@
 namespace shorelead::files {
 namespace {
 
-constexpr int kMaxAttempts = 3;  // of the whole, each from its beginning
+constexpr int kMaxAttempts = 3;  // of the whole operation
 
 std::string describe_error(const std::string& path, const char* what) {
   return path + " " + what + ": " + std::strerror(errno);
@@ -33,7 +33,7 @@
 
   bool open() const { return fd_ >= 0; }
 
-  // Up to the end of the file.
+  // Reads up to the end of the file.
   bool read(std::string& into) const {
     std::array<char, 65536> part;
     while (true) {
@@ -64,9 +64,9 @@
   int fd_ = -1;
 };
 
-// Once; the file beside is left behind only by a kill.
+// One attempt. Only a kill leaves the temporary file behind.
 ReplaceResult replace_once(const std::string& path, const std::string& text) {
-  // Of this process alone: another may write at the same time.
+  // The name is unique to this process, as another may write at the same time.
   const std::string temporary_path = path + "." + std::to_string(::getpid()) + ".new";
   ReplaceResult result;
   {
@@ -90,12 +90,12 @@
   return result;
 }
 
-// The new name outlives a loss of power only once its folder is synced as well.
-std::string sync_folder_of(const std::string& path) {
+// The rename survives a loss of power only after the directory is synced.
+std::string sync_directory_of(const std::string& path) {
   const std::size_t slash = path.rfind('/');
-  const std::string folder = slash == std::string::npos ? "." : path.substr(0, slash + 1);
-  const File file(folder, O_RDONLY | O_DIRECTORY);
-  return file.open() && file.sync() ? "" : describe_error(folder, "cannot be synced");
+  const std::string directory = slash == std::string::npos ? "." : path.substr(0, slash + 1);
+  const File file(directory, O_RDONLY | O_DIRECTORY);
+  return file.open() && file.sync() ? "" : describe_error(directory, "cannot be synced");
 }
 
 }  // namespace
@@ -125,7 +125,7 @@
   for (int n = 0; n < kMaxAttempts && !result.replaced; ++n) result = replace_once(path, text);
   if (!result.replaced) return result;
   for (int n = 0; n < kMaxAttempts; ++n) {
-    result.error = sync_folder_of(path);
+    result.error = sync_directory_of(path);
     if (result.error.empty()) break;
   }
   return result;
--- a/src/files/whole_file.h
+++ b/src/files/whole_file.h
@@ -1,7 +1,6 @@
-// Files that are read and replaced whole. Owns the calls that take, and what Linux documents of their
-// failing: interruptions are no failure, short reads and writes go on, and trouble that passes (no
-// descriptor, no space, an I/O error) is tried again a few times before it is told. It must never know what a
-// file holds.
+// Reads and atomically replaces whole files. Interrupted calls and short reads or writes are continued;
+// errors that may be transient (no descriptor, no space, an I/O error) are retried a few times before they
+// are reported.
 #pragma once
 
 #include <string>
@@ -10,26 +9,26 @@
 
 enum class ReadStatus {
   kRead,
-  kAbsent,  // there is no such file
-  kFailed,  // it could not be read, or not to its end: what is in it is not known
+  kAbsent,  // the file does not exist
+  kFailed,  // it could not be read completely
 };
 
 struct ReadResult {
   ReadStatus status = ReadStatus::kFailed;
-  std::string text;   // if it was read
-  std::string cause;  // if not, in words
+  std::string text;   // if status is kRead
+  std::string cause;  // otherwise, the error
 };
 
 ReadResult read_whole(const std::string& path);
 
 struct ReplaceResult {
-  bool replaced = false;  // readers find the new text from now on
-  // In words. With a file that was replaced: it may be the old one again after a loss of power.
+  bool replaced = false;  // readers see the new text
+  // Empty if there was none. If the file was replaced, the old one may be back after a loss of power.
   std::string error;
 };
 
-// Puts a file with this text in the place of the one at `path`, whole or not at all: written beside it,
-// synced, renamed, and the folder synced.
+// Replaces the file at `path` atomically: writes a temporary file beside it, syncs and renames it, and syncs
+// the directory.
 ReplaceResult replace_whole(const std::string& path, const std::string& text);
 
 }  // namespace shorelead::files
--- a/src/manage/bans.h
+++ b/src/manage/bans.h
@@ -1,6 +1,6 @@
-// Backends taken out by hand: which, and since when; apart from the list, whatever the list says. Also their
-// form as text, for the file through which two processes of one node share them. Pure. It must never forget a
-// ban but by the call back, and never take a text for whole that is not.
+// The set of backends that an operator has taken out (banned), independent of the list of backends, and its
+// text format for the file that the processes of one node share. Pure. A ban ends only with enable(), and
+// truncated or changed text is rejected by a checksum.
 #pragma once
 
 #include <cstdint>
@@ -14,32 +14,32 @@
 
 namespace shorelead::manage {
 
-// Of a backend that was ever out by hand. It may have been restarted meanwhile without a word of the list, so
-// until the list names a later birth it counts as started when it came back.
+// The latest ban of a backend. The backend may have been restarted meanwhile without notice in the list, so
+// it counts as started at the end of the ban until the list gives a later start time.
 struct Ban {
   bool out = true;
-  Millis since = 0;  // Unix time; of the first call out
-  Millis until = 0;  // and of the call back
+  Millis since = 0;  // Unix time of the first disable()
+  Millis until = 0;  // Unix time of enable()
 
   bool operator==(const Ban&) const = default;
 };
 
 class BanSet {
  public:
-  // Says whether anything changed.
+  // Return whether the set changed.
   bool disable(const std::string& id, Millis now);
   bool enable(const std::string& id, Millis now);
 
   bool out(const std::string& id) const;
   bool knows(const std::string& id) const { return bans_.count(id) > 0; }
   std::size_t count_out() const;
-  // When a backend that the list says was born then started at the latest, as far as bans tell.
+  // Start time of a backend for which the list gives `born`, corrected by its ban.
   Millis started(const std::string& id, Millis born) const;
   const std::map<std::string, Ban>& all() const { return bans_; }
 
-  // The same by another clock, as `convert` has it.
+  // A copy with all times converted to another clock.
   BanSet with_times(const std::function<Millis(Millis)>& convert) const;
-  std::string text() const;  // with a last line by which a torn one is told
+  std::string text() const;  // ends with a line that holds the checksum
   static std::optional<BanSet> parse(std::string_view text, std::string& cause);
 
   bool operator==(const BanSet&) const = default;
--- a/src/manage/calls.h
+++ b/src/manage/calls.h
@@ -1,5 +1,5 @@
-// The words of the admin server: one line in, one answer out. Pure: bytes in, a call or a cause out. It
-// must never do what it reads, and nothing else in the daemon may know these words.
+// The text protocol of the admin server: parses a line into a call and formats responses. Pure; calls are
+// carried out elsewhere, and no other part knows the protocol.
 #pragma once
 
 #include <cstddef>
@@ -9,16 +9,16 @@
 
 namespace shorelead::manage {
 
-constexpr std::size_t kMaxCallBytes = 512;  // bytes of a call, its end of line apart
+constexpr std::size_t kMaxCallBytes = 512;  // without the end of line
 
 enum class CallKind { kReady, kShowStat, kDisable, kEnable, kDrain, kResume };
 
 struct Call {
   CallKind kind = CallKind::kReady;
-  std::string id;  // of a backend, where the call takes one
+  std::string id;  // of a backend, if the call takes one
 };
 
-// What a line says: a call, or why it is none.
+// A parsed line: a call, or the cause why it is not valid.
 struct ParsedCall {
   std::optional<Call> call;
   std::string cause;
@@ -26,14 +26,14 @@
 
 ParsedCall parse_call(std::string_view line);
 
-// Takes a caller's bytes as they come, split anywhere, up to the first end of line (LF, or CR LF). What
-// follows it is none of its business: one line to a connection.
+// Collects the bytes of a caller up to the first end of line (LF or CR LF). What follows is ignored: each
+// connection carries one call.
 class LineReader {
  public:
   enum class State { kOpen, kLine, kTooLong };
 
   State add(std::string_view bytes);
-  // The other side has closed its half: what came is the line, if anything did.
+  // The caller has closed its half: a non-empty rest counts as the line.
   State finish();
   std::string_view line() const { return line_; }
 
@@ -42,9 +42,9 @@
   std::string line_;
 };
 
-// Answers. `words` holds no end of line.
+// Responses. `words` has no end of line.
 std::string ok_response(std::string_view words);
 std::string error_response(std::string_view words);
-std::string list_response(std::string_view lines);  // each with its end of line
+std::string list_response(std::string_view lines);  // each ends with an end of line
 
 }  // namespace shorelead::manage
--- a/src/manage/drain.h
+++ b/src/manage/drain.h
@@ -1,6 +1,6 @@
-// How a node lets go of its clients: one machine for the admin server's call, for SIGTERM and for a successor
-// that took over. Pure: calls with the time in, and what is to be done with a connection out. It must never
-// close anything itself, and never end a request that was taken.
+// State machine for draining a node's clients, on an admin call, on SIGTERM or after a successor took over.
+// Pure: takes events with their time and returns the state; connections are closed elsewhere. Accepted
+// requests always run to their end.
 #pragma once
 
 #include "base/millis.h"
@@ -8,36 +8,34 @@
 namespace shorelead::manage {
 
 enum class DrainState {
-  kServing,   // as always
-  kDraining,  // told to let go: not ready, every answer the last on its connection, unused connections may
-              // still bring one more request each
-  kDrained,   // unused connections are closed at once; what was taken goes on to its end
+  kServing,   // normal operation
+  kDraining,  // not ready; each response closes its connection, idle connections may send one more request
+  kDrained,   // idle connections are closed at once; accepted requests continue
 };
 
 const char* name_of(DrainState state);
 
 class Drain {
  public:
-  // By call the front stops within 0.2 s of the first no, and 4 s after the call nothing idle may be held,
-  // nor a request of the last 2 s: so unused connections have a second and a half for one more request, whose
-  // answer says that it is the last.
+  // After a drain call the platform stops sending within 0.2 s of the first "not ready". 4 s after the call
+  // no idle connection may be open, nor one with a request of the last 2 s. So idle connections get 1.5 s for
+  // one more request, whose response announces the close.
   static constexpr Millis kIdleTimeAfterCall = 1500;
-  // Before an end, the last request needs its whole deadline before the kill 0.7 s after the longest one.
+  // At shutdown the last request needs its whole deadline before SIGKILL, 0.7 s after the longest deadline.
   static constexpr Millis kIdleTimeAtShutdown = 350;
   static constexpr Millis kNever = 1e18;
 
-  void drain(Millis now);  // by call; nothing if it drains already
-  bool resume();           // by call; false if the process is about to end
+  void drain(Millis now);  // by admin call; no effect while draining
+  bool resume();           // by admin call; false if the process is shutting down
   void replaced(
       Millis now);  // a successor takes clients now: unused connections stay until it is time to leave
-  void shut_down(Millis now);  // for good
+  void shut_down(Millis now);  // cannot be undone
 
   DrainState state(Millis now) const;
   bool serving() const { return since_ == 0; }
   bool shutting_down() const { return shutting_down_; }
-  Millis drained_at() const {
-    return idle_until_;
-  }  // when draining becomes drained, or kNever; 0 while serving
+  // Time at which draining becomes drained, or kNever; 0 while serving.
+  Millis drained_at() const { return idle_until_; }
 
  private:
   Millis since_ = 0;
--- a/src/manage/metrics.h
+++ b/src/manage/metrics.h
@@ -1,6 +1,6 @@
-// The metrics that the admin server shows. Pure: it owns the request counters, where each is in exactly one
-// state at any moment, and the text of the metrics. It must never be told of one ending twice, nor count what
-// others count already: gauges are handed in when they are read.
+// The metrics that the admin server shows: the request counters and their text format. Pure. Each request is
+// in exactly one state, so ended() is called once for each. Values that other parts count are passed in as
+// gauges when the metrics are read.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace shorelead::manage {
 
-enum class RequestEnd { kPassed, kDropped, kBadGateway, kLeft };  // kLeft: its client had gone
+enum class RequestEnd { kPassed, kDropped, kBadGateway, kLeft };  // kLeft: the client closed the connection
 
 class RequestCounters {
  public:
@@ -23,7 +23,7 @@
     std::uint64_t taken() const { return passed + dropped + bad_gateway + left + in_progress; }
   };
 
-  // A class appears with the configuration that names it, and keeps its counts when one drops it.
+  // Adds a class with zero counts. Its counts remain when a later configuration removes the class.
   void name_class(const std::string& name) { classes_[name]; }
   void taken(const std::string& name) { ++classes_[name].in_progress; }
   void ended(const std::string& name, RequestEnd end);
@@ -36,12 +36,12 @@
 };
 
 struct Gauges {
-  std::uint64_t upstream_tries = 0;  // attempts written whole
+  std::uint64_t upstream_tries = 0;  // attempts that were sent completely
   std::uint64_t known_backends = 0;
   std::uint64_t skipped_backends = 0;
   std::uint64_t loads = 0;
   std::uint64_t load_errors = 0;
-  std::uint64_t rule_violations = 0;  // counted by the checker of the rules
+  std::uint64_t rule_violations = 0;  // from the rule checker
 };
 
 std::string metrics_text(const RequestCounters& counters, const Gauges& gauges);
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -8,8 +8,7 @@
 namespace shorelead::node {
 namespace {
 
-// Standard streams, reactor, timers, signals, listener, watch, spare.
-constexpr int kReservedDescriptors = 32;
+constexpr int kReservedDescriptors = 32;   // standard streams, reactor, timers, signals, listener, spare
 constexpr double kFlowMemoryShare = 0.25;  // of the node's memory, for streamed bodies
 constexpr double kDefaultMemoryMb = 256;   // if the configuration gives no limit
 constexpr int kNearlyFullDivisor = 8;      // nearly full: less than 1/8 of the descriptors are free
@@ -148,7 +147,7 @@
                                   (hot_restart_.two_processes_run() ? 2 : 1));
 }
 
-// Evicts idle connections until the process is within its limits, which halve while two processes run.
+// Evicts idle connections down to the limits, which halve while two processes run.
 void Server::trim_connections() {
   flow_budget_->state(flow_budget_bytes());
   while (Stream::open_count() > max_streams()) {
