--- a/src/node/counts_text.h
+++ b/src/node/counts_text.h
@@ -1,11 +1,11 @@
-// Counts by some key as the log shows them. Owns no state.
+// Formats counts by key for the log.
 #pragma once
 
 #include <string>
 
 namespace shorelead::node {
 
-// "200=5 503=1" from counts by some key; "none" where there are none.
+// Returns text such as "200=5 503=1", or "none" if there are no counts.
 template <typename Counts, typename Name>
 std::string listed(const Counts& counts, const Name& name) {
   std::string text;
--- a/src/node/log_output.cpp
+++ b/src/node/log_output.cpp
@@ -12,11 +12,11 @@
 namespace shorelead::node {
 namespace {
 
-std::atomic<int> own_way{-1};
+std::atomic<int> nonblocking_descriptor{-1};
 
-// The flag that keeps writes from waiting stands with the open file, which other processes may share: so the
-// pipe is opened once more. -1 where that is no pipe, or cannot be done.
-int open_again(int fd) {
+// O_NONBLOCK belongs to the open file description, which other processes may share, so the pipe is opened
+// once more. Returns -1 if `fd` is no pipe or cannot be opened again.
+int reopen_nonblocking(int fd) {
   struct stat info {};
   if (::fstat(fd, &info) != 0 || !S_ISFIFO(info.st_mode)) return -1;
   const std::string path = "/proc/self/fd/" + std::to_string(fd);
@@ -25,41 +25,44 @@
 
 }  // namespace
 
-LogOutput::LogOutput(int fd) : given_(fd), own_(open_again(fd)) { own_way = own_; }
+LogOutput::LogOutput(int fd) : descriptor_(fd), nonblocking_(reopen_nonblocking(fd)) {
+  nonblocking_descriptor = nonblocking_;
+}
 
 LogOutput::~LogOutput() {
-  own_way = -1;
-  if (own_ >= 0) ::close(own_);
+  nonblocking_descriptor = -1;
+  if (nonblocking_ >= 0) ::close(nonblocking_);
 }
 
 void LogOutput::sink_it_(const spdlog::details::log_msg& message) {
   spdlog::memory_buf_t text;
   formatter_->format(message, text);
-  const std::string gap = std::to_string(lost_) + " lines of the log are missing here: it was not read\n";
-  if (lost_ > 0 && !write_line(gap)) {
+  const std::string notice = std::to_string(lost_) + " lines of the log are missing here: it was not read\n";
+  if (lost_ > 0 && !write_line(notice)) {
     ++lost_;
     return;
   }
   lost_ = write_line({text.data(), text.size()}) ? 0 : 1;
 }
 
-// Up to PIPE_BUF bytes go whole or not at all (pipe(7)).
+// Up to PIPE_BUF bytes are written atomically (pipe(7)).
 bool LogOutput::write_line(std::string_view line) {
-  std::string whole(torn_ ? "\n" : "");
-  whole += line;
+  std::string text(partial_line_ ? "\n" : "");
+  text += line;
   std::size_t done = 0;
-  while (done < whole.size()) {
-    const ssize_t wrote = net::uninterrupted(
-        [&] { return ::write(own_ >= 0 ? own_ : given_, whole.data() + done, whole.size() - done); });
-    if (wrote <= 0) break;
-    done += static_cast<std::size_t>(wrote);
+  while (done < text.size()) {
+    const ssize_t written = net::uninterrupted([&] {
+      return ::write(nonblocking_ >= 0 ? nonblocking_ : descriptor_, text.data() + done, text.size() - done);
+    });
+    if (written <= 0) break;
+    done += static_cast<std::size_t>(written);
   }
-  if (done > 0) torn_ = done < whole.size();
-  return done == whole.size();
+  if (done > 0) partial_line_ = done < text.size();
+  return done == text.size();
 }
 
 int log_descriptor() {
-  const int own = own_way;
+  const int own = nonblocking_descriptor;
   return own >= 0 ? own : STDOUT_FILENO;
 }
 
--- a/src/node/log_output.h
+++ b/src/node/log_output.h
@@ -1,6 +1,6 @@
-// Where the log's lines go. Owns a way of its own to the pipe that standard output may be, on which no write
-// waits: a reader that stands still must not hold up clients. Lines that cannot go out are lost and counted;
-// the count goes out before the next line that can. It must never wait, and never throw.
+// Log sink for standard output. If that is a pipe, it is opened once more without blocking, so that a reader
+// that has stopped does not delay clients. Lines that cannot be written are lost and counted; the count is
+// written before the next line that can be. Never blocks on a pipe and never throws.
 #pragma once
 
 #include <spdlog/sinks/base_sink.h>
@@ -13,24 +13,25 @@
 
 class LogOutput : public spdlog::sinks::base_sink<std::mutex> {
  public:
-  // To the file behind `fd`, which stays the caller's. Where that is no pipe, writes are as the file has it.
+  // Writes to the file of `fd`, which the caller owns. If it is no pipe, writes may block as the file does.
   explicit LogOutput(int fd);
   ~LogOutput() override;
 
-  std::uint64_t lost() const { return lost_; }  // lines, since the last that went out
+  std::uint64_t lost() const { return lost_; }  // since the last line that was written
 
  private:
   void sink_it_(const spdlog::details::log_msg& message) override;
   void flush_() override {}
   bool write_line(std::string_view line);
 
-  const int given_;
-  const int own_;      // of the same pipe, or -1
-  bool torn_ = false;  // the last line went out in part
+  const int descriptor_;
+  const int nonblocking_;      // of the same pipe, or -1
+  bool partial_line_ = false;  // the last line was written in part
   std::uint64_t lost_ = 0;
 };
 
-// What else is written to the log by hand goes there: standard output, or this process's own way to it.
+// Descriptor for writing to the log without a logger: standard output, or the non-blocking one of the same
+// pipe.
 int log_descriptor();
 
 }  // namespace shorelead::node
--- a/src/node/net.h
+++ b/src/node/net.h
@@ -1,4 +1,4 @@
-// The transport's names as the node uses them. Owns no code; it must never name what the node has no use for.
+// The names of shorelead::net that the node uses.
 #pragma once
 
 #include "net/http.h"
