--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -17,7 +17,7 @@
 // What a process receives from its predecessor.
 struct InheritedState {
   int listener = -1;  // the clients' listening socket
-  int channel = -1;   // connection to the predecessor, for Successor
+  int channel = -1;   // connection to the predecessor, for HandoverClient
   std::string list;   // last list of backends, in discovery's format; may be empty
 };
 
--- a/src/manage/drain.h
+++ b/src/manage/drain.h
@@ -25,10 +25,9 @@
   static constexpr Millis kIdleTimeAtShutdown = 350;
   static constexpr Millis kNever = 1e18;
 
-  void drain(Millis now);  // by admin call; no effect while draining
-  bool resume();           // by admin call; false if the process is shutting down
-  void replaced(
-      Millis now);  // a successor takes clients now: unused connections stay until it is time to leave
+  void drain(Millis now);      // by admin call; no effect while draining
+  bool resume();               // by admin call; false if the process is shutting down
+  void replaced(Millis now);   // a successor serves: idle connections stay open until the shutdown
   void shut_down(Millis now);  // cannot be undone
 
   DrainState state(Millis now) const;
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -11,7 +11,7 @@
 constexpr int kReservedDescriptors = 32;   // standard streams, reactor, timers, signals, listener, spare
 constexpr double kFlowMemoryShare = 0.25;  // of the node's memory, for streamed bodies
 constexpr double kDefaultMemoryMb = 256;   // if the configuration gives no limit
-constexpr int kNearlyFullDivisor = 8;      // nearly full: less than 1/8 of the descriptors are free
+constexpr int kCrowdedDivisor = 8;         // crowded: less than 1/8 of the descriptors are free
 constexpr int kPlentifulDivisor = 2;       // plentiful: less than 1/2 of the descriptors are in use
 constexpr int kManyIdleDivisor = 6;        // too many idle: over 1/6 of the descriptors
 constexpr Millis kBanFileTimeout = 5000;   // after the start, to read the file of bans
@@ -82,9 +82,7 @@
             if (is_ready) readiness_.log_first_ready(snapshot());
             return recorder_.reported_ready(is_ready);
           },
-          [this] {
-            return Stream::open_count() * kNearlyFullDivisor >= max_streams() * (kNearlyFullDivisor - 1);
-          },
+          [this] { return Stream::open_count() * kCrowdedDivisor >= max_streams() * (kCrowdedDivisor - 1); },
           [this](std::size_t unused) { return static_cast<int>(unused) * kManyIdleDivisor > max_streams(); },
           [this] { return Stream::open_count() * kPlentifulDivisor < max_streams(); },
           [this] { return room_.make(limits::Purpose::kClient, *front_); },
