--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -27,10 +27,10 @@
     unusable = unusable || (!pool->told() && !pool->may_use_given_list());
   }
   if (has_list) return true;
-  const Millis wait = with_predecessor ? waits_.with_predecessor
-                      : unusable       ? waits_.unusable_list
-                      : pushed         ? waits_.pushed_list
-                                       : waits_.list;
+  const Millis wait = with_predecessor ? timeouts_.with_predecessor
+                      : unusable       ? timeouts_.unusable_list
+                      : pushed         ? timeouts_.pushed_list
+                                       : timeouts_.list;
   return known && uptime() >= wait;
 }
 
--- a/src/node/readiness.h
+++ b/src/node/readiness.h
@@ -10,7 +10,7 @@
 class Readiness {
  public:
   // How long a starting process waits for a current list, in milliseconds.
-  struct Waits {
+  struct Timeouts {
     Millis list = 500;  // if a saved or configured list is known
     // The same where lists are pushed and discovery responds: its list counts as known from the first moment,
     // so a start without it would use outdated backends. Nine in ten starts have 6 s.
@@ -21,7 +21,7 @@
     Millis unusable_list = 5000;
   };
 
-  Readiness(Loop& loop, const Waits& waits) : loop_(loop), waits_(waits), started_(loop.now()) {}
+  Readiness(Loop& loop, const Timeouts& timeouts) : loop_(loop), timeouts_(timeouts), started_(loop.now()) {}
 
   // `with_predecessor`: another process of this node serves meanwhile.
   bool lists_suffice(const RoutingSnapshot& snapshot, bool with_predecessor) const;
@@ -33,7 +33,7 @@
 
  private:
   Loop& loop_;
-  const Waits waits_;
+  const Timeouts timeouts_;
   const Millis started_;
   bool logged_ready_ = false;
 };
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -104,7 +104,9 @@
   const std::unique_ptr<Loop> loop = with_retries([] { return std::make_unique<Loop>(); });
   Server::RestartContext context;
   if (config.admin) context = inherit_state(config);
-  const auto make_server = [&] { return std::make_unique<Server>(*loop, config, Server::Waits(), context); };
+  const auto make_server = [&] {
+    return std::make_unique<Server>(*loop, config, Server::Timeouts(), context);
+  };
   // The inherited descriptors can be used only once, so this is not retried.
   const std::unique_ptr<Server> owned = context.inherited ? make_server() : with_retries(make_server);
   Server& server = *owned;
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -18,13 +18,13 @@
 
 }  // namespace
 
-Server::Server(Loop& loop, const Config& config, const Waits& waits, const RestartContext& context)
+Server::Server(Loop& loop, const Config& config, const Timeouts& timeouts, const RestartContext& context)
     : loop_(loop),
       recorder_(loop),
       config_(config),
       limits_(config.limits),
       shape_(config.shape),
-      waits_(waits),
+      timeouts_(timeouts),
       reloader_(loop, {[this]() -> const Shape& { return shape_; },
                        [this](Config fresh) { apply(std::move(fresh)); }}),
       admissions_(loop, context.inherited.has_value(),
@@ -43,7 +43,7 @@
                     }}),
       room_(generations_.pools(), [this] { return max_streams(); }),
       request_table_([this](RequestId request, const Refusal& words) { front_->refuse(request, words); }),
-      shutdown_(loop, waits.accept_on,
+      shutdown_(loop, timeouts.accept_on,
                 {[this]() -> Front& { return *front_; }, [this] { return open_requests(); },
                  [this] { return admissions_.give_back(snapshot()); }}),
       hot_restart_(
@@ -55,7 +55,7 @@
            [this] { trim_connections(); }, [this] { shutdown_.replaced(); },
            [this] { return shutdown_.resume(); }, [this] { return admissions_.give_reserve(); },
            [this](Millis before) { admissions_.take_reserve(before); }}),
-      readiness_(loop, {.list = waits.list, .pushed_list = waits.pushed_list}) {
+      readiness_(loop, {.list = timeouts.list, .pushed_list = timeouts.pushed_list}) {
   limits_.sockets = allowed_descriptors(limits_.sockets);
   flow_budget_ = std::make_shared<net::FlowBudget>(flow_budget_bytes());
   const auto listed = [this](const std::string& id) {
@@ -200,7 +200,8 @@
 
 void Server::shut_down() {
   recorder_.phase(guard::ProcessPhase::kLeaving);
-  shutdown_.shut_down(std::min(snapshot().longest_deadline(), waits_.deadline), hot_restart_.is_replaced());
+  shutdown_.shut_down(std::min(snapshot().longest_deadline(), timeouts_.deadline),
+                      hot_restart_.is_replaced());
 }
 
 void Server::apply(Config fresh) {
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -28,21 +28,21 @@
 
 class Server {
  public:
-  struct Waits {
+  struct Timeouts {
     Millis accept_on = 600;  // after SIGTERM: new clients may connect for up to 0.4 s
     // Upper bound on the time for requests in progress: SIGKILL follows 0.7 s after it at the latest,
     // whatever deadlines the classes have.
     Millis deadline = 3000;
-    Millis list = Readiness::Waits().list;
-    Millis pushed_list = Readiness::Waits().pushed_list;
+    Millis list = Readiness::Timeouts().list;
+    Millis pushed_list = Readiness::Timeouts().pushed_list;
   };
 
   using RestartContext = HotRestart::RestartContext;
 
-  Server(Loop& loop, const Config& config) : Server(loop, config, Waits()) {}
-  Server(Loop& loop, const Config& config, const Waits& waits)
-      : Server(loop, config, waits, RestartContext()) {}
-  Server(Loop& loop, const Config& config, const Waits& waits, const RestartContext& context);
+  Server(Loop& loop, const Config& config) : Server(loop, config, Timeouts()) {}
+  Server(Loop& loop, const Config& config, const Timeouts& timeouts)
+      : Server(loop, config, timeouts, RestartContext()) {}
+  Server(Loop& loop, const Config& config, const Timeouts& timeouts, const RestartContext& context);
 
   // Last step of a start: begins to listen for clients. Throws std::system_error if that fails; it may be
   // called again.
@@ -81,7 +81,7 @@
   const Config& config_;  // the one of the start
   Limits limits_;
   Shape shape_;  // keys of the current configuration file
-  const Waits waits_;
+  const Timeouts timeouts_;
   ConfigReloader reloader_;
   std::shared_ptr<net::FlowBudget> flow_budget_;  // memory for streamed bodies
   FleetAdmissions admissions_;
--- a/tests/crossings/ends_test.cpp
+++ b/tests/crossings/ends_test.cpp
@@ -43,7 +43,7 @@
 }
 
 TEST(Ends, ARequestCrossesTheEndOfAnUnusedConnectionAtShutdown) {
-  Scene s([](Node& node) { node.waits.accept_on = 1500; });
+  Scene s([](Node& node) { node.timeouts.accept_on = 1500; });
   Line client = s.unused();
   ::kill(::getpid(), SIGTERM);
   crossing_is_dropped(s, client);
@@ -59,7 +59,7 @@
 
 // Clients that rest, and do not close for their part, do not hold up the end of the process.
 TEST(Ends, WhoNeverClosesDoesNotHoldUpTheEnd) {
-  Scene s([](Node& node) { node.waits.accept_on = 0; });
+  Scene s([](Node& node) { node.timeouts.accept_on = 0; });
   const Line client = s.unused();
   const double from = steady_ms();
   ::kill(::getpid(), SIGTERM);
@@ -70,7 +70,7 @@
 // More than one request has come when the word to end does: each has its answer, and only the last is told to
 // be that.
 TEST(Ends, PipelinedRequestsAreAllAnswered) {
-  Scene s([](Node& node) { node.waits.accept_on = 5000; });
+  Scene s([](Node& node) { node.timeouts.accept_on = 5000; });
   Line client = s.node.client();
   client.write(get("/safe/hang/1") + get("/safe/2") + get("/safe/3"));
   s.backends.await("hang", 1);
@@ -105,7 +105,7 @@
 TEST(Ends, WhoWaitsToBeTakenInIsAnswered) {
   Scene s([](Node& node) {
     node.config.limits.sockets = 48;
-    node.waits.accept_on = 0;
+    node.timeouts.accept_on = 0;
   });
   std::vector<Line> clients;
   for (int n = 0; n < 30; ++n) {
@@ -127,10 +127,10 @@
 
 // A deadline beyond the three seconds that the kill waits for at most: answered before it comes.
 TEST(Ends, TheKillDoesNotWaitForTheLongestDeadline) {
-  EXPECT_EQ(Server::Waits().deadline, 3000);
+  EXPECT_EQ(Server::Timeouts().deadline, 3000);
   Scene s([](Node& node) {
-    node.waits.accept_on = 0;
-    node.waits.deadline = 50;
+    node.timeouts.accept_on = 0;
+    node.timeouts.deadline = 50;
   });
   Line client = s.node.client();
   client.write(post("/unsafe/hang", "x", "X-Timeout-Ms: 20000\r\n"));
@@ -145,8 +145,8 @@
 // A request that lies unread when the process gives up what is under way, as its thread got no processor.
 TEST(Ends, WhatLiesUnreadAtTheVeryEndIsAnswered) {
   Scene s([](Node& node) {
-    node.waits.accept_on = 0;
-    node.waits.deadline = 50;
+    node.timeouts.accept_on = 0;
+    node.timeouts.deadline = 50;
   });
   Line busy = s.node.client();
   busy.write(post("/unsafe/hang/busy", "x", "X-Timeout-Ms: 20000\r\n"));
--- a/tests/crossings/last_moment_test.cpp
+++ b/tests/crossings/last_moment_test.cpp
@@ -14,8 +14,8 @@
 struct Scene {
   Scene() {
     backends.join(node, 2);
-    node.waits.accept_on = 0;
-    node.waits.deadline = 50;
+    node.timeouts.accept_on = 0;
+    node.timeouts.deadline = 50;
     node.start();
   }
 
--- a/tests/crossings/list_node_test.cpp
+++ b/tests/crossings/list_node_test.cpp
@@ -48,7 +48,7 @@
   Peer stays;
   Node node;
   node.know("s-gone", gone);
-  node.waits.list = 0;
+  node.timeouts.list = 0;
   node.start();
   Line client = node.client();
   client.write(get("/safe"));
@@ -80,7 +80,7 @@
   Config next = node.config;
   next.discovery = Poco::Net::SocketAddress("127.0.0.1", elsewhere.port());
   node.read_again = [&] { return next; };
-  node.waits.list = 0;
+  node.timeouts.list = 0;
   node.start();
   Line client = node.client();
   Line watch = node.discovery.accept();
@@ -134,8 +134,8 @@
   Pushed() {
     node.know("s-1", backend);
     node.config.settings.list_on_request = false;
-    node.waits.list = 0;
-    node.waits.pushed_list = 1e9;
+    node.timeouts.list = 0;
+    node.timeouts.pushed_list = 1e9;
   }
   Line start() {
     node.start();
--- a/tests/node_case.h
+++ b/tests/node_case.h
@@ -58,7 +58,7 @@
 
   void start() {
     loop = std::make_unique<Loop>();
-    server = std::make_unique<Server>(*loop, config, waits);
+    server = std::make_unique<Server>(*loop, config, timeouts);
     loop->on_signals(
         [this](int signal) { signal == SIGHUP ? server->reload(read_again) : server->shut_down(); });
     server->open();
@@ -75,7 +75,7 @@
 
   Peer discovery;
   Config config;
-  Server::Waits waits;
+  Server::Timeouts timeouts;
   std::function<Config()> read_again;                        // on SIGHUP
   std::function<void()> run_loop = [this] { loop->run(); };  // what its thread does
   std::unique_ptr<Loop> loop;
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -498,7 +498,7 @@
   Peer backend;
   Node node;
   node.know("s-1", backend);
-  node.waits.accept_on = 3000;  // ample for the steps below on a slow machine
+  node.timeouts.accept_on = 3000;  // ample for the steps below on a slow machine
   node.start();
   Line busy = node.client();
   busy.write(get("/safe/1"));
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -116,7 +116,7 @@
     Node node;
     node.know("s-1", backend);
     node.config.settings.list_on_request = !pushed;
-    node.waits.list = 0;
+    node.timeouts.list = 0;
     node.start();
     Line probe = node.client();
     EXPECT_EQ(ask_ready(probe), pushed ? "HTTP/1.1 503" : "HTTP/1.1 200");
@@ -198,7 +198,7 @@
   Node node;
   node.know("s-1", backend);
   for (RequestClass& one : node.config.settings.classes) one.deadline = 50;
-  node.waits.accept_on = 0;
+  node.timeouts.accept_on = 0;
   node.start();
   Line client = node.client();
   client.write(post("/unsafe", "x", "X-Timeout-Ms: 20000\r\n"));
