--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -104,7 +104,7 @@
   void on_readable() override {
     std::array<char, 64> part{};
     const ssize_t got = ::recv(socket.fd(), part.data(), part.size(), MSG_DONTWAIT);
-    if (got < 0 && net::passes(errno)) return;
+    if (got < 0 && net::is_transient(errno)) return;
     if (got <= 0) return owner.on_successor_lost(*this);
     received.append(part.data(), static_cast<std::size_t>(got));
     if (received.size() > kServingMessage.size() || kServingMessage.substr(0, received.size()) != received)
@@ -139,7 +139,7 @@
   const int fd = ::accept4(socket_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd < 0) {
     const bool queue_empty = errno == EAGAIN || errno == EWOULDBLOCK;
-    if (!queue_empty && !net::of_one_connection(errno)) pause_accepting();
+    if (!queue_empty && !net::is_per_connection(errno)) pause_accepting();
     return;
   }
   const net::Descriptor socket(fd);
@@ -203,7 +203,7 @@
 void HandoverClient::on_readable() {
   std::array<char, 64> part{};
   const ssize_t got = ::recv(socket_->fd(), part.data(), part.size(), MSG_DONTWAIT);
-  if (got < 0 && net::passes(errno)) return;
+  if (got < 0 && net::is_transient(errno)) return;
   if (got > 0) {
     if (received_.size() < part.size()) received_.append(part.data(), static_cast<std::size_t>(got));
     return parse_message();
--- a/src/net/call_errors.h
+++ b/src/net/call_errors.h
@@ -17,7 +17,7 @@
 }
 
 // Of recv, send and sendmsg: the call could not be carried out now, and the connection is as it was.
-inline bool passes(int error) {
+inline bool is_transient(int error) {
   switch (error) {
     case EINTR:
     case EAGAIN:
@@ -33,16 +33,18 @@
 }
 
 // Of a connect that does not block: the connection is on its way, or is up.
-inline bool connects(int error) { return error == EINPROGRESS || error == EALREADY || error == EISCONN; }
+inline bool connect_in_progress(int error) {
+  return error == EINPROGRESS || error == EALREADY || error == EISCONN;
+}
 
 // Of a connect that does not block and failed at once: the peer's machine has turned it down. Only over
 // loopback can it be heard so soon. Any other error is of this machine (ports, routes, memory, descriptors, a
 // filter).
-inline bool turned_down(int error) { return error == ECONNREFUSED || error == ECONNRESET; }
+inline bool connection_refused(int error) { return error == ECONNREFUSED || error == ECONNRESET; }
 
 // Of accept4: whoever was first in the queue is gone, or the network failed them, which Linux passes on here;
 // the others still wait.
-inline bool of_one_connection(int error) {
+inline bool is_per_connection(int error) {
   switch (error) {
     case EINTR:
     case ECONNABORTED:
@@ -63,7 +65,7 @@
 }
 
 // Of accept4 and socket: there is no descriptor or no memory for one more.
-inline bool lacks_room(int error) {
+inline bool lacks_resources(int error) {
   return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
 }
 
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -45,8 +45,8 @@
   auto socket = std::make_unique<Descriptor>(fd);
   // After a real interruption the connection is on its way, which the second call then says.
   const int result = uninterrupted([&] { return ::connect(fd, address.addr(), address.length()); });
-  if (result != 0 && !connects(errno)) {
-    if (turned_down(errno)) failure_ = Ending::kRefused;
+  if (result != 0 && !connect_in_progress(errno)) {
+    if (connection_refused(errno)) failure_ = Ending::kRefused;
     return false;
   }
   const int on = 1;
@@ -78,7 +78,7 @@
     message.msg_iovlen = count;
     const ssize_t sent = uninterrupted([&] { return ::sendmsg(fd(), &message, MSG_NOSIGNAL); });
     // A break is told once the caller is done, by the next wake-up.
-    if (sent < 0 && !passes(errno)) broken_ = true;
+    if (sent < 0 && !is_transient(errno)) broken_ = true;
     written = sent > 0 ? static_cast<std::size_t>(sent) : 0;
   }
   for (const std::string_view piece : pieces) {
@@ -129,9 +129,9 @@
   // One that was interrupted, or had no memory, has seen nothing.
   do {
     got = ::recv(fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  } while (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && passes(errno) && ++tries < kMostTries);
+  } while (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && is_transient(errno) && ++tries < kMostTries);
   if (got > 0) return Peek::kData;
-  return got < 0 && passes(errno) ? Peek::kNothing : Peek::kEnd;
+  return got < 0 && is_transient(errno) ? Peek::kNothing : Peek::kEnd;
 }
 
 void Stream::reset_on_close() {
@@ -175,7 +175,7 @@
   }
   // The system tells of a reset once: after a write that met it, a read sees but an end.
   if (got == 0) return fail(broken_ ? Ending::kBroken : Ending::kPeerClosed), false;
-  if (!passes(error)) fail(Ending::kBroken);
+  if (!is_transient(error)) fail(Ending::kBroken);
   return false;
 }
 
@@ -197,7 +197,7 @@
   if (broken_) return fail(Ending::kBroken);
   const ssize_t sent =
       uninterrupted([&] { return ::send(fd(), output_.data(), output_.size(), MSG_NOSIGNAL); });
-  if (sent < 0 && passes(errno)) return;
+  if (sent < 0 && is_transient(errno)) return;
   if (sent < 0) return fail(Ending::kBroken);
   output_.erase(0, static_cast<std::size_t>(sent));
   if (!output_.empty()) return;
--- a/src/node/acceptor.cpp
+++ b/src/node/acceptor.cpp
@@ -48,8 +48,8 @@
     if (fd < 0) {
       if (errno == EAGAIN || errno == EWOULDBLOCK) break;  // nobody waits
       // Any other error leaves open who does: they are looked at again, now or soon.
-      const bool no_room = net::lacks_room(errno);
-      if (no_room ? host_.evict_unused() : net::of_one_connection(errno) && ++failures < kMostFailures)
+      const bool no_room = net::lacks_resources(errno);
+      if (no_room ? host_.evict_unused() : net::is_per_connection(errno) && ++failures < kMostFailures)
         continue;
       return pause();
     }
--- a/src/node/admin_server.cpp
+++ b/src/node/admin_server.cpp
@@ -34,7 +34,7 @@
   void on_readable() override {
     std::array<char, 1024> part;
     const ssize_t got = ::recv(socket.fd(), part.data(), part.size(), MSG_DONTWAIT);
-    if (got < 0 && net::passes(errno)) return;
+    if (got < 0 && net::is_transient(errno)) return;
     if (got < 0 || (got == 0 && responded)) return owner.close_caller(*this);
     if (responded) return;  // only the first line is a call
     const auto state = got == 0 ? reader.finish() : reader.add({part.data(), static_cast<std::size_t>(got)});
@@ -63,7 +63,7 @@
 
   void on_writable() override {
     const ssize_t sent = ::send(socket.fd(), output.data(), output.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (sent < 0 && !net::passes(errno)) return owner.close_caller(*this);
+    if (sent < 0 && !net::is_transient(errno)) return owner.close_caller(*this);
     output.erase(0, sent > 0 ? static_cast<std::size_t>(sent) : 0);
     if (output.empty() && half_closed) return owner.close_caller(*this);
     watch.want_write(!output.empty());
@@ -109,7 +109,7 @@
   for (int n = 0; n < kMaxAcceptsPerTurn; ++n) {
     const int fd = ::accept4(socket_.impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
-      if (net::of_one_connection(errno)) continue;
+      if (net::is_per_connection(errno)) continue;
       if (errno == EAGAIN || errno == EWOULDBLOCK) return;
       // The pending connection keeps the listener readable, so the loop would spin.
       spdlog::error("admin server: cannot accept a connection now: {}", std::strerror(errno));
