--- a/src/net/clock_history.cpp
+++ b/src/net/clock_history.cpp
@@ -7,17 +7,17 @@
 namespace shorelead::net {
 namespace {
 
-constexpr Millis kLeastStep = 100;      // slewing and the time between two readings stay below it
-constexpr Millis kMostSkew = 1000;      // by which machines' clocks may differ without a step
-constexpr std::size_t kMostSteps = 64;  // remembered; of older ones nothing depends on the order
+constexpr Millis kMinStep = 100;       // slewing and the time between two readings stay below it
+constexpr Millis kMaxSkew = 1000;      // by which machines' clocks may differ without a step
+constexpr std::size_t kMaxSteps = 64;  // remembered; of older ones nothing depends on the order
 
 }  // namespace
 
 void ClockHistory::observe(Millis steady, Millis wall) {
   // Steady time reads as wall time at the start, but for the time between two readings.
-  const Millis offset = std::abs(wall - steady) < kLeastStep ? 0 : wall - steady;
-  if (offsets_.empty() || std::abs(offset - offsets_.back().value) >= kLeastStep) {
-    if (offsets_.size() == kMostSteps) offsets_.erase(offsets_.begin());
+  const Millis offset = std::abs(wall - steady) < kMinStep ? 0 : wall - steady;
+  if (offsets_.empty() || std::abs(offset - offsets_.back().value) >= kMinStep) {
+    if (offsets_.size() == kMaxSteps) offsets_.erase(offsets_.begin());
     offsets_.push_back({offset, steady, steady});
   }
   offsets_.back().last = steady;
@@ -29,10 +29,10 @@
   Millis possible = kNone;  // at least not in the future
   for (std::size_t n = 0; n < offsets_.size(); ++n) {
     const Millis at = label - offsets_[n].value;
-    if (at > now + kMostSkew) continue;
+    if (at > now + kMaxSkew) continue;
     possible = std::max(possible, at);
-    const bool begun = n == 0 || at >= offsets_[n - 1].last - kLeastStep;
-    const bool over = n + 1 < offsets_.size() && at > offsets_[n + 1].first + kLeastStep;
+    const bool begun = n == 0 || at >= offsets_[n - 1].last - kMinStep;
+    const bool over = n + 1 < offsets_.size() && at > offsets_[n + 1].first + kMinStep;
     if (begun && !over) fitting = std::max(fitting, at);
   }
   if (fitting != kNone) return fitting;
--- a/src/net/flow.cpp
+++ b/src/net/flow.cpp
@@ -6,7 +6,7 @@
 namespace shorelead::net {
 
 std::size_t FlowBudget::part() const {
-  return std::clamp(bytes_ / std::max<std::size_t>(1, open_) / kSides, kLeastPart, kMostPart);
+  return std::clamp(bytes_ / std::max<std::size_t>(1, open_) / kSides, kMinPart, kMaxPart);
 }
 
 Flow::Flow(std::shared_ptr<FlowBudget> budget, std::optional<std::uint64_t> length)
@@ -17,43 +17,43 @@
 Flow::~Flow() { --budget_->open_; }
 
 void Flow::put(std::string bytes) {
-  if (left_ || cut_ || ended_ || bytes.empty()) return;
+  if (abandoned_ || cut_ || ended_ || bytes.empty()) return;
   passed_ += bytes.size();
   if (bytes_.empty()) {
     bytes_ = std::move(bytes);
   } else {
     bytes_ += bytes;
   }
-  call(sink_.more);
-  held_ = full();
+  notify(sink_.more);
+  source_paused_ = full();
 }
 
 // A side may be taken away while it is being told.
-void Flow::call(const std::function<void()>& told) {
+void Flow::notify(const std::function<void()>& told) {
   const std::function<void()> hold = told;
   if (hold) hold();
 }
 
 void Flow::end() {
-  if (!std::exchange(ended_, true)) call(sink_.more);
+  if (!std::exchange(ended_, true)) notify(sink_.more);
 }
 
 void Flow::cut() {
-  if (!ended_ && !std::exchange(cut_, true)) call(sink_.cut);
+  if (!ended_ && !std::exchange(cut_, true)) notify(sink_.cut);
 }
 
 std::string Flow::take() {
   if (bytes_.empty()) return {};
   touched_ = true;
   std::string taken = std::exchange(bytes_, {});
-  if (std::exchange(held_, false)) call(source_.room);
+  if (std::exchange(source_paused_, false)) notify(source_.room);
   return taken;
 }
 
 void Flow::leave() {
-  if (std::exchange(left_, true)) return;
+  if (std::exchange(abandoned_, true)) return;
   bytes_.clear();
-  call(source_.left);
+  notify(source_.left);
 }
 
 }  // namespace shorelead::net
--- a/src/net/flow.h
+++ b/src/net/flow.h
@@ -16,13 +16,13 @@
 // The memory that all flows of a node share.
 class FlowBudget {
  public:
-  static constexpr std::size_t kMostPart = 65536;
-  static constexpr std::size_t kLeastPart = 8192;
+  static constexpr std::size_t kMaxPart = 65536;
+  static constexpr std::size_t kMinPart = 8192;
 
   explicit FlowBudget(std::size_t bytes) : bytes_(bytes) {}
   void state(std::size_t bytes) { bytes_ = bytes; }
   // Whether one more may begin.
-  bool room() const { return bytes_ / (open_ + 1) / kSides >= kLeastPart; }
+  bool room() const { return bytes_ / (open_ + 1) / kSides >= kMinPart; }
   std::size_t part() const;  // bytes that one flow may hold now
   std::size_t open() const { return open_; }
 
@@ -75,7 +75,7 @@
   std::uint64_t passed() const { return passed_; }  // bytes put so far
 
  private:
-  static void call(const std::function<void()>& told);
+  static void notify(const std::function<void()>& told);
 
   const std::shared_ptr<FlowBudget> budget_;
   const std::optional<std::uint64_t> length_;
@@ -83,11 +83,11 @@
   Sink sink_;
   std::string bytes_;
   std::uint64_t passed_ = 0;
-  bool held_ = false;  // the source may have been told to wait
+  bool source_paused_ = false;  // the source may have been told to wait
   bool touched_ = false;
   bool ended_ = false;
   bool cut_ = false;
-  bool left_ = false;
+  bool abandoned_ = false;
 };
 
 }  // namespace shorelead::net
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -10,8 +10,8 @@
 namespace shorelead::net {
 namespace {
 
-constexpr std::size_t kMostFields = 100;
-constexpr std::size_t kMostChunkLine = 256;  // size and extensions
+constexpr std::size_t kMaxFields = 100;
+constexpr std::size_t kMaxChunkLine = 256;  // size and extensions
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
@@ -139,22 +139,22 @@
   if (state_ == State::kHead && !parse_head(buffer)) return state_;
   if (state_ != State::kBody) return state_;
   if (chunked_) return advance_chunks(buffer);
-  const std::size_t come = buffer.size() - head_size_;
+  const std::size_t received = buffer.size() - head_size_;
   if (until_close_) {
-    if (taken_ + come > most_length_) return bad(413, "body too large");
+    if (taken_ + received > max_length_) return bad(413, "body too large");
     at_ = buffer.size();
     return state_;
   }
   const std::uint64_t left = length_ - taken_;
-  at_ = head_size_ + static_cast<std::size_t>(std::min<std::uint64_t>(come, left));
-  if (come >= left) state_ = State::kDone;
+  at_ = head_size_ + static_cast<std::size_t>(std::min<std::uint64_t>(received, left));
+  if (received >= left) state_ = State::kDone;
   return state_;
 }
 
 bool Parser::large() const {
   if (!has_head()) return false;
   const std::size_t here = chunked_ ? decoded_.size() : at_ - head_size_;
-  return length_ > most_body_ || here > most_body_;
+  return length_ > max_buffered_body_ || here > max_buffered_body_;
 }
 
 std::optional<std::uint64_t> Parser::length() const {
@@ -176,12 +176,12 @@
 
 // Reads lines as far as they are whole, so that no split makes a difference and nothing is read twice.
 bool Parser::parse_head(std::string_view buffer) {
-  if (head_size_ == 0 && !may_begin(buffer)) return false;
+  if (head_size_ == 0 && !start_is_possible(buffer)) return false;
   while (true) {
     const std::size_t end = buffer.find('\n', scan_);
-    if (end == std::string_view::npos || end >= kMostHead) {
+    if (end == std::string_view::npos || end >= kMaxHeadBytes) {
       scan_ = buffer.size();
-      if (buffer.size() >= kMostHead) bad(431, "head too large");
+      if (buffer.size() >= kMaxHeadBytes) bad(431, "head too large");
       return false;
     }
     if (end == at_ || buffer[end - 1] != '\r') return bad(400, "line without CR LF"), false;
@@ -192,14 +192,14 @@
       if (first) {
         // A line end before the request line is tolerated, as the standard asks; more of them are not.
         if (kind_ == Kind::kRequest && at_ == 2) {
-          if (!may_begin(buffer)) return false;
+          if (!start_is_possible(buffer)) return false;
           continue;
         }
         return bad(400, "empty start line"), false;
       }
       head_size_ = at_;
       state_ = State::kBody;
-      return settle_framing(buffer);
+      return parse_framing(buffer);
     }
     if (first ? !parse_start_line(buffer, line) : !parse_field(buffer, line)) return false;
     head_size_ = at_;
@@ -207,12 +207,12 @@
 }
 
 // Guards against waiting for the end of what cannot become a message: noise has no line ends to wait for.
-bool Parser::may_begin(std::string_view buffer) {
+bool Parser::start_is_possible(std::string_view buffer) {
   const std::string_view start = buffer.substr(at_);
   if (kind_ == Kind::kResponse) {
     constexpr std::string_view kStart = "HTTP/1.";
-    const std::size_t come = std::min(start.size(), kStart.size());
-    return start.substr(0, come) == kStart.substr(0, come) || (bad(400, "bad status line"), false);
+    const std::size_t received = std::min(start.size(), kStart.size());
+    return start.substr(0, received) == kStart.substr(0, received) || (bad(400, "bad status line"), false);
   }
   // A line end before the request line is settled further on.
   const bool fits = start.empty() || token_char(start[0]) || start[0] == '\r' || start[0] == '\n';
@@ -260,14 +260,14 @@
   if (colon == std::string_view::npos || !is_token(line.substr(0, colon)) || has_control(line)) {
     return bad(400, "bad header field"), false;
   }
-  if (head_.fields.size() == kMostFields) return bad(431, "too many header fields"), false;
+  if (head_.fields.size() == kMaxFields) return bad(431, "too many header fields"), false;
   const std::string_view value = trim(line.substr(colon + 1));
   const auto offset = static_cast<std::size_t>(value.empty() ? line.size() : value.data() - line.data());
   head_.fields.push_back({{place.at, colon}, {place.at + offset, value.size()}, {place.at, place.size + 2}});
   return true;
 }
 
-bool Parser::settle_framing(std::string_view buffer) {
+bool Parser::parse_framing(std::string_view buffer) {
   const Field* length = nullptr;
   const Field* encoding = nullptr;
   int hosts = 0;
@@ -305,7 +305,7 @@
     const auto value = parse_whole(text);
     const bool digits = std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
     if (!digits || text.empty()) return bad(400, "bad Content-Length"), false;
-    if (!value || *value > most_length_) return bad(413, "body too large"), false;
+    if (!value || *value > max_length_) return bad(413, "body too large"), false;
     length_ = *value;
   }
   if (kind_ == Kind::kResponse) {
@@ -329,22 +329,22 @@
     }
     const std::size_t end = buffer.find('\n', at_);
     if (end == std::string_view::npos) {
-      if (buffer.size() - at_ > kMostChunkLine) bad(400, "bad chunk");
+      if (buffer.size() - at_ > kMaxChunkLine) bad(400, "bad chunk");
       return state_;
     }
     if (end == at_ || buffer[end - 1] != '\r') return bad(400, "bad chunk");
     const std::string_view line = buffer.substr(at_, end - 1 - at_);
-    if (line.size() > kMostChunkLine || has_control(line)) return bad(400, "bad chunk");
+    if (line.size() > kMaxChunkLine || has_control(line)) return bad(400, "bad chunk");
     at_ = end + 1;
     // Chunks of a byte each, or trailers without end, would fill the buffer with framing alone.
-    if (at_ - head_size_ > kMostHead + most_body_ * 8) return bad(413, "too much framing");
+    if (at_ - head_size_ > kMaxHeadBytes + max_buffered_body_ * 8) return bad(413, "too much framing");
     switch (chunk_) {
       case Chunk::kSize: {
         const std::string_view digits = line.substr(0, std::min(line.find(';'), line.size()));
         std::uint64_t size = 0;
         const auto [rest, error] = std::from_chars(digits.data(), digits.data() + digits.size(), size, 16);
         if (error != std::errc() || rest != digits.data() + digits.size()) return bad(400, "bad chunk");
-        if (size > most_length_ || body_size_ + size > most_length_) return bad(413, "body too large");
+        if (size > max_length_ || body_size_ + size > max_length_) return bad(413, "body too large");
         body_size_ += size;
         chunk_left_ = size;
         chunk_ = size > 0 ? Chunk::kData : Chunk::kTrailer;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -16,10 +16,10 @@
 
 namespace shorelead::net {
 
-constexpr std::size_t kMostHead = 16384;
-constexpr std::size_t kMostBody = 65536;                    // kept whole
-constexpr std::uint64_t kMostLength = 64ULL * 1024 * 1024;  // and of a request's body at all
-constexpr std::uint64_t kAnyLength = 1ULL << 50;            // of an answer's: the backend's own affair
+constexpr std::size_t kMaxHeadBytes = 16384;
+constexpr std::size_t kMaxBufferedBody = 65536;                 // kept whole
+constexpr std::uint64_t kMaxRequestBody = 64ULL * 1024 * 1024;  // and of a request's body at all
+constexpr std::uint64_t kMaxResponseBody = 1ULL << 50;          // of an answer's: the backend's own affair
 
 // A place in the buffer that a message is parsed in; it stays right when the buffer grows or moves.
 struct Place {
@@ -53,10 +53,12 @@
   enum class Kind { kRequest, kResponse };
   enum class State { kHead, kBody, kDone, kBad };
 
-  // A body may be `most_body` long where it is kept whole. Up to `most_length` it is taken as well, but by
-  // parts: once large() says so, whoever reads it takes them with take_body().
-  explicit Parser(Kind kind, std::size_t most_body = kMostBody, std::uint64_t most_length = 0)
-      : kind_(kind), most_body_(most_body), most_length_(most_length > 0 ? most_length : most_body) {}
+  // A body may be `max_buffered_body` long where it is kept whole. Up to `max_length` it is taken as well,
+  // but by parts: once large() says so, whoever reads it takes them with take_body().
+  explicit Parser(Kind kind, std::size_t max_buffered_body = kMaxBufferedBody, std::uint64_t max_length = 0)
+      : kind_(kind),
+        max_buffered_body_(max_buffered_body),
+        max_length_(max_length > 0 ? max_length : max_buffered_body) {}
   void reset();
   // Of a response: it is one to HEAD, so its head is all, whatever that says of a body.
   void expect_no_body() { no_body_ = true; }
@@ -90,15 +92,15 @@
  private:
   State bad(int refusal, const char* cause);
   bool parse_head(std::string_view buffer);
-  bool may_begin(std::string_view buffer);
+  bool start_is_possible(std::string_view buffer);
   bool parse_start_line(std::string_view buffer, Place line);
   bool parse_field(std::string_view buffer, Place line);
-  bool settle_framing(std::string_view buffer);
+  bool parse_framing(std::string_view buffer);
   State advance_chunks(std::string_view buffer);
 
   Kind kind_;
-  std::size_t most_body_;
-  std::uint64_t most_length_;
+  std::size_t max_buffered_body_;
+  std::uint64_t max_length_;
   State state_ = State::kHead;
   Head head_;
   std::size_t scan_ = 0;  // no end of the head before this
@@ -125,7 +127,7 @@
 // One message with the bytes that it was parsed from.
 struct Message {
   explicit Message(Parser::Kind kind) : parser(kind) {}
-  Message(Parser::Kind kind, std::uint64_t most_length) : parser(kind, kMostBody, most_length) {}
+  Message(Parser::Kind kind, std::uint64_t max_length) : parser(kind, kMaxBufferedBody, max_length) {}
   std::string raw;
   Parser parser;
   std::shared_ptr<Flow> flow;  // the body, where it is not whole here
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -23,9 +23,9 @@
 using Poco::Net::ReadableNotification;
 
 constexpr long kIdleWaitMs = 10000;  // POCO's own time-out, which nothing here hangs on,
-constexpr int kEnrollTries = 1000;
-constexpr long kTimerFailedMs = 1;    // unless the timer could not be set
-constexpr Millis kObserveEvery = 50;  // the wall clock, beside the steady one
+constexpr int kMaxRegisterAttempts = 1000;
+constexpr long kFailedTimerWaitMs = 1;      // unless the timer could not be set
+constexpr Millis kClockCheckInterval = 50;  // the wall clock, beside the steady one
 
 template <typename Clock>
 Millis read_clock() {
@@ -53,29 +53,29 @@
       offset_(read_clock<std::chrono::system_clock>() - read_clock<std::chrono::steady_clock>()),
       timerfd_(checked(::timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC), "timerfd_create")) {
   observe_clock();
-  enroll(timerfd_, &Loop::on_timerfd);
+  register_descriptor(timerfd_, &Loop::on_timerfd);
 }
 
 Loop::~Loop() {
-  leave(timerfd_, &Loop::on_timerfd);
-  if (signalfd_) leave(*signalfd_, &Loop::on_signalfd);
+  unregister_descriptor(timerfd_, &Loop::on_timerfd);
+  if (signalfd_) unregister_descriptor(*signalfd_, &Loop::on_signalfd);
 }
 
 // The loop's own descriptors, without which it is of no use: at the start it waits until the system has
 // memory for them. Anything else is enrolled by a Watch, which tries again from a timer.
-void Loop::enroll(const Descriptor& descriptor, OwnHandler handler) {
+void Loop::register_descriptor(const Descriptor& descriptor, OwnHandler handler) {
   for (int n = 1;; ++n) {
     try {
       return addEventHandler(descriptor, Poco::NObserver<Loop, ReadableNotification>(*this, handler));
     } catch (const Poco::Exception& error) {
-      if (n == kEnrollTries) throw;
+      if (n == kMaxRegisterAttempts) throw;
       spdlog::warn("loop: a descriptor cannot be watched now: {}", error.displayText());
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
   }
 }
 
-void Loop::leave(const Descriptor& descriptor, OwnHandler handler) {
+void Loop::unregister_descriptor(const Descriptor& descriptor, OwnHandler handler) {
   try {
     removeEventHandler(descriptor, Poco::NObserver<Loop, ReadableNotification>(*this, handler));
   } catch (const Poco::Exception& error) {
@@ -88,13 +88,13 @@
 // The process may be held up between the two readings, which would look like a step: a pair that was not is
 // taken.
 void Loop::observe_clock() {
-  constexpr Millis kTogether = 10;
-  constexpr int kTries = 3;
+  constexpr Millis kMaxReadGap = 10;
+  constexpr int kMaxAttempts = 3;
   observed_at_ = now();
-  for (int n = 0; n < kTries; ++n) {
+  for (int n = 0; n < kMaxAttempts; ++n) {
     const Millis before = now();
     const auto wall = read_clock<std::chrono::system_clock>();
-    if (now() - before < kTogether) return clock_.observe(before, wall);
+    if (now() - before < kMaxReadGap) return clock_.observe(before, wall);
   }
 }
 
@@ -112,7 +112,7 @@
   const TimerId id = ++last_timer_;
   timers_.emplace(std::pair{when, id}, std::move(task));
   due_.emplace(id, when);
-  arm();
+  arm_timer();
   return id;
 }
 
@@ -126,20 +126,20 @@
 }
 
 // Only ever sooner: an early wake-up that finds nothing due costs less than a system call for each cancel.
-void Loop::arm() {
+void Loop::arm_timer() {
   if (timers_.empty()) return;
   const Millis first = timers_.begin()->first.first;
-  if (armed_ > 0 && armed_ <= first) return;
-  armed_ = first;
+  if (armed_for_ > 0 && armed_for_ <= first) return;
+  armed_for_ = first;
   const double steady = std::max(0.001, first - offset_);
   itimerspec spec{};
   spec.it_value.tv_sec = static_cast<time_t>(steady / 1000);
   spec.it_value.tv_nsec =
       static_cast<long>((steady - static_cast<double>(spec.it_value.tv_sec) * 1000) * 1e6);
   const bool failed = ::timerfd_settime(timerfd_.fd(), TFD_TIMER_ABSTIME, &spec, nullptr) != 0;
-  if (failed) armed_ = 0;
+  if (failed) armed_for_ = 0;
   if (failed == std::exchange(timer_failed_, failed)) return;
-  setTimeout(Poco::Timespan(0, (failed ? kTimerFailedMs : kIdleWaitMs) * 1000));
+  setTimeout(Poco::Timespan(0, (failed ? kFailedTimerWaitMs : kIdleWaitMs) * 1000));
 }
 
 void Loop::onTimeout() {
@@ -148,23 +148,23 @@
 
 void Loop::onBusy() {
   ++wakeups_;
-  if (timer_failed_) arm();
+  if (timer_failed_) arm_timer();
 }
 
 void Loop::fire_due() {
-  armed_ = 0;
+  armed_for_ = 0;
   // A task may set timers that are due already; they wait for the next wake-up, or sockets would starve.
   const Millis reached = now();
-  if (reached - observed_at_ >= kObserveEvery) observe_clock();
+  if (reached - observed_at_ >= kClockCheckInterval) observe_clock();
   while (!timers_.empty() && timers_.begin()->first.first <= reached) {
     const auto first = timers_.begin();
     worst_lag_ = std::max(worst_lag_, reached - first->first.first);
     const Task task = std::move(first->second);
     due_.erase(first->first.second);
     timers_.erase(first);
-    enter(task);
+    run_handler(task);
   }
-  arm();
+  arm_timer();
 }
 
 void Loop::on_timerfd(const Poco::AutoPtr<ReadableNotification>&) {
@@ -174,19 +174,19 @@
   fire_due();
 }
 
-void Loop::hold_signals() {
+void Loop::block_signals() {
   const sigset_t set = handled_signals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
 }
 
 void Loop::on_signals(std::function<void(int)> handler) {
-  hold_signals();
+  block_signals();
   const sigset_t set = handled_signals();
   on_signal_ = std::move(handler);
   signalfd_ =
       std::make_unique<Descriptor>(checked(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC), "signalfd"));
-  enroll(*signalfd_, &Loop::on_signalfd);
+  register_descriptor(*signalfd_, &Loop::on_signalfd);
 }
 
 void Loop::on_signalfd(const Poco::AutoPtr<ReadableNotification>&) {
@@ -195,12 +195,12 @@
     const ssize_t got = uninterrupted([&] { return ::read(signalfd_->fd(), &info, sizeof info); });
     if (got != static_cast<ssize_t>(sizeof info)) return;
     const int signal = static_cast<int>(info.ssi_signo);
-    enter([this, signal] { on_signal_(signal); });
+    run_handler([this, signal] { on_signal_(signal); });
   }
 }
 
-void Loop::enter(const Task& handler) {
-  const bool outermost = !std::exchange(inside_, true);
+void Loop::run_handler(const Task& handler) {
+  const bool outermost = !std::exchange(in_handler_, true);
   const auto guarded = [](const Task& task) {
     try {
       task();
@@ -215,11 +215,11 @@
     guarded(task);
   }
   later_.clear();
-  inside_ = false;
+  in_handler_ = false;
 }
 
 void Loop::run() {
-  enter([] {});  // what was put off while nothing ran yet
+  run_handler([] {});  // what was put off while nothing ran yet
   SocketReactor::run();
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -53,7 +53,7 @@
 
   // From here on SIGTERM, SIGINT, SIGHUP and SIGUSR1 wait for on_signals(), and a write to a connection that
   // has ended raises none. The first thing of a process: by default each of them ends it.
-  static void hold_signals();
+  static void block_signals();
   // SIGTERM, SIGINT, SIGHUP and SIGUSR1 are blocked for the process and come here instead.
   void on_signals(std::function<void(int)> handler);
 
@@ -66,18 +66,18 @@
 
  private:
   friend class Watch;
-  void enter(const Task& handler);  // every handler runs through this
+  void run_handler(const Task& handler);  // every handler runs through this
   void onTimeout() override;
   void onIdle() override {}
   void onBusy() override;
   void on_timerfd(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
   void on_signalfd(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
   void fire_due();
-  void arm();
+  void arm_timer();
   void observe_clock();
   using OwnHandler = void (Loop::*)(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
-  void enroll(const Descriptor& descriptor, OwnHandler handler);
-  void leave(const Descriptor& descriptor, OwnHandler handler);
+  void register_descriptor(const Descriptor& descriptor, OwnHandler handler);
+  void unregister_descriptor(const Descriptor& descriptor, OwnHandler handler);
 
   const Millis offset_;  // of the clock above the steady clock
   ClockHistory clock_;
@@ -88,10 +88,10 @@
   std::map<std::pair<Millis, TimerId>, Task> timers_;
   std::unordered_map<TimerId, Millis> due_;
   TimerId last_timer_ = 0;
-  Millis armed_ = 0;
+  Millis armed_for_ = 0;
   bool timer_failed_ = false;  // the timer could not be set: the reactor's own time-out stands in for it
   std::vector<Task> later_;
-  bool inside_ = false;
+  bool in_handler_ = false;
   Millis worst_lag_ = 0;
   std::uint64_t wakeups_ = 0;
 };
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -14,11 +14,11 @@
 namespace shorelead::net {
 namespace {
 
-constexpr std::size_t kReadSize = 16384;
-constexpr Millis kClearWait = 10;  // the system counts such times in steps of some milliseconds
-constexpr int kSendBuffer = 131072;
-constexpr std::size_t kMostPieces = 64;  // in one call; the rest is copied
-constexpr int kMostTries = 32;           // of a call that is interrupted
+constexpr std::size_t kReadBytes = 16384;
+constexpr Millis kMinMeasurableWait = 10;  // the system counts such times in steps of some milliseconds
+constexpr int kSendBufferBytes = 131072;
+constexpr std::size_t kMaxPieces = 64;  // in one call; the rest is copied
+constexpr int kMaxPeekAttempts = 32;    // of a call that is interrupted
 
 }  // namespace
 
@@ -67,10 +67,10 @@
   if (!open()) return;
   std::size_t written = 0;
   if (connected_ && output_.empty()) {
-    std::array<iovec, kMostPieces> parts{};
+    std::array<iovec, kMaxPieces> parts{};
     std::size_t count = 0;
     for (const std::string_view piece : pieces) {
-      if (piece.empty() || count == kMostPieces) continue;
+      if (piece.empty() || count == kMaxPieces) continue;
       parts[count++] = {const_cast<char*>(piece.data()), piece.size()};
     }
     msghdr message{};
@@ -94,7 +94,7 @@
   socklen_t size = sizeof info;
   if (!open() || ::getsockopt(fd(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
   const auto since = static_cast<Millis>(info.tcpi_last_data_recv);
-  return since >= kClearWait ? since : 0;
+  return since >= kMinMeasurableWait ? since : 0;
 }
 
 bool Stream::quiet() const { return open() && input_.empty() && peek() == Peek::kNothing; }
@@ -102,11 +102,11 @@
 bool Stream::ended() const {
   if (!open()) return true;
   const Peek found = peek();
-  return found == Peek::kEnd || (found == Peek::kData && end_has_come());
+  return found == Peek::kEnd || (found == Peek::kData && end_received());
 }
 
 // Behind bytes that nobody has read, the connection's state alone shows it.
-bool Stream::end_has_come() const {
+bool Stream::end_received() const {
   tcp_info info{};
   socklen_t size = sizeof info;
   if (::getsockopt(fd(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return false;
@@ -129,7 +129,8 @@
   // One that was interrupted, or had no memory, has seen nothing.
   do {
     got = ::recv(fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  } while (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && is_transient(errno) && ++tries < kMostTries);
+  } while (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && is_transient(errno) &&
+           ++tries < kMaxPeekAttempts);
   if (got > 0) return Peek::kData;
   return got < 0 && is_transient(errno) ? Peek::kNothing : Peek::kEnd;
 }
@@ -140,7 +141,7 @@
 }
 
 void Stream::bound_send_buffer() {
-  if (open()) ::setsockopt(fd(), SOL_SOCKET, SO_SNDBUF, &kSendBuffer, sizeof kSendBuffer);
+  if (open()) ::setsockopt(fd(), SOL_SOCKET, SO_SNDBUF, &kSendBufferBytes, sizeof kSendBufferBytes);
 }
 
 void Stream::close_sending() {
@@ -165,7 +166,7 @@
   // A connection that is still being made has nothing to read; whether it came up is told as writable.
   if (!connected_) return on_writable(), false;
   // Read aside, so that what is kept of a connection is no larger than what came in.
-  std::array<char, kReadSize> part;
+  std::array<char, kReadBytes> part;
   const ssize_t got = uninterrupted([&] { return ::recv(fd(), part.data(), part.size(), 0); });
   const int error = errno;
   if (got > 0) {
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -81,7 +81,7 @@
   void fail(Ending ending);
   enum class Peek { kNothing, kData, kEnd };
   Peek peek() const;
-  bool end_has_come() const;
+  bool end_received() const;
   int fd() const { return socket_->impl()->sockfd(); }
 
   Loop& loop_;
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -12,9 +12,9 @@
 namespace shorelead::net {
 namespace {
 
-constexpr std::size_t kPart = 16384;
+constexpr std::size_t kChunkBytes = 16384;
 
-struct Free {
+struct Deleter {
   void operator()(SSL_CTX* p) const { SSL_CTX_free(p); }
   void operator()(SSL* p) const { SSL_free(p); }
 };
@@ -35,7 +35,7 @@
 }
 
 // When and how long, to see that a file is another one.
-std::pair<long long, long long> print_of(const std::string& path) {
+std::pair<long long, long long> fingerprint_of(const std::string& path) {
   struct stat found {};
   if (path.empty() || ::stat(path.c_str(), &found) != 0) return {0, 0};
   return {static_cast<long long>(found.st_mtim.tv_sec) * 1000000000LL + found.st_mtim.tv_nsec,
@@ -47,16 +47,16 @@
 struct TlsContext::Impl {
   TlsFiles files;
   Side side = Side::kClient;
-  std::unique_ptr<SSL_CTX, Free> context;
-  std::array<std::pair<long long, long long>, 3> prints;
+  std::unique_ptr<SSL_CTX, Deleter> context;
+  std::array<std::pair<long long, long long>, 3> fingerprints;
 
-  std::array<std::pair<long long, long long>, 3> prints_now() const {
-    return {print_of(files.ca), print_of(files.certificate), print_of(files.key)};
+  std::array<std::pair<long long, long long>, 3> current_fingerprints() const {
+    return {fingerprint_of(files.ca), fingerprint_of(files.certificate), fingerprint_of(files.key)};
   }
 
-  std::unique_ptr<SSL_CTX, Free> read(std::string& cause) const {
+  std::unique_ptr<SSL_CTX, Deleter> read(std::string& cause) const {
     const bool client = side == Side::kClient;
-    std::unique_ptr<SSL_CTX, Free> fresh(SSL_CTX_new(client ? TLS_client_method() : TLS_server_method()));
+    std::unique_ptr<SSL_CTX, Deleter> fresh(SSL_CTX_new(client ? TLS_client_method() : TLS_server_method()));
     if (!fresh) return cause = "TLS: " + last_error(), nullptr;
     SSL_CTX_set_min_proto_version(fresh.get(), TLS1_2_VERSION);
     SSL_CTX_set_verify(fresh.get(), SSL_VERIFY_NONE, nullptr);
@@ -92,15 +92,15 @@
 
 std::shared_ptr<TlsContext> TlsContext::load(const TlsFiles& files, Side side, std::string& cause) {
   std::shared_ptr<TlsContext> made(new TlsContext(files, side));
-  made->impl_->prints = made->impl_->prints_now();
+  made->impl_->fingerprints = made->impl_->current_fingerprints();
   made->impl_->context = made->impl_->read(cause);
   return made->impl_->context ? made : nullptr;
 }
 
 bool TlsContext::refresh(std::string& cause) {
-  const auto prints = impl_->prints_now();
-  if (prints == impl_->prints) return false;
-  impl_->prints = prints;
+  const auto fingerprints = impl_->current_fingerprints();
+  if (fingerprints == impl_->fingerprints) return false;
+  impl_->fingerprints = fingerprints;
   auto fresh = impl_->read(cause);
   if (!fresh) return false;
   impl_->context = std::move(fresh);
@@ -108,7 +108,7 @@
 }
 
 struct TlsSession::Impl {
-  std::unique_ptr<SSL, Free> ssl;
+  std::unique_ptr<SSL, Deleter> ssl;
   BIO* in = nullptr;   // the session's
   BIO* out = nullptr;  // likewise
   bool closed = false;
@@ -135,7 +135,7 @@
       SSL_set_tlsext_host_name(ssl, wanted.c_str());
     }
   }
-  go_on();
+  continue_handshake();
 }
 
 TlsSession::~TlsSession() = default;
@@ -150,7 +150,7 @@
 }
 
 // The handshake as far as it goes now.
-bool TlsSession::go_on() {
+bool TlsSession::continue_handshake() {
   SSL* const ssl = impl_->ssl.get();
   if (!SSL_is_init_finished(ssl)) {
     ERR_clear_error();
@@ -160,8 +160,8 @@
       return why == SSL_ERROR_WANT_READ || why == SSL_ERROR_WANT_WRITE ? true : fail("handshake");
     }
   }
-  const std::string held = std::exchange(waiting_, {});
-  if (!held.empty()) write(held);
+  const std::string pending = std::exchange(pending_plaintext_, {});
+  if (!pending.empty()) write(pending);
   return cause_.empty();
 }
 
@@ -169,13 +169,13 @@
   if (!cause_.empty()) return false;
   while (!came.empty()) {
     const int taken =
-        BIO_write(impl_->in, came.data(), static_cast<int>(std::min<std::size_t>(came.size(), kPart)));
+        BIO_write(impl_->in, came.data(), static_cast<int>(std::min<std::size_t>(came.size(), kChunkBytes)));
     if (taken <= 0) return fail("taking in");
     came.remove_prefix(static_cast<std::size_t>(taken));
   }
-  if (!go_on()) return false;
+  if (!continue_handshake()) return false;
   if (!ready()) return true;
-  std::array<char, kPart> part;
+  std::array<char, kChunkBytes> part;
   while (true) {
     ERR_clear_error();
     const int got = SSL_read(impl_->ssl.get(), part.data(), static_cast<int>(part.size()));
@@ -196,13 +196,13 @@
 void TlsSession::write(std::string_view plain) {
   if (!cause_.empty()) return;
   if (!ready()) {
-    waiting_.append(plain);
+    pending_plaintext_.append(plain);
     return;
   }
   while (!plain.empty()) {
     ERR_clear_error();
     const int done = SSL_write(impl_->ssl.get(), plain.data(),
-                               static_cast<int>(std::min<std::size_t>(plain.size(), kPart)));
+                               static_cast<int>(std::min<std::size_t>(plain.size(), kChunkBytes)));
     if (done <= 0) {
       fail("writing");
       return;
@@ -213,7 +213,7 @@
 
 std::string TlsSession::take() {
   std::string out;
-  std::array<char, kPart> part;
+  std::array<char, kChunkBytes> part;
   for (int got = 0; (got = BIO_read(impl_->out, part.data(), static_cast<int>(part.size()))) > 0;) {
     out.append(part.data(), static_cast<std::size_t>(got));
   }
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -59,12 +59,12 @@
   const std::string& cause() const { return cause_; }
 
  private:
-  bool go_on();
+  bool continue_handshake();
   bool fail(const char* doing);
 
   struct Impl;
   std::unique_ptr<Impl> impl_;
-  std::string waiting_;
+  std::string pending_plaintext_;
   std::string cause_;
 };
 
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -11,7 +11,7 @@
 using Poco::Net::ReadableNotification;
 using Poco::Net::WritableNotification;
 
-constexpr Millis kRetry = 1;  // after which a socket is enrolled again for which there was no memory
+constexpr Millis kRetryInterval = 1;  // after which a socket is enrolled again for which there was no memory
 
 template <typename Notification>
 Poco::NObserver<Watch, Notification> observer(Watch& owner,
@@ -23,26 +23,26 @@
 
 Watch::Watch(Loop& loop, const Poco::Net::Socket& socket, Handler& handler, bool reading, bool writing)
     : loop_(loop), socket_(socket), handler_(handler) {
-  enroll(reading, writing);
+  register_socket(reading, writing);
 }
 
-Watch::~Watch() { leave(); }
+Watch::~Watch() { unregister_socket(); }
 
 void Watch::want_read(bool wanted) {
   if (wanted == reading_) return;
-  leave();
-  enroll(wanted, writing_);
+  unregister_socket();
+  register_socket(wanted, writing_);
 }
 
 void Watch::want_write(bool wanted) {
   if (wanted == writing_) return;
   // Guards against a spinning reactor: POCO (1.11) goes on polling for what a removed observer wanted until
   // the socket's last one is removed, so all of them go and those still wanted come back.
-  leave();
-  enroll(reading_, wanted);
+  unregister_socket();
+  register_socket(reading_, wanted);
 }
 
-void Watch::enroll(bool reading, bool writing) {
+void Watch::register_socket(bool reading, bool writing) {
   reading_ = reading;
   writing_ = writing;
   loop_.cancel(retry_);
@@ -51,9 +51,9 @@
   } catch (const Poco::Exception& error) {
     // The system had no memory for one more socket to watch. It will: whoever owns this must not notice.
     spdlog::warn("a socket cannot be watched now: {}", error.displayText());
-    retry_ = loop_.after(kRetry, [this] {
+    retry_ = loop_.after(kRetryInterval, [this] {
       retry_ = 0;
-      enroll(reading_, writing_);
+      register_socket(reading_, writing_);
     });
   }
 }
@@ -64,7 +64,7 @@
   if (writing_) loop_.addEventHandler(socket_, observer(*this, &Watch::writable));
 }
 
-void Watch::leave() {
+void Watch::unregister_socket() {
   loop_.cancel(retry_);
   // One that could not be enrolled is not there to be removed.
   const auto remove = [this](const auto& handler) {
@@ -80,15 +80,15 @@
 }
 
 void Watch::readable(const Poco::AutoPtr<ReadableNotification>&) {
-  loop_.enter([this] { handler_.on_readable(); });
+  loop_.run_handler([this] { handler_.on_readable(); });
 }
 
 void Watch::writable(const Poco::AutoPtr<WritableNotification>&) {
-  loop_.enter([this] { handler_.on_writable(); });
+  loop_.run_handler([this] { handler_.on_writable(); });
 }
 
 void Watch::error(const Poco::AutoPtr<ErrorNotification>&) {
-  loop_.enter([this] { handler_.on_error(); });
+  loop_.run_handler([this] { handler_.on_error(); });
 }
 
 }  // namespace shorelead::net
--- a/src/net/watch.h
+++ b/src/net/watch.h
@@ -32,8 +32,8 @@
   bool reads() const { return reading_; }
 
  private:
-  void enroll(bool reading, bool writing);
-  void leave();
+  void register_socket(bool reading, bool writing);
+  void unregister_socket();
   void set_handlers();
   void readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
   void writable(const Poco::AutoPtr<Poco::Net::WritableNotification>&);
--- a/src/node/backend_connection.cpp
+++ b/src/node/backend_connection.cpp
@@ -64,7 +64,7 @@
 void Upstream::Connection::write_request(Ending if_not_quiet) {
   const Millis now = owner.loop_.now();
   const Millis left = job->until - now;
-  answer = Message(Parser::Kind::kResponse, net::kAnyLength);
+  answer = Message(Parser::Kind::kResponse, net::kMaxResponseBody);
   std::vector<std::string_view> pieces;
   std::string own;
   if (job->probe) {
--- a/src/node/client.cpp
+++ b/src/node/client.cpp
@@ -200,7 +200,7 @@
   }
   state = State::kReading;
   host_.free_again();
-  message = std::make_shared<Message>(Parser::Kind::kRequest, net::kMostLength);
+  message = std::make_shared<Message>(Parser::Kind::kRequest, net::kMaxRequestBody);
   stream.want_input(true);
   if (stream.input().empty()) return;
   // The next request has come already; not from within this one's answer.
--- a/src/node/client.h
+++ b/src/node/client.h
@@ -72,7 +72,7 @@
 
   Stream stream;
   State state = State::kReading;
-  std::shared_ptr<Message> message = std::make_shared<Message>(Parser::Kind::kRequest, net::kMostLength);
+  std::shared_ptr<Message> message = std::make_shared<Message>(Parser::Kind::kRequest, net::kMaxRequestBody);
   RequestId request = 0;
   std::string class_name;  // of that request
   bool used = false;       // has carried a request
--- a/src/node/lingering_close.h
+++ b/src/node/lingering_close.h
@@ -21,7 +21,7 @@
   bool drop(std::size_t bytes, Millis now) {
     dropped_ += bytes;
     if (cut_short_) since_ = now;
-    return dropped_ <= (cut_short_ ? net::kMostLength : kMostDropped);
+    return dropped_ <= (cut_short_ ? net::kMaxRequestBody : kMostDropped);
   }
   bool over(Millis now) const { return now - since_ >= kLinger; }
 
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -93,7 +93,7 @@
 }
 
 int serve(const ServeOptions& options) {
-  Loop::hold_signals();
+  Loop::block_signals();
   const auto output = std::make_shared<LogOutput>(STDOUT_FILENO);
   spdlog::set_default_logger(std::make_shared<spdlog::logger>("shorelead", output));
   Config config = with_retries([&] { return load(options, false); });
