--- a/tests/crossings/answers_test.cpp
+++ b/tests/crossings/answers_test.cpp
@@ -145,7 +145,7 @@
   });
   b.run();
   EXPECT_EQ(b.last, Ending::kServed);
-  EXPECT_LE(most, net::FlowBudget::kMostPart + 2 * 16384);
+  EXPECT_LE(most, net::FlowBudget::kMaxPart + 2 * 16384);
 }
 
 }  // namespace
--- a/tests/crossings/node_process.h
+++ b/tests/crossings/node_process.h
@@ -55,7 +55,7 @@
     Node node;
     set(node.config);
     Loop loop;
-    Server server(loop, node.config, node.waits);
+    Server server(loop, node.config, node.timeouts);
     loop.on_signals([&](int) {
       server.reload([&] {
         Config fresh = node.config;
--- a/tests/faults/clock_test.cpp
+++ b/tests/faults/clock_test.cpp
@@ -29,7 +29,7 @@
     node_.config.settings.warm_up = warm_up;
     node_.config.settings.fall_multiple = 1;
     node_.config.settings.fall_span = 3000;
-    node_.waits.list = 0;
+    node_.timeouts.list = 0;
     node_.start();
     client_ = node_.client();
     Line watch = node_.discovery.accept();
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -79,12 +79,12 @@
 TEST(Http, ALongBodyIsTakenByPartsOnlyWhereThatIsMeant) {
   const std::string head = request("Content-Length: 70000\r\n");
   expect_refused(head, 413, "body too large");
-  Message message(Kind::kRequest, kMostLength);
+  Message message(Kind::kRequest, kMaxRequestBody);
   message.raw = head;
   EXPECT_EQ(state_of(message), State::kBody);
   EXPECT_TRUE(message.parser.large());
-  Message over(Kind::kRequest, kMostLength);
-  over.raw = request("Content-Length: " + std::to_string(kMostLength + 1) + "\r\n");
+  Message over(Kind::kRequest, kMaxRequestBody);
+  over.raw = request("Content-Length: " + std::to_string(kMaxRequestBody + 1) + "\r\n");
   EXPECT_EQ(state_of(over), State::kBad);
   Message to_head(Kind::kResponse);
   to_head.parser.expect_no_body();
@@ -183,7 +183,7 @@
 
 TEST(Http, LargeHeadsAreRefused) {
   Message endless(Kind::kRequest);
-  endless.raw = "GET /" + std::string(kMostHead, 'a');
+  endless.raw = "GET /" + std::string(kMaxHeadBytes, 'a');
   EXPECT_EQ(state_of(endless), State::kBad);
   EXPECT_EQ(endless.parser.refusal(), 431);
   Message many(Kind::kRequest);
