--- a/src/net/call_errors.h
+++ b/src/net/call_errors.h
@@ -1,13 +1,13 @@
-// What the error of a system call on a socket says. Owns the lists of errors that pass: these are no end of a
-// connection, and none of them says anything about the peer. Sources: the Linux manual pages connect(2),
-// recv(2), send(2), accept(2) and tcp(7).
+// Classifies the errors of system calls on sockets. Transient errors do not end a connection, and none of
+// them says anything about the peer. Sources: the Linux manual pages connect(2), recv(2), send(2), accept(2)
+// and tcp(7).
 #pragma once
 
 #include <cerrno>
 
 namespace shorelead::net {
 
-// Makes a call until a signal does not interrupt it; -1 of it is a failure.
+// Repeats a system call while a signal interrupts it; returns its result, -1 for a failure.
 template <typename Call>
 auto uninterrupted(Call call) {
   while (true) {
@@ -16,7 +16,7 @@
   }
 }
 
-// Of recv, send and sendmsg: the call could not be carried out now, and the connection is as it was.
+// For recv, send and sendmsg: the call cannot be done now; the connection is unchanged.
 inline bool is_transient(int error) {
   switch (error) {
     case EINTR:
@@ -32,18 +32,17 @@
   }
 }
 
-// Of a connect that does not block: the connection is on its way, or is up.
+// For a non-blocking connect: the connection is being established, or is established.
 inline bool connect_in_progress(int error) {
   return error == EINPROGRESS || error == EALREADY || error == EISCONN;
 }
 
-// Of a connect that does not block and failed at once: the peer's machine has turned it down. Only over
-// loopback can it be heard so soon. Any other error is of this machine (ports, routes, memory, descriptors, a
-// filter).
+// For a non-blocking connect that failed at once: the peer refused it, which only loopback reports so early.
+// Any other error comes from this machine (ports, routes, memory, descriptors, a packet filter).
 inline bool connection_refused(int error) { return error == ECONNREFUSED || error == ECONNRESET; }
 
-// Of accept4: whoever was first in the queue is gone, or the network failed them, which Linux passes on here;
-// the others still wait.
+// For accept4: the first connection in the queue has failed, as Linux reports its network errors here; the
+// other connections still wait.
 inline bool is_per_connection(int error) {
   switch (error) {
     case EINTR:
@@ -64,7 +63,7 @@
   }
 }
 
-// Of accept4 and socket: there is no descriptor or no memory for one more.
+// For accept4 and socket: no descriptor or no memory is left.
 inline bool lacks_resources(int error) {
   return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
 }
--- a/src/net/clock_history.cpp
+++ b/src/net/clock_history.cpp
@@ -7,14 +7,14 @@
 namespace shorelead::net {
 namespace {
 
-constexpr Millis kMinStep = 100;       // slewing and the time between two readings stay below it
-constexpr Millis kMaxSkew = 1000;      // by which machines' clocks may differ without a step
-constexpr std::size_t kMaxSteps = 64;  // remembered; of older ones nothing depends on the order
+constexpr Millis kMinStep = 100;       // above slewing and the time between two readings
+constexpr Millis kMaxSkew = 1000;      // allowed difference between the clocks of machines
+constexpr std::size_t kMaxSteps = 64;  // kept; older ones are forgotten
 
 }  // namespace
 
 void ClockHistory::observe(Millis steady, Millis wall) {
-  // Steady time reads as wall time at the start, but for the time between two readings.
+  // At the start both times are equal, except for the time between the two readings.
   const Millis offset = std::abs(wall - steady) < kMinStep ? 0 : wall - steady;
   if (offsets_.empty() || std::abs(offset - offsets_.back().value) >= kMinStep) {
     if (offsets_.size() == kMaxSteps) offsets_.erase(offsets_.begin());
@@ -25,8 +25,8 @@
 
 Millis ClockHistory::to_steady(Millis label, Millis now) const {
   constexpr Millis kNone = -std::numeric_limits<Millis>::infinity();
-  Millis fitting = kNone;   // within the time for which its offset was in force
-  Millis possible = kNone;  // at least not in the future
+  Millis fitting = kNone;   // within the period of its offset
+  Millis possible = kNone;  // not in the future
   for (std::size_t n = 0; n < offsets_.size(); ++n) {
     const Millis at = label - offsets_[n].value;
     if (at > now + kMaxSkew) continue;
--- a/src/net/clock_history.h
+++ b/src/net/clock_history.h
@@ -1,8 +1,8 @@
-// How the wall clock went beside the steady one: it may be stepped by hand or by time synchronization. Owns
-// the offsets that were observed, and so can tell when something happened that another machine or process
-// labelled with the wall clock's time. Pure: the two clocks' readings are passed in. All times in
-// milliseconds; "steady" is the loop's own time, which reads as Unix time at the process's start and never
-// steps.
+// Converts between wall-clock and steady time although the wall clock may be stepped, by hand or by time
+// synchronization. Keeps a history of the observed offsets, so that a wall-clock timestamp of another machine
+// or process maps to the right steady time. Pure: readings of both clocks are passed in. All times are in
+// milliseconds; "steady" is the time of the loop, which equals Unix time at the start of the process and
+// never steps.
 #pragma once
 
 #include <vector>
@@ -13,15 +13,15 @@
 
 class ClockHistory {
  public:
-  // Notes the offset in force. Cheap, and to be called often: a step is known to lie between two
+  // Records the current offset. Cheap, and to be called often: a step is only known to lie between two
   // observations.
   void observe(Millis steady, Millis wall);
 
-  // The steady time of an event that was labelled `label` by the wall clock, as seen at `now`. After a step a
-  // label may fit two times; the later one is taken, so that what may be young counts as young. Never after
-  // `now`, but for clocks of machines that differ a little.
+  // Returns the steady time of an event with the wall-clock timestamp `label`, as seen at `now`. After a step
+  // a timestamp may match two times; the later one is returned, so that an event that may be recent counts as
+  // recent. Not after `now`, except by a small difference between the clocks of machines.
   Millis to_steady(Millis label, Millis now) const;
-  // The label that the wall clock had at that steady time.
+  // Returns the wall-clock time at that steady time.
   Millis to_wall(Millis steady) const;
 
  private:
@@ -31,7 +31,7 @@
     Millis last = 0;
   };
 
-  std::vector<Offset> offsets_;  // the oldest first, never empty once observed
+  std::vector<Offset> offsets_;  // oldest first; not empty after the first observation
 };
 
 }  // namespace shorelead::net
--- a/src/net/flow.cpp
+++ b/src/net/flow.cpp
@@ -28,7 +28,7 @@
   source_paused_ = full();
 }
 
-// A side may be taken away while it is being told.
+// Calls a copy, as a callback may replace or clear its own side.
 void Flow::notify(const std::function<void()>& told) {
   const std::function<void()> hold = told;
   if (hold) hold();
--- a/src/net/flow.h
+++ b/src/net/flow.h
@@ -1,6 +1,6 @@
-// A body on its way from one connection to another: a bounded buffer between the two. It owns the bytes that
-// came and did not yet go, and tells each side of the other. It must never grow beyond its part by more than
-// one read, never parse, and never outlive its budget's count of it.
+// A streamed body: a bounded buffer between the connection that a body is read from (the source) and the one
+// it is written to (the sink). Notifies each side of what the other does, so that a slow sink pauses the
+// source. Holds at most its part of the budget and one read more.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace shorelead::net {
 
-// The memory that all flows of a node share.
+// The memory limit that all flows of a node share.
 class FlowBudget {
  public:
   static constexpr std::size_t kMaxPart = 65536;
@@ -21,14 +21,14 @@
 
   explicit FlowBudget(std::size_t bytes) : bytes_(bytes) {}
   void state(std::size_t bytes) { bytes_ = bytes; }
-  // Whether one more may begin.
+  // Whether there is room for one more flow.
   bool room() const { return bytes_ / (open_ + 1) / kSides >= kMinPart; }
-  std::size_t part() const;  // bytes that one flow may hold now
+  std::size_t part() const;  // bytes that each flow may hold now
   std::size_t open() const { return open_; }
 
  private:
   friend class Flow;
-  // What a flow holds stands there once, and once more on its way into the socket.
+  // Bytes are counted twice: in the flow and in the output buffer of the sink's connection.
   static constexpr std::size_t kSides = 2;
   std::size_t bytes_;
   std::size_t open_ = 0;
@@ -37,39 +37,38 @@
 class Flow {
  public:
   struct Source {
-    std::function<void()> room;  // goes on reading
-    std::function<void()> left;  // nobody wants the rest
+    std::function<void()> room;  // read more
+    std::function<void()> left;  // the sink does not want the rest
   };
   struct Sink {
-    std::function<void()> more;  // bytes, or the end, have come
-    std::function<void()> cut;   // the rest will not come
+    std::function<void()> more;  // bytes, or the end, have arrived
+    std::function<void()> cut;   // the source failed; the rest will not arrive
   };
 
-  // `length` of the whole body, where it is known.
+  // `length`: of the whole body, if known.
   Flow(std::shared_ptr<FlowBudget> budget, std::optional<std::uint64_t> length);
   ~Flow();
   Flow(const Flow&) = delete;
   Flow& operator=(const Flow&) = delete;
 
-  // The source's side. Each may call the sink.
+  // For the source. Each of these may call the sink.
   void set_source(Source source) { source_ = std::move(source); }
   void put(std::string bytes);
-  bool full() const { return bytes_.size() >= budget_->part(); }  // hold back, until room() is called
+  bool full() const { return bytes_.size() >= budget_->part(); }  // stop reading until room() is called
   void end();
   void cut();
 
-  // The sink's side. There may be another one later, as long as nothing was taken.
+  // For the sink. It may be replaced as long as nothing was taken.
   void set_sink(Sink sink) { sink_ = std::move(sink); }
   void clear_sink() { sink_ = Sink(); }
   bool has_sink() const { return static_cast<bool>(sink_.more); }
-  std::string take();  // all there is; may call the source
+  std::string take();  // all buffered bytes; may call the source
   bool empty() const { return bytes_.empty(); }
   void leave();
 
-  bool touched() const {
-    return touched_;
-  }                                      // something was taken: it cannot be sent from its beginning again
-  bool ended() const { return ended_; }  // no more will come; what is there may be taken
+  // Something was taken, so the body cannot be sent from its beginning again.
+  bool touched() const { return touched_; }
+  bool ended() const { return ended_; }  // no more bytes will arrive; the buffered ones may be taken
   bool was_cut() const { return cut_; }
   const std::optional<std::uint64_t>& length() const { return length_; }
   std::uint64_t passed() const { return passed_; }  // bytes put so far
@@ -83,7 +82,7 @@
   Sink sink_;
   std::string bytes_;
   std::uint64_t passed_ = 0;
-  bool source_paused_ = false;  // the source may have been told to wait
+  bool source_paused_ = false;  // the buffer was full, and the source may wait for room()
   bool touched_ = false;
   bool ended_ = false;
   bool cut_ = false;
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -16,9 +16,9 @@
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
 bool token_char(char c) {
-  constexpr std::string_view kOthers = "!#$%&'*+-.^_`|~";
+  constexpr std::string_view kPunctuation = "!#$%&'*+-.^_`|~";
   return (c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z') || (c >= 'a' && c <= 'z') ||
-         kOthers.find(c) != std::string_view::npos;
+         kPunctuation.find(c) != std::string_view::npos;
 }
 
 bool is_token(std::string_view text) {
@@ -27,7 +27,7 @@
 
 bool blank(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
 
-// A control character in a line could end it early for whoever reads it next.
+// A control character in a line could end it early for another parser.
 bool has_control(std::string_view text) {
   return std::any_of(text.begin(), text.end(),
                      [](char c) { return (static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f; });
@@ -121,7 +121,7 @@
   state_ = State::kHead;
   head_ = Head{};
   scan_ = head_size_ = at_ = 0;
-  chunked_ = until_close_ = false;  // what was asked stays as it was: interim answers come before it
+  chunked_ = until_close_ = false;  // no_body_ stays: interim responses come before the final one
   length_ = body_size_ = chunk_left_ = taken_ = 0;
   decoded_.clear();
   chunk_ = Chunk::kSize;
@@ -174,7 +174,7 @@
   return state_ == State::kDone ? state_ : bad(400, "cut short");
 }
 
-// Reads lines as far as they are whole, so that no split makes a difference and nothing is read twice.
+// Parses complete lines only, so that the result does not depend on how bytes arrive and none is read twice.
 bool Parser::parse_head(std::string_view buffer) {
   if (head_size_ == 0 && !start_is_possible(buffer)) return false;
   while (true) {
@@ -190,7 +190,7 @@
     at_ = scan_ = end + 1;
     if (line.size == 0) {
       if (first) {
-        // A line end before the request line is tolerated, as the standard asks; more of them are not.
+        // One empty line before the request line is allowed (RFC 9112 section 2.2); more are not.
         if (kind_ == Kind::kRequest && at_ == 2) {
           if (!start_is_possible(buffer)) return false;
           continue;
@@ -206,15 +206,16 @@
   }
 }
 
-// Guards against waiting for the end of what cannot become a message: noise has no line ends to wait for.
+// Rejects what cannot become a message at its first bytes, as it may contain no line end to wait for.
 bool Parser::start_is_possible(std::string_view buffer) {
   const std::string_view start = buffer.substr(at_);
   if (kind_ == Kind::kResponse) {
-    constexpr std::string_view kStart = "HTTP/1.";
-    const std::size_t received = std::min(start.size(), kStart.size());
-    return start.substr(0, received) == kStart.substr(0, received) || (bad(400, "bad status line"), false);
+    constexpr std::string_view kVersionPrefix = "HTTP/1.";
+    const std::size_t received = std::min(start.size(), kVersionPrefix.size());
+    return start.substr(0, received) == kVersionPrefix.substr(0, received) ||
+           (bad(400, "bad status line"), false);
   }
-  // A line end before the request line is settled further on.
+  // parse_head() checks an empty line before the request line.
   const bool fits = start.empty() || token_char(start[0]) || start[0] == '\r' || start[0] == '\n';
   return fits || (bad(400, "bad request line"), false);
 }
@@ -237,13 +238,14 @@
     head_.status = static_cast<int>(*status);
     return true;
   }
-  const std::size_t one = line.find(' ');
-  const std::size_t two = line.rfind(' ');
-  if (one == std::string_view::npos || two == one || !version(line.substr(two + 1))) {
+  const std::size_t first_space = line.find(' ');
+  const std::size_t last_space = line.rfind(' ');
+  if (first_space == std::string_view::npos || last_space == first_space ||
+      !version(line.substr(last_space + 1))) {
     return bad(400, "bad request line"), false;
   }
-  head_.method = {place.at, one};
-  head_.target = {place.at + one + 1, two - one - 1};
+  head_.method = {place.at, first_space};
+  head_.target = {place.at + first_space + 1, last_space - first_space - 1};
   const std::string_view target = head_.target.in(buffer);
   if (!is_token(head_.method.in(buffer)) || target.empty() || target[0] != '/' ||
       target.find(' ') != std::string_view::npos) {
@@ -255,8 +257,7 @@
 bool Parser::parse_field(std::string_view buffer, Place place) {
   const std::string_view line = place.in(buffer);
   const std::size_t colon = line.find(':');
-  // Also turns down lines that continue the one before and blanks before the colon, which others read
-  // otherwise.
+  // Also rejects folded lines and blanks before the colon, which other parsers read differently.
   if (colon == std::string_view::npos || !is_token(line.substr(0, colon)) || has_control(line)) {
     return bad(400, "bad header field"), false;
   }
@@ -336,7 +337,7 @@
     const std::string_view line = buffer.substr(at_, end - 1 - at_);
     if (line.size() > kMaxChunkLine || has_control(line)) return bad(400, "bad chunk");
     at_ = end + 1;
-    // Chunks of a byte each, or trailers without end, would fill the buffer with framing alone.
+    // One-byte chunks or endless trailers would fill the buffer with framing alone.
     if (at_ - head_size_ > kMaxHeadBytes + max_buffered_body_ * 8) return bad(413, "too much framing");
     switch (chunk_) {
       case Chunk::kSize: {
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,6 +1,6 @@
-// HTTP/1.1 messages: an incremental parser and what both sides of the proxy need to know of a head. It owns
-// the framing and nothing else. It must never copy a head (fields are places in the caller's buffer), never
-// read past the message it is at, and never guess where framing is in doubt: that is an error.
+// HTTP/1.1 messages: an incremental parser, and helpers for heads and bodies that both sides of the proxy
+// use. Heads are not copied: fields are places in the caller's buffer. Ambiguous framing is an error, so that
+// requests cannot be smuggled past the proxy.
 #pragma once
 
 #include <array>
@@ -17,11 +17,11 @@
 namespace shorelead::net {
 
 constexpr std::size_t kMaxHeadBytes = 16384;
-constexpr std::size_t kMaxBufferedBody = 65536;                 // kept whole
-constexpr std::uint64_t kMaxRequestBody = 64ULL * 1024 * 1024;  // and of a request's body at all
-constexpr std::uint64_t kMaxResponseBody = 1ULL << 50;          // of an answer's: the backend's own affair
+constexpr std::size_t kMaxBufferedBody = 65536;                 // larger ones are streamed
+constexpr std::uint64_t kMaxRequestBody = 64ULL * 1024 * 1024;  // of any request's body
+constexpr std::uint64_t kMaxResponseBody = 1ULL << 50;          // in effect unlimited
 
-// A place in the buffer that a message is parsed in; it stays right when the buffer grows or moves.
+// A range of the buffer that a message is parsed from; it stays valid when the buffer grows or moves.
 struct Place {
   std::size_t at = 0;
   std::size_t size = 0;
@@ -31,7 +31,7 @@
 struct Field {
   Place name;
   Place value;
-  Place line;  // with its end of line
+  Place line;  // including its end of line
 };
 
 struct Head {
@@ -46,8 +46,8 @@
   std::string_view value(std::string_view buffer, std::string_view name) const;  // empty when absent
 };
 
-// Parses one message at the front of a buffer that only grows. Call advance() whenever it has grown; for the
-// next message drop size() bytes and reset().
+// Parses one message at the front of a growing buffer. Call advance() whenever the buffer has grown. For the
+// next message remove size() bytes from the buffer and call reset().
 class Parser {
  public:
   enum class Kind { kRequest, kResponse };
@@ -60,32 +60,33 @@
         max_buffered_body_(max_buffered_body),
         max_length_(max_length > 0 ? max_length : max_buffered_body) {}
   void reset();
-  // Of a response: it is one to HEAD, so its head is all, whatever that says of a body.
+  // For the response to a HEAD request: there is no body, whatever its head says.
   void expect_no_body() { no_body_ = true; }
 
   State advance(std::string_view buffer);
-  // The other side closed: completes a body that lasts until then; anything else unfinished is cut short.
+  // The peer closed: completes a body that is delimited by the close; any other unfinished message is bad.
   State finish();
 
   const Head& head() const { return head_; }
   bool has_head() const { return state_ == State::kBody || state_ == State::kDone; }
-  // The body of a message that is done.
+  // The body of a complete message.
   std::string_view body(std::string_view buffer) const {
     return chunked_ ? std::string_view(decoded_) : buffer.substr(head_size_, at_ - head_size_);
   }
   std::size_t size() const { return at_; }
-  int refusal() const { return refusal_; }      // when bad: the status a request is refused with
-  const char* cause() const { return cause_; }  // and why
+  int refusal() const { return refusal_; }      // in state kBad: the status to refuse a request with
+  const char* cause() const { return cause_; }  // and the reason
 
-  // The body is longer than is kept whole, or what came of it is.
+  // Whether the body, as announced or as received so far, exceeds the limit for buffered bodies.
   bool large() const;
-  // Its length, where the head tells.
+  // Its length, if the head gives it.
   std::optional<std::uint64_t> length() const;
-  // What has come of the body since the last call; goes out of the buffer, with its framing.
+  // Returns what has been received of the body since the last call, and removes it from the buffer with its
+  // framing.
   std::string take_body(std::string& buffer);
 
-  // For a chunked body without end: what was decoded since the last call, and how many bytes after the head
-  // it took; the caller drops those from its buffer.
+  // For an endless chunked body: returns what was decoded since the last call, and the range of the buffer
+  // that it took, which the caller removes.
   std::string take_decoded();
   Place take_consumed();
 
@@ -103,7 +104,7 @@
   std::uint64_t max_length_;
   State state_ = State::kHead;
   Head head_;
-  std::size_t scan_ = 0;  // no end of the head before this
+  std::size_t scan_ = 0;  // the head has no end of line before this
   std::size_t head_size_ = 0;
   std::size_t at_ = 0;  // parsed up to here
   // body
@@ -111,8 +112,8 @@
   bool until_close_ = false;
   bool no_body_ = false;
   std::uint64_t length_ = 0;
-  std::uint64_t taken_ = 0;      // of the body, with take_body()
-  std::uint64_t body_size_ = 0;  // of a chunked one, as far as sizes have come
+  std::uint64_t taken_ = 0;      // bytes of the body taken with take_body()
+  std::uint64_t body_size_ = 0;  // of a chunked body: sum of the sizes parsed so far
   std::string decoded_;
   enum class Chunk { kSize, kData, kDataEnd, kTrailer } chunk_ = Chunk::kSize;
   std::uint64_t chunk_left_ = 0;
@@ -120,27 +121,28 @@
   const char* cause_ = "";
 };
 
-std::string_view trim(std::string_view text);            // of blanks and line ends
-bool same_name(std::string_view a, std::string_view b);  // of header fields: case does not count
-// Whether a comma-separated list of tokens holds this one.
+std::string_view trim(std::string_view text);            // removes blanks and line ends
+bool same_name(std::string_view a, std::string_view b);  // of header fields, ignoring case
+// Whether a comma-separated list holds this token.
 bool has_token(std::string_view list, std::string_view token);
-// One message with the bytes that it was parsed from.
+// A message with the bytes that it was parsed from.
 struct Message {
   explicit Message(Parser::Kind kind) : parser(kind) {}
   Message(Parser::Kind kind, std::uint64_t max_length) : parser(kind, kMaxBufferedBody, max_length) {}
   std::string raw;
   Parser parser;
-  std::shared_ptr<Flow> flow;  // the body, where it is not whole here
+  std::shared_ptr<Flow> flow;  // the body, if it is streamed
   const Head& head() const { return parser.head(); }
   std::string_view value(std::string_view name) const { return head().value(raw, name); }
   std::string_view body() const { return parser.body(raw); }
 };
 
-// Appends the header fields that go on to the other side, as runs of whole lines.
+// Appends the header fields that are forwarded, as runs of whole lines.
 void pass_fields(const Head& head, std::string_view buffer, std::vector<std::string_view>& pieces);
 
-// A part of a body as it goes out, `last` or not: in chunks as one of them, else as it is; views of `part`
-// and of itself. An empty part that is not the last has no form.
+// A part of a body in its wire format: one chunk if the body is `chunked`, else the bytes themselves; the
+// last part also holds the end of a chunked body. pieces() are views of `part` and of this object. Only the
+// last part may be empty.
 class FramedPart {
  public:
   FramedPart(std::string_view part, bool chunked, bool last);
@@ -153,7 +155,7 @@
   std::array<std::string_view, 4> pieces_;
 };
 
-// Fields that say how one connection is used and are not passed on, nor those that the proxy writes anew.
+// Whether a field is not forwarded: it concerns one connection only, or the proxy writes its own.
 bool hop_by_hop(std::string_view name);
 std::optional<std::uint64_t> parse_whole(std::string_view text);
 std::optional<double> parse_decimal(std::string_view text);
