--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -210,10 +210,9 @@
 bool Parser::start_is_possible(std::string_view buffer) {
   const std::string_view start = buffer.substr(at_);
   if (kind_ == Kind::kResponse) {
-    constexpr std::string_view kVersionPrefix = "HTTP/1.";
-    const std::size_t received = std::min(start.size(), kVersionPrefix.size());
-    return start.substr(0, received) == kVersionPrefix.substr(0, received) ||
-           (bad(400, "bad status line"), false);
+    constexpr std::string_view kPrefix = "HTTP/1.";
+    const std::size_t received = std::min(start.size(), kPrefix.size());
+    return start.substr(0, received) == kPrefix.substr(0, received) || (bad(400, "bad status line"), false);
   }
   // parse_head() checks an empty line before the request line.
   const bool fits = start.empty() || token_char(start[0]) || start[0] == '\r' || start[0] == '\n';
@@ -238,14 +237,13 @@
     head_.status = static_cast<int>(*status);
     return true;
   }
-  const std::size_t first_space = line.find(' ');
-  const std::size_t last_space = line.rfind(' ');
-  if (first_space == std::string_view::npos || last_space == first_space ||
-      !version(line.substr(last_space + 1))) {
+  const std::size_t first = line.find(' ');
+  const std::size_t last = line.rfind(' ');
+  if (first == std::string_view::npos || last == first || !version(line.substr(last + 1))) {
     return bad(400, "bad request line"), false;
   }
-  head_.method = {place.at, first_space};
-  head_.target = {place.at + first_space + 1, last_space - first_space - 1};
+  head_.method = {place.at, first};
+  head_.target = {place.at + first + 1, last - first - 1};
   const std::string_view target = head_.target.in(buffer);
   if (!is_token(head_.method.in(buffer)) || target.empty() || target[0] != '/' ||
       target.find(' ') != std::string_view::npos) {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -22,10 +22,10 @@
 
 using Poco::Net::ReadableNotification;
 
-constexpr long kIdleWaitMs = 10000;  // POCO's own time-out, which nothing here hangs on,
+constexpr long kIdleWaitMs = 10000;  // time-out of POCO's reactor; nothing depends on it
 constexpr int kMaxRegisterAttempts = 1000;
-constexpr long kFailedTimerWaitMs = 1;      // unless the timer could not be set
-constexpr Millis kClockCheckInterval = 50;  // the wall clock, beside the steady one
+constexpr long kFailedTimerWaitMs = 1;      // the same while the timer could not be set
+constexpr Millis kClockCheckInterval = 50;  // for steps of the wall clock
 
 template <typename Clock>
 Millis read_clock() {
@@ -61,8 +61,8 @@
   if (signalfd_) unregister_descriptor(*signalfd_, &Loop::on_signalfd);
 }
 
-// The loop's own descriptors, without which it is of no use: at the start it waits until the system has
-// memory for them. Anything else is enrolled by a Watch, which tries again from a timer.
+// For the loop's own descriptors, without which it cannot run: blocks at the start until the system has
+// memory for them. Other sockets are registered by a Watch, which retries from a timer.
 void Loop::register_descriptor(const Descriptor& descriptor, OwnHandler handler) {
   for (int n = 1;; ++n) {
     try {
@@ -85,8 +85,8 @@
 
 Millis Loop::now() const { return offset_ + read_clock<std::chrono::steady_clock>(); }
 
-// The process may be held up between the two readings, which would look like a step: a pair that was not is
-// taken.
+// The process may be suspended between the two readings, which would look like a step of the clock, so only a
+// pair that was read within kMaxReadGap is used.
 void Loop::observe_clock() {
   constexpr Millis kMaxReadGap = 10;
   constexpr int kMaxAttempts = 3;
@@ -125,7 +125,7 @@
   id = 0;
 }
 
-// Only ever sooner: an early wake-up that finds nothing due costs less than a system call for each cancel.
+// Sets the timer only to earlier times: a needless wake-up costs less than a system call for each cancel.
 void Loop::arm_timer() {
   if (timers_.empty()) return;
   const Millis first = timers_.begin()->first.first;
@@ -153,7 +153,7 @@
 
 void Loop::fire_due() {
   armed_for_ = 0;
-  // A task may set timers that are due already; they wait for the next wake-up, or sockets would starve.
+  // Timers set by a task that are due already wait for the next wake-up, so that sockets do not starve.
   const Millis reached = now();
   if (reached - observed_at_ >= kClockCheckInterval) observe_clock();
   while (!timers_.empty() && timers_.begin()->first.first <= reached) {
@@ -211,7 +211,7 @@
   guarded(handler);
   if (!outermost) return;
   for (std::size_t n = 0; n < later_.size(); ++n) {
-    const Task task = std::move(later_[n]);  // the task may add further ones
+    const Task task = std::move(later_[n]);  // the task may add more
     guarded(task);
   }
   later_.clear();
@@ -219,7 +219,7 @@
 }
 
 void Loop::run() {
-  run_handler([] {});  // what was put off while nothing ran yet
+  run_handler([] {});  // tasks of later() from before the start
   SocketReactor::run();
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,10 +1,9 @@
-// The node's one thread: POCO's reactor with a clock, timers and signals around it. It owns the registration
-// of every socket and the time at which anything happens. It must never decide anything, never block, and let
-// no exception out of a handler.
+// The event loop of the node's single thread: POCO's reactor, extended by a clock, timers and signals.
+// Exceptions from handlers are caught and logged.
 //
-// POCO's reactor waits in whole milliseconds, tells every handler of each wait that ended without a readable
-// socket, and would swallow a signal in its wait. So timers come from a timerfd and signals from a signalfd,
-// both of them ordinary readable sockets to it; its own time-out is left idle.
+// POCO's reactor waits in whole milliseconds, notifies every handler of each wait that ends without a
+// readable socket, and would swallow a signal during its wait. So timers use a timerfd and signals a
+// signalfd, which the reactor treats as readable sockets; its own time-out is not used.
 #pragma once
 
 #include <Poco/Net/Socket.h>
@@ -23,7 +22,7 @@
 
 namespace shorelead::net {
 
-// A descriptor of any kind as a socket of POCO's, which closes it.
+// Wraps a descriptor of any kind as a POCO socket, which closes it.
 class Descriptor : public Poco::Net::Socket {
  public:
   explicit Descriptor(int fd);
@@ -38,35 +37,35 @@
   Loop();
   ~Loop() override;
 
-  // Steady, and counted so that it read as Unix time when the loop was made. The wall clock may be stepped,
-  // so no span is measured by it, and what it labels elsewhere goes through the two below.
+  // Steady time, with an offset that made it equal to Unix time when the loop was created. The wall clock may
+  // be stepped, so durations are not measured with it; the two functions below convert its timestamps.
   Millis now() const;
-  Millis from_wall(Millis label);  // the time by now() of what the wall clock labelled so
-  Millis to_wall(Millis at);       // and back
+  Millis from_wall(Millis label);  // wall-clock timestamp to the time of now()
+  Millis to_wall(Millis at);       // and the reverse
 
   TimerId at(Millis when, Task task);
   TimerId after(Millis wait, Task task) { return at(now() + wait, std::move(task)); }
-  void cancel(TimerId& id);  // and sets it to 0
+  void cancel(TimerId& id);  // also sets `id` to 0
 
-  // Done once the handler at hand has returned, before the next one.
+  // Runs `task` after the current handler has returned, before the next one.
   void later(Task task) { later_.push_back(std::move(task)); }
 
-  // From here on SIGTERM, SIGINT, SIGHUP and SIGUSR1 wait for on_signals(), and a write to a connection that
-  // has ended raises none. The first thing of a process: by default each of them ends it.
+  // Blocks SIGTERM, SIGINT, SIGHUP and SIGUSR1 until on_signals(), and ignores SIGPIPE. Called first in a
+  // process, as each of these signals would end it by default.
   static void block_signals();
-  // SIGTERM, SIGINT, SIGHUP and SIGUSR1 are blocked for the process and come here instead.
+  // Blocks the same signals and passes them to `handler` from the loop.
   void on_signals(std::function<void(int)> handler);
 
-  void run() override;  // once: POCO's reactor does not start again after it was stopped
+  void run() override;  // may be called once, as POCO's reactor cannot be restarted
   void stop();
 
-  // How late timers fired at worst, for the counters.
+  // The longest delay of a timer so far.
   Millis worst_lag() const { return worst_lag_; }
   std::uint64_t wakeups() const { return wakeups_; }
 
  private:
   friend class Watch;
-  void run_handler(const Task& handler);  // every handler runs through this
+  void run_handler(const Task& handler);  // all handlers run through this
   void onTimeout() override;
   void onIdle() override {}
   void onBusy() override;
@@ -79,7 +78,7 @@
   void register_descriptor(const Descriptor& descriptor, OwnHandler handler);
   void unregister_descriptor(const Descriptor& descriptor, OwnHandler handler);
 
-  const Millis offset_;  // of the clock above the steady clock
+  const Millis offset_;  // of now() to the steady clock
   ClockHistory clock_;
   Millis observed_at_ = 0;
   Descriptor timerfd_;
@@ -89,7 +88,7 @@
   std::unordered_map<TimerId, Millis> due_;
   TimerId last_timer_ = 0;
   Millis armed_for_ = 0;
-  bool timer_failed_ = false;  // the timer could not be set: the reactor's own time-out stands in for it
+  bool timer_failed_ = false;  // timerfd_settime failed; the reactor's time-out replaces the timer
   std::vector<Task> later_;
   bool in_handler_ = false;
   Millis worst_lag_ = 0;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -15,10 +15,10 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 16384;
-constexpr Millis kMinMeasurableWait = 10;  // the system counts such times in steps of some milliseconds
+constexpr Millis kMinMeasurableWait = 10;  // TCP_INFO counts in steps of some milliseconds
 constexpr int kSendBufferBytes = 131072;
-constexpr std::size_t kMaxPieces = 64;  // in one call; the rest is copied
-constexpr int kMaxPeekAttempts = 32;    // of a call that is interrupted
+constexpr std::size_t kMaxPieces = 64;  // per call; the rest is buffered
+constexpr int kMaxPeekAttempts = 32;    // of calls that are interrupted
 
 }  // namespace
 
@@ -43,7 +43,7 @@
   const int fd = ::socket(address.af(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return false;
   auto socket = std::make_unique<Descriptor>(fd);
-  // After a real interruption the connection is on its way, which the second call then says.
+  // After an interrupted connect() the connection is in progress, which the repeated call reports.
   const int result = uninterrupted([&] { return ::connect(fd, address.addr(), address.length()); });
   if (result != 0 && !connect_in_progress(errno)) {
     if (connection_refused(errno)) failure_ = Ending::kRefused;
@@ -77,7 +77,7 @@
     message.msg_iov = parts.data();
     message.msg_iovlen = count;
     const ssize_t sent = uninterrupted([&] { return ::sendmsg(fd(), &message, MSG_NOSIGNAL); });
-    // A break is told once the caller is done, by the next wake-up.
+    // The failure is reported by on_writable(), not within the caller's call.
     if (sent < 0 && !is_transient(errno)) broken_ = true;
     written = sent > 0 ? static_cast<std::size_t>(sent) : 0;
   }
@@ -105,7 +105,7 @@
   return found == Peek::kEnd || (found == Peek::kData && end_received());
 }
 
-// Behind bytes that nobody has read, the connection's state alone shows it.
+// An end behind unread bytes shows only in the state of the TCP connection.
 bool Stream::end_received() const {
   tcp_info info{};
   socklen_t size = sizeof info;
@@ -126,7 +126,7 @@
   char byte = 0;
   ssize_t got = 0;
   int tries = 0;
-  // One that was interrupted, or had no memory, has seen nothing.
+  // A call that was interrupted or had no memory tells nothing, so it is repeated.
   do {
     got = ::recv(fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   } while (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && is_transient(errno) &&
@@ -163,9 +163,9 @@
 
 bool Stream::read_now() {
   if (!open()) return false;
-  // A connection that is still being made has nothing to read; whether it came up is told as writable.
+  // An unfinished connect has no input; its outcome is handled as writable.
   if (!connected_) return on_writable(), false;
-  // Read aside, so that what is kept of a connection is no larger than what came in.
+  // Read into a local buffer, so that an idle connection keeps no memory for reading.
   std::array<char, kReadBytes> part;
   const ssize_t got = uninterrupted([&] { return ::recv(fd(), part.data(), part.size(), 0); });
   const int error = errno;
@@ -174,7 +174,7 @@
     handler_.on_input(*this);
     return true;
   }
-  // The system tells of a reset once: after a write that met it, a read sees but an end.
+  // The system reports a reset only once: after a write has failed with it, a read only sees the end.
   if (got == 0) return fail(broken_ ? Ending::kBroken : Ending::kPeerClosed), false;
   if (!is_transient(error)) fail(Ending::kBroken);
   return false;
@@ -185,11 +185,12 @@
   if (!connected_) {
     int error = 0;
     socklen_t size = sizeof error;
-    if (::getsockopt(fd(), SOL_SOCKET, SO_ERROR, &error, &size) != 0) return;  // asked again next turn
+    if (::getsockopt(fd(), SOL_SOCKET, SO_ERROR, &error, &size) != 0)
+      return;  // tried again at the next wake-up
     if (error != 0) return fail(Ending::kRefused);
     sockaddr_storage peer{};
     socklen_t length = sizeof peer;
-    if (::getpeername(fd(), reinterpret_cast<sockaddr*>(&peer), &length) != 0) return;  // not up yet
+    if (::getpeername(fd(), reinterpret_cast<sockaddr*>(&peer), &length) != 0) return;  // not connected yet
     connected_ = true;
     if (output_.empty()) watch_->want_write(false);
     handler_.on_connected(*this);
@@ -209,7 +210,7 @@
 void Stream::on_error() {
   if (!open()) return;
   if (!connected_) return on_writable();
-  // What has come in before the error is still there to be read; the read after it tells the error.
+  // Input that arrived before the error can still be read; the read after it reports the error.
   read_now();
 }
 
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,6 +1,5 @@
-// One TCP connection, to a client, a backend or discovery: its socket, what has come in and what is still to
-// go out. It owns the descriptor and the count of descriptors in use. It must never parse what it carries,
-// never throw, and never call its handler once it was closed.
+// One TCP connection, to a client, a backend or discovery: the socket with its input and output buffers.
+// Counts the open streams of the process. Does not throw, and does not call its handler after close().
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -26,12 +25,12 @@
     virtual ~Handler() = default;
     virtual void on_connected(Stream&) {}
     virtual void on_input(Stream& stream) = 0;               // input() has grown
-    virtual void on_flushed(Stream&) {}                      // all that was sent has been written
-    virtual void on_end(Stream& stream, Ending ending) = 0;  // closed already
+    virtual void on_flushed(Stream&) {}                      // all output has been written
+    virtual void on_end(Stream& stream, Ending ending) = 0;  // the stream is closed already
   };
 
-  // A connection that came in, or one to be made. The latter may have ended already (see open(), failure()),
-  // as does one without an address, for which there was no descriptor.
+  // An accepted connection, or a new one to `address`. The latter may have failed already (see open() and
+  // failure()), as has one without an address, for which there was no descriptor.
   Stream(Loop& loop, Handler& handler, int fd);
   Stream(Loop& loop, Handler& handler, const std::optional<Poco::Net::SocketAddress>& address);
   ~Stream() override;
@@ -41,35 +40,34 @@
   bool open() const { return watch_ != nullptr; }
   int descriptor() const { return open() ? fd() : -1; }
   bool connected() const { return connected_; }
-  Ending failure() const { return failure_; }  // of a stream that could not even be begun
-  // Begins a connection anew that this machine could not begin; whether it is open now.
+  Ending failure() const { return failure_; }  // why connecting failed at once
+  // Tries again to connect after a failure of this machine; returns whether the stream is open.
   bool connect(const Poco::Net::SocketAddress& address);
 
   std::string& input() { return input_; }
   std::size_t held() const { return input_.size(); }
-  // Holds back, or again takes, what the other side sends; its end is not noticed meanwhile.
+  // Pauses or resumes reading. While it is paused, the end of the connection is not noticed.
   void want_input(bool wanted);
 
-  // Writes the pieces in one call where the socket takes them; keeps a copy of what is left over.
+  // Writes the pieces in one call, and buffers a copy of what the socket does not take.
   void send(std::span<const std::string_view> pieces);
   bool flushed() const { return connected_ && output_.empty(); }
 
-  // For how long what came in last had been there before it was read: in the queue of connections, or while
-  // this node got no processor. 0 where the system cannot tell it from no time at all.
+  // How long the last input had waited in the system before it was read: in the accept queue, or while this
+  // process was not scheduled. 0 if the time is too short to be measured.
   Millis waited() const;
 
-  // Takes in what has already come, up to one read of it, without waiting for the reactor to say so. Whether
-  // there was any, so that there may be more.
+  // Reads once without waiting for the reactor. Returns whether there was input, so that there may be more.
   bool read_now();
-  // Whether nothing, not even an end, has come in on a connection that ought to be quiet.
+  // Whether neither input nor an end has arrived on a connection that is expected to be idle.
   bool quiet() const;
-  // Whether the other side has closed by now; behind what was not taken in yet only where the system tells
-  // it.
+  // Whether the peer has closed. Behind unread input this is known only if the state of the TCP connection
+  // shows it.
   bool ended() const;
-  bool paused() const { return open() && !watch_->reads(); }  // input is held back: its end goes unnoticed
-  void reset_on_close();     // the other side is to see that it was no orderly end
-  void bound_send_buffer();  // the system's: else megabytes would count as gone
-  void close_sending();      // the other side sees the end; what it sends is still taken
+  bool paused() const { return open() && !watch_->reads(); }  // reading is paused, so an end goes unnoticed
+  void reset_on_close();     // close() sends a reset, so that the peer sees an abnormal end
+  void bound_send_buffer();  // otherwise megabytes of output would count as written
+  void close_sending();      // half-close: the peer's data is still read
   void close();
 
   static int open_count() { return open_count_.load(std::memory_order_relaxed); }
@@ -93,10 +91,10 @@
   Ending failure_ = Ending::kNoDescriptor;
   std::string input_;
   std::string output_;
-  static std::atomic<int> open_count_;  // of all threads' loops
+  static std::atomic<int> open_count_;  // of all threads
 };
 
-// "a.b.c.d:port"; no names are looked up.
+// Parses "a.b.c.d:port"; host names are not resolved.
 std::optional<Poco::Net::SocketAddress> parse_address(const std::string& text);
 
 }  // namespace shorelead::net
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -19,7 +19,7 @@
   void operator()(SSL* p) const { SSL_free(p); }
 };
 
-// The oldest error of OpenSSL's queue, which is emptied.
+// Returns the oldest error in OpenSSL's queue, and clears the queue.
 std::string last_error() {
   std::array<char, 256> text{};
   const unsigned long code = ERR_get_error();
@@ -34,7 +34,7 @@
          ::inet_pton(AF_INET6, text.c_str(), bytes.data()) == 1;
 }
 
-// When and how long, to see that a file is another one.
+// Modification time and inode, to detect that a file has changed.
 std::pair<long long, long long> fingerprint_of(const std::string& path) {
   struct stat found {};
   if (path.empty() || ::stat(path.c_str(), &found) != 0) return {0, 0};
@@ -109,8 +109,8 @@
 
 struct TlsSession::Impl {
   std::unique_ptr<SSL, Deleter> ssl;
-  BIO* in = nullptr;   // the session's
-  BIO* out = nullptr;  // likewise
+  BIO* in = nullptr;   // owned by ssl
+  BIO* out = nullptr;  // owned by ssl
   bool closed = false;
 };
 
@@ -149,7 +149,7 @@
   return false;
 }
 
-// The handshake as far as it goes now.
+// Continues the handshake as far as the received bytes allow.
 bool TlsSession::continue_handshake() {
   SSL* const ssl = impl_->ssl.get();
   if (!SSL_is_init_finished(ssl)) {
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -1,9 +1,9 @@
-// TLS as a filter between bytes of a connection and bytes of what it carries, by OpenSSL over memory. Owns
-// keys, the handshake and the check of the other side. It must never touch a socket, and never let a byte
-// through in either direction before the other side has proved who it is.
+// TLS as a filter between the bytes on a connection and the plaintext, with OpenSSL over memory buffers. Owns
+// the keys, the handshake and the verification of the peer; does not touch sockets. No plaintext passes in
+// either direction before the peer is verified.
 //
-// At least TLS 1.2 (RFC 8446, RFC 5246 after RFC 9325). The other side's certificate must come from the CA
-// file and name the address or name that was dialled (RFC 6125, RFC 9110 section 4.3.4).
+// Requires TLS 1.2 or later (RFC 8446, RFC 5246 with RFC 9325). The peer's certificate must be signed by the
+// CA file and match the address or name that was connected to (RFC 6125, RFC 9110 section 4.3.4).
 #pragma once
 
 #include <memory>
@@ -13,26 +13,27 @@
 
 namespace shorelead::net {
 
-// Files in PEM. `ca` says whom to believe; `certificate` and `key` prove who we are, where that is asked for.
+// PEM files. `ca` holds the trusted authorities; `certificate` and `key` authenticate this side if the peer
+// asks.
 struct TlsFiles {
   std::string ca;
   std::string certificate;
   std::string key;
-  std::string name;  // that the other side's certificate must have; empty: its address
+  std::string name;  // that the peer's certificate must have; if empty, its address
 
   bool operator==(const TlsFiles&) const = default;
 };
 
-// Keys read from files, and read again by refresh() when one has changed. One that cannot be read then
-// changes nothing.
+// Keys read from files. refresh() reads them again if a file has changed; if that fails, the old keys stay.
 class TlsContext {
  public:
   enum class Side { kClient, kServer };
 
-  // Nothing and the cause where the files are of no use. A server with `ca` asks clients for certificates.
+  // Returns null and sets `cause` if the files are not usable. A server with `ca` requires client
+  // certificates.
   static std::shared_ptr<TlsContext> load(const TlsFiles& files, Side side, std::string& cause);
   ~TlsContext();
-  // Whether new keys were read; the cause where files have changed and are of no use.
+  // Returns whether new keys were read; sets `cause` if files have changed but are not usable.
   bool refresh(std::string& cause);
 
  private:
@@ -42,20 +43,20 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// One connection.
+// The TLS state of one connection.
 class TlsSession {
  public:
-  // `address` as dialled, without its port; a client checks the certificate against it, or against the name
-  // that the files tell.
+  // `address`: the one connected to, without port. A client checks the certificate against it, or against the
+  // name in TlsFiles.
   TlsSession(const TlsContext& context, const std::string& address);
   ~TlsSession();
 
-  // Takes what came in and appends what it carries. False where the connection is of no use any more.
+  // Takes received bytes and appends their plaintext. Returns false if the connection has failed.
   bool feed(std::string_view came, std::string& plain);
-  void write(std::string_view plain);  // kept until the handshake is done
-  std::string take();                  // what is to go out now
-  bool ready() const;                  // the handshake is done and the other side is who it should be
-  bool closed() const;                 // the other side said goodbye
+  void write(std::string_view plain);  // buffered until the handshake is done
+  std::string take();                  // bytes to send now
+  bool ready() const;                  // the handshake is done and the peer is verified
+  bool closed() const;                 // the peer sent close_notify
   const std::string& cause() const { return cause_; }
 
  private:
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -11,7 +11,7 @@
 using Poco::Net::ReadableNotification;
 using Poco::Net::WritableNotification;
 
-constexpr Millis kRetryInterval = 1;  // after which a socket is enrolled again for which there was no memory
+constexpr Millis kRetryInterval = 1;  // after a registration failed for lack of memory
 
 template <typename Notification>
 Poco::NObserver<Watch, Notification> observer(Watch& owner,
@@ -36,8 +36,8 @@
 
 void Watch::want_write(bool wanted) {
   if (wanted == writing_) return;
-  // Guards against a spinning reactor: POCO (1.11) goes on polling for what a removed observer wanted until
-  // the socket's last one is removed, so all of them go and those still wanted come back.
+  // POCO (1.11) polls for the events of a removed observer until the last observer of the socket is removed,
+  // and the reactor would spin. So all are removed, and those still wanted are added again.
   unregister_socket();
   register_socket(reading_, wanted);
 }
@@ -49,7 +49,7 @@
   try {
     set_handlers();
   } catch (const Poco::Exception& error) {
-    // The system had no memory for one more socket to watch. It will: whoever owns this must not notice.
+    // The system had no memory for the registration. Retried here, so that the owner need not handle it.
     spdlog::warn("a socket cannot be watched now: {}", error.displayText());
     retry_ = loop_.after(kRetryInterval, [this] {
       retry_ = 0;
@@ -66,7 +66,7 @@
 
 void Watch::unregister_socket() {
   loop_.cancel(retry_);
-  // One that could not be enrolled is not there to be removed.
+  // Removing fails for a handler whose registration had failed.
   const auto remove = [this](const auto& handler) {
     try {
       loop_.removeEventHandler(socket_, handler);
--- a/src/net/watch.h
+++ b/src/net/watch.h
@@ -1,6 +1,5 @@
-// One socket in the loop's reactor: who is told when it can be read or written. Owns the registration alone,
-// and keeps it also where the system has no memory for it at first; it must never read, write or close the
-// socket.
+// Registration of a socket with the loop: calls a handler when the socket is readable or writable. If the
+// system has no memory for the registration, it is retried. Does not read, write or close the socket.
 #pragma once
 
 #include <Poco/Net/Socket.h>
@@ -10,8 +9,8 @@
 
 namespace shorelead::net {
 
-// One socket in the reactor, for as long as this stands. Reads are always of interest; writes only on demand,
-// or the reactor would spin.
+// The socket is registered for the lifetime of this object. Writability is watched only on demand, as
+// otherwise the reactor would spin.
 class Watch {
  public:
   class Handler {
