--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The admin server on sockets: its calls act on a node under way, and holders keep nobody out.
+// The admin server over loopback: calls act on a running node, and silent callers do not lock others out.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,7 +9,7 @@
 namespace shorelead::node {
 namespace {
 
-// A node with a admin server, two backends and discovery, whose list it gets when the test says so.
+// A node with an admin server, two backends, and discovery that is scripted by the test.
 struct NodeWithAdminServer {
   Peer one;
   Peer two;
@@ -35,12 +35,12 @@
   return metrics.substr(from, metrics.find('|', from) - from);
 }
 
-TEST(AdminServer, AnswersEachCallOnceAndNamesWhatIsWrong) {
+TEST(AdminServer, AnswersOneCallPerConnectionAndNamesErrors) {
   const NodeWithAdminServer with_admin;
   EXPECT_EQ(with_admin.call("disable-server nobody\n").rfind("ERR no backend nobody", 0), 0U);
   EXPECT_EQ(with_admin.call("what\n").rfind("ERR unknown call", 0), 0U);
   EXPECT_EQ(with_admin.call(std::string(600, 'x') + "\n").rfind("ERR a call of over", 0), 0U);
-  EXPECT_EQ(with_admin.call("drain\nresume\n"), "OK draining\n");  // a second line is not asked for
+  EXPECT_EQ(with_admin.call("drain\nresume\n"), "OK draining\n");  // a second line is ignored
   EXPECT_EQ(with_admin.call("ready\n"), "ERR draining\n");
   EXPECT_EQ(with_admin.call("resume\r\n"), "OK serving\n");
   const std::string metrics = with_admin.call("show-stat\n");
@@ -49,28 +49,28 @@
   EXPECT_EQ(metric(metrics, "handled.unsafe.passed"), "0");
 }
 
-TEST(AdminServer, ACallerThatClosedItsHalfIsAnswered) {
+TEST(AdminServer, AnswersACallerThatClosedItsSendingHalf) {
   const NodeWithAdminServer with_admin;
   Line caller = with_admin.caller();
-  caller.write("drain");  // no end of line but the connection's
+  caller.write("drain");  // ended by the connection instead of a line end
   caller.close_sending();
   EXPECT_EQ(caller.rest(), "OK draining\n");
 }
 
-TEST(AdminServer, HoldersGiveWayToACall) {
+TEST(AdminServer, ANewCallerEvictsSilentOnes) {
   const NodeWithAdminServer with_admin;
-  std::vector<Line> holders;
+  std::vector<Line> silent;
   for (std::size_t n = 0; n < 3 * AdminServer::kMaxCallers; ++n) {
-    holders.push_back(with_admin.caller());
-    holders.back().write("dra");
+    silent.push_back(with_admin.caller());
+    silent.back().write("dra");
   }
   EXPECT_EQ(with_admin.call("drain\n"), "OK draining\n");
-  EXPECT_EQ(holders.front().rest(), "");  // the oldest were cut
+  EXPECT_EQ(silent.front().rest(), "");  // the oldest were evicted
 }
 
-// From the OK on nothing new goes there, kept connections included; one call back undoes two, and the figures
-// say so.
-TEST(AdminServer, ABackendOutByHandGetsNothingUntilItIsBack) {
+// After the OK the backend gets no new requests, and its idle connections are closed. One enable call undoes
+// two disable calls, and the metrics agree.
+TEST(AdminServer, ADisabledBackendGetsNoRequestsUntilEnabled) {
   NodeWithAdminServer with_admin;
   EXPECT_EQ(with_admin.call("disable-server s-2\n"), "OK s-2 is out\n");
   EXPECT_EQ(with_admin.call("disable-server s-2\n"), "OK s-2 was out already\n");
@@ -79,14 +79,14 @@
   std::optional<Line> there;
   for (int n = 0; n < 8; ++n) {
     client.write(get("/safe"));
-    if (!there) there = with_admin.one.accept();  // were s-2 sent to, this would hang
+    if (!there) there = with_admin.one.accept();  // would hang if a request went to s-2
     EXPECT_FALSE(there->request().empty());
     there->write(kOk);
     EXPECT_EQ(status_of(client.answer()), "HTTP/1.1 200");
   }
   EXPECT_EQ(with_admin.call("enable-server s-2\n"), "OK s-2 is back\n");
   EXPECT_EQ(with_admin.call("disable-server s-1\n"), "OK s-1 is out\n");
-  EXPECT_EQ(there->rest(), "");  // the connection kept there was closed
+  EXPECT_EQ(there->rest(), "");  // its idle connection was closed
   client.write(get("/safe"));
   Line other = with_admin.two.accept();
   EXPECT_FALSE(other.request().empty());
@@ -98,11 +98,12 @@
   EXPECT_EQ(metric(metrics, "in_progress"), "0");
 }
 
-// While it drains, a kept connection is answered once more and told to close; resumed, it serves as before.
-TEST(AdminServer, ADrainLetsGoAndResumes) {
+// While draining, an idle connection gets one more response, with Connection: close; after resume the node
+// serves again.
+TEST(AdminServer, ADrainClosesConnectionsAndCanBeResumed) {
   NodeWithAdminServer with_admin;
   while (with_admin.call("ready\n") != "OK ready\n")
-    std::this_thread::yield();  // lists of earlier will do after a while
+    std::this_thread::yield();  // a configured list suffices after a while
   Line kept = with_admin.node.client();
   kept.write(get("/-/ready", "", ""));
   EXPECT_EQ(status_of(kept.answer()), "HTTP/1.1 200");
@@ -114,7 +115,7 @@
   const std::string answer = kept.answer();
   EXPECT_EQ(status_of(answer), "HTTP/1.1 503");
   EXPECT_TRUE(holds(answer, "Connection: close"));
-  EXPECT_EQ(idle.rest(), "");  // closed once the time for one more request is over
+  EXPECT_EQ(idle.rest(), "");  // closed after the time for one more request
   with_admin.call("resume\n");
   Line again = with_admin.node.client();
   again.write(get("/-/ready", "", ""));
--- a/tests/faults/bans_test.cpp
+++ b/tests/faults/bans_test.cpp
@@ -1,5 +1,5 @@
-// Backends taken out by hand while writes to the folder that lasts fail: what was answered as done is owed by
-// the next process too; what cannot be kept is not answered as done.
+// Bans made while writes to the shared directory fail: an acknowledged ban is known to the next process, and
+// a ban that cannot be saved is not acknowledged.
 #include <gtest/gtest.h>
 
 #include <cerrno>
@@ -15,10 +15,10 @@
 using faults::Call;
 using faults::fail_next;
 
-// A node's folder, and the process that keeps its bans there.
-struct Kept {
-  Kept() { bans.share(path); }
-  ~Kept() {
+// The directory of a node, and a process that saves its bans there.
+struct SavedBans {
+  SavedBans() { bans.use_file(path); }
+  ~SavedBans() {
     faults::clear();
     std::system(("rm -rf " + folder).c_str());
   }
@@ -29,12 +29,12 @@
     return bans.change(call);
   }
   std::string disable(const std::string& id) { return call(manage::CallKind::kDisable, id); }
-  // As the process that comes after this one finds it.
-  bool next_knows(const std::string& id) const {
+  // Whether the process that follows this one finds the backend banned.
+  bool next_process_bans(const std::string& id) const {
     Loop other;
     BanList next(
         other, [](const std::string&) { return true; }, [] {});
-    next.share(path);
+    next.use_file(path);
     return next.bans().out(id);
   }
 
@@ -48,87 +48,88 @@
   BanList bans{loop, [](const std::string&) { return true; }, [] {}};
 };
 
-bool done(const std::string& answer) { return answer.compare(0, 3, "OK ") == 0; }
+bool succeeded(const std::string& answer) { return answer.compare(0, 3, "OK ") == 0; }
 
 constexpr std::array kWrites = {Call::kWriteFile, Call::kOpen, Call::kSync, Call::kRename};
 
-TEST(Bans, WhatIsAnsweredAsDoneIsKeptThoughWritesFail) {
+TEST(Bans, AnAcknowledgedBanIsSavedDespiteWriteErrors) {
   for (const Call call : kWrites) {
     for (const int error : {ENOSPC, EIO}) {
       for (const int times : {1, 1000}) {
-        Kept saved;
-        ASSERT_TRUE(done(saved.disable("s-before")));
+        SavedBans saved;
+        ASSERT_TRUE(succeeded(saved.disable("s-before")));
         fail_next(call, error, times);
         const std::string answer = saved.disable("s-1");
         faults::clear();
-        EXPECT_EQ(done(answer), saved.next_knows("s-1")) << name_of(call) << " " << times << ": " << answer;
-        EXPECT_TRUE(saved.next_knows("s-before")) << name_of(call) << " " << times;
+        EXPECT_EQ(succeeded(answer), saved.next_process_bans("s-1"))
+            << name_of(call) << " " << times << ": " << answer;
+        EXPECT_TRUE(saved.next_process_bans("s-before")) << name_of(call) << " " << times;
         if (times == 1) {
-          EXPECT_TRUE(done(answer)) << name_of(call) << ": a moment passes: " << answer;
+          EXPECT_TRUE(succeeded(answer)) << name_of(call) << ": one failure is retried: " << answer;
         }
       }
     }
   }
 }
 
-// The file cannot be read for a moment: what stands in it is neither passed over nor written over.
-TEST(Bans, WhatAnotherProcessKeptIsNotLostWhereReadingFails) {
+// While the file cannot be read, its content is neither ignored nor overwritten.
+TEST(Bans, AReadErrorDoesNotLoseBansOfAnotherProcess) {
   for (const int times : {1, 1000}) {
-    Kept saved;
-    Kept other;
-    other.bans.share(saved.path);
+    SavedBans saved;
+    SavedBans other;
+    other.bans.use_file(saved.path);
     fail_next(Call::kReadFile, EIO, times);
     saved.disable("s-1");
     other.disable("s-2");
     faults::clear();
     saved.disable("s-3");
-    EXPECT_TRUE(saved.next_knows("s-3"));
-    EXPECT_EQ(saved.next_knows("s-1"), true) << times;
+    EXPECT_TRUE(saved.next_process_bans("s-3"));
+    EXPECT_EQ(saved.next_process_bans("s-1"), true) << times;
     if (times == 1) {
-      EXPECT_TRUE(saved.next_knows("s-2"));
+      EXPECT_TRUE(saved.next_process_bans("s-2"));
     }
   }
 }
 
-// A process that cannot read at its start what is out does not know, and says so until it does.
-TEST(Bans, AStartThatCannotReadThemDoesNotKnowThem) {
-  Kept saved;
-  ASSERT_TRUE(done(saved.disable("s-1")));
+// A process that cannot read the file at its start reports that the bans are unknown, until it can.
+TEST(Bans, AreUnknownUntilTheFileCanBeRead) {
+  SavedBans saved;
+  ASSERT_TRUE(succeeded(saved.disable("s-1")));
   BanList next(
       saved.loop, [](const std::string&) { return true; }, [] {});
   fail_next(Call::kReadFile, EIO, 10);
-  next.share(saved.path);
-  EXPECT_FALSE(next.known());
+  next.use_file(saved.path);
+  EXPECT_FALSE(next.file_read());
   saved.loop.after(300, [&saved] { saved.loop.stop(); });
   saved.loop.run();
-  EXPECT_TRUE(next.known());
+  EXPECT_TRUE(next.file_read());
   EXPECT_TRUE(next.bans().out("s-1"));
 }
 
-// What could not be kept holds here, and is kept once that can be.
-TEST(Bans, WhatCouldNotBeKeptIsKeptLater) {
-  Kept saved;
+// A ban that cannot be saved holds in this process, and is saved once writing succeeds.
+TEST(Bans, AnUnsavedBanHoldsAndIsSavedLater) {
+  SavedBans saved;
   fail_next(Call::kWriteFile, ENOSPC, 1000);
-  EXPECT_FALSE(done(saved.disable("s-1")));
+  EXPECT_FALSE(succeeded(saved.disable("s-1")));
   EXPECT_TRUE(saved.bans.bans().out("s-1"));
   faults::clear();
   saved.loop.after(1200, [&saved] { saved.loop.stop(); });
   saved.loop.run();
-  EXPECT_TRUE(saved.next_knows("s-1"));
-  EXPECT_TRUE(done(saved.disable("s-1")));
+  EXPECT_TRUE(saved.next_process_bans("s-1"));
+  EXPECT_TRUE(succeeded(saved.disable("s-1")));
 }
 
-// One that cannot be kept as back stays out, here as there.
-TEST(Bans, WhoCannotBeKeptAsBackStaysOut) {
-  Kept saved;
-  ASSERT_TRUE(done(saved.disable("s-1")));
+// If enabling a backend cannot be saved, it stays banned in this process and in the file.
+TEST(Bans, ABackendStaysBannedIfEnablingCannotBeSaved) {
+  SavedBans saved;
+  ASSERT_TRUE(succeeded(saved.disable("s-1")));
   fail_next(Call::kRename, EIO, 1000);
-  EXPECT_FALSE(done(saved.call(manage::CallKind::kEnable, "s-1")));
+  EXPECT_FALSE(succeeded(saved.call(manage::CallKind::kEnable, "s-1")));
   EXPECT_TRUE(saved.bans.bans().out("s-1"));
   faults::clear();
-  EXPECT_TRUE(saved.next_knows("s-1"));
-  EXPECT_TRUE(done(saved.call(manage::CallKind::kEnable, "s-1")));
-  EXPECT_FALSE(saved.next_knows("s-1"));
+  EXPECT_TRUE(saved.next_process_bans("s-1"));
+  EXPECT_TRUE(succeeded(saved.call(manage::CallKind::kEnable, "s-1")));
+  EXPECT_FALSE(saved.next_process_bans("s-1"));
 }
 
 }  // namespace
--- a/tests/log_output_test.cpp
+++ b/tests/log_output_test.cpp
@@ -1,4 +1,5 @@
-// The log where nobody reads it: lines are lost, never waited for, and the next that goes out says how many.
+// Log output to a pipe that is not read: lines are lost without blocking, and the next line that can be
+// written reports how many.
 #include "node/log_output.h"
 
 #include <fcntl.h>
@@ -18,7 +19,7 @@
   ~Pipe() {
     for (const int end : ends) ::close(end);
   }
-  // All that lies there.
+  // Reads all buffered bytes.
   std::string read() const {
     ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
     std::string all;
@@ -30,8 +31,8 @@
   std::array<int, 2> ends{};
 };
 
-// Each line is there, or among those that are told to be missing.
-TEST(LogOutput, LinesThatNobodyReadsAreLostAndCounted) {
+// Each line is either written or counted as missing.
+TEST(LogOutput, LinesThatAreNotReadAreLostAndCounted) {
   for (const std::size_t length : {std::size_t{100}, std::size_t{10000}}) {
     const Pipe pipe;
     const auto output = std::make_shared<LogOutput>(pipe.ends[1]);
@@ -41,7 +42,7 @@
     std::uint64_t logged = 0;
     while (output->lost() == 0) log.info(line), ++logged;
     for (int n = 0; n < 10; ++n) log.info(line), ++logged;
-    EXPECT_EQ(::fcntl(pipe.ends[1], F_GETFL) & O_NONBLOCK, 0) << "it is not this process's alone";
+    EXPECT_EQ(::fcntl(pipe.ends[1], F_GETFL) & O_NONBLOCK, 0) << "other processes share the file description";
     std::string all = pipe.read();
     log.info("read again");
     all += pipe.read();
@@ -60,7 +61,7 @@
   }
 }
 
-TEST(LogOutput, AFileIsWrittenBehindWhatStandsThere) {
+TEST(LogOutput, AFileIsAppendedTo) {
   std::string path = testing::TempDir() + "shorelead-log-XXXXXX";
   const int file = ::mkstemp(path.data());
   ASSERT_EQ(::write(file, "before\n", 7), 7);
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -1,4 +1,4 @@
-// The loop: timers in their order, and handlers that throw.
+// The event loop: order and cancellation of timers, and handlers that throw.
 #include "net/loop.h"
 
 #include <gtest/gtest.h>
@@ -27,8 +27,8 @@
   EXPECT_EQ(fired, "abc");
 }
 
-// No throw leaves a handler, and what was put off is done all the same.
-TEST(Loop, AHandlerThatThrowsEndsNothingElse) {
+// An exception does not leave the handler, and tasks deferred with later() still run.
+TEST(Loop, ADeferredTaskRunsAfterItsHandlerThrows) {
   Loop loop;
   bool after = false;
   loop.after(1, [&] {
--- a/tests/manage/manage_test.cpp
+++ b/tests/manage/manage_test.cpp
@@ -1,4 +1,4 @@
-// The admin server's pure parts: calls, bans, the drain's states and the request counters of metrics.
+// The pure parts of the admin server: calls, bans, drain states, request counters and metrics.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -13,7 +13,7 @@
 namespace shorelead::manage {
 namespace {
 
-TEST(Calls, EachIsReadAndEverythingElseIsRefusedWithItsCause) {
+TEST(Calls, ValidCallsAreParsedAndOthersRejectedWithACause) {
   struct Case {
     std::string line;
     std::optional<CallKind> kind;
@@ -46,7 +46,7 @@
   }
 }
 
-TEST(Calls, ALineIsTheSameAtEverySplit) {
+TEST(Calls, ALineDoesNotDependOnHowItsBytesAreSplit) {
   for (const std::string text :
        {"disable-server s-1\n", "disable-server s-1\r\n", "disable-server s-1\r\nready\n"}) {
     for (std::size_t a = 0; a <= text.size(); ++a) {
@@ -59,7 +59,7 @@
   }
 }
 
-TEST(Calls, ALineMayBeTooLongOrEndWithTheConnection) {
+TEST(Calls, TooLongLinesAreRejectedAndTheConnectionsEndEndsALine) {
   LineReader longest;
   EXPECT_EQ(longest.add(std::string(kMaxCallBytes, 'x') + "\r\n"), LineReader::State::kLine);
   LineReader over;
@@ -74,8 +74,9 @@
   EXPECT_EQ(LineReader().finish(), LineReader::State::kOpen);
 }
 
-// Twice out, one call back undoes both; what the list says of a birth since then wins over the guess.
-TEST(Bans, LastUntilTheCallBack) {
+// One enable() undoes two disable() calls. A start time in the list that is later than the ban overrides the
+// end of the ban.
+TEST(Bans, LastUntilTheBackendIsEnabled) {
   BanSet bans;
   EXPECT_TRUE(bans.disable("s-1", 100));
   EXPECT_FALSE(bans.disable("s-1", 200));
@@ -85,12 +86,12 @@
   EXPECT_FALSE(bans.enable("s-1", 400));
   EXPECT_FALSE(bans.out("s-1"));
   EXPECT_TRUE(bans.knows("s-1"));
-  EXPECT_EQ(bans.started("s-1", 50), 300);   // the list has not told of a start yet
-  EXPECT_EQ(bans.started("s-1", 150), 150);  // it has
+  EXPECT_EQ(bans.started("s-1", 50), 300);   // the list has no later start time
+  EXPECT_EQ(bans.started("s-1", 150), 150);  // it has one
   EXPECT_EQ(bans.started("s-2", 50), 50);
 }
 
-RC_GTEST_PROP(Bans, TheirTextIsReadBackAndNoTornOrChangedOneIs, ()) {
+RC_GTEST_PROP(Bans, TheirTextIsParsedAndDamagedTextIsRejected, ()) {
   BanSet bans;
   const auto ids = *rc::gen::container<std::vector<std::string>>(
       rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::elementOf(std::string("abc -.:7")))));
@@ -112,12 +113,12 @@
   RC_ASSERT(!BanSet::parse(changed, cause));
 }
 
-TEST(Drain, StatesInTurn) {
+TEST(Drain, ServingDrainingDrainedAndBack) {
   Drain drain;
   EXPECT_EQ(drain.state(0), DrainState::kServing);
   drain.drain(1000);
   EXPECT_EQ(drain.state(1000), DrainState::kDraining);
-  drain.drain(2000);  // a second call does not begin anew
+  drain.drain(2000);  // a second call does not restart the time
   EXPECT_EQ(drain.state(1000 + Drain::kIdleTimeAfterCall), DrainState::kDrained);
   EXPECT_TRUE(drain.resume());
   EXPECT_EQ(drain.state(9000), DrainState::kServing);
@@ -129,7 +130,7 @@
             2000);  // what comes later would be held, as a request of the last 2 s, after 4 s
 }
 
-// Over any lives of requests: each is in exactly one state, and no count ever falls but in_progress.
+// For any sequence of requests, each is in exactly one state.
 RC_GTEST_PROP(RequestCounters, EachRequestIsInExactlyOneState, ()) {
   RequestCounters counters;
   std::vector<std::string> open;
@@ -157,7 +158,7 @@
   }
 }
 
-TEST(Figures, HaveTheirForm) {
+TEST(Metrics, AreFormattedOnePerLine) {
   RequestCounters counters;
   counters.name_class("check");
   counters.taken("check");
