--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,4 +1,4 @@
-// The parser of messages: every message is also fed at every split, and must come out the same.
+// The HTTP parser. Messages are fed in two parts, split at every position, with the same result.
 #include "net/http.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
     "POST /charge/7?user=k HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 9b1f\r\nX-Timeout-Ms:480 \r\n"
     "Content-Length: 5\r\n\r\nhello";
 
-// Feeds all of `text` in two parts and returns what the parser makes of it.
+// Parses `text` in two parts, split at `split`.
 Message parse(const std::string& text, std::size_t split, Kind kind) {
   Message message(kind);
   message.raw = text.substr(0, split);
@@ -38,7 +38,7 @@
   return "POST /a HTTP/1.1\r\nHost: a\r\n" + fields + "\r\n" + body;
 }
 
-TEST(Http, RequestComesOutTheSameAtEverySplit) {
+TEST(Http, ARequestIsParsedAlikeAtEverySplit) {
   for (std::size_t split = 0; split <= kPost.size(); ++split) {
     Message message = parse(kPost, split, Kind::kRequest);
     ASSERT_EQ(state_of(message), State::kDone) << split;
@@ -52,7 +52,7 @@
   }
 }
 
-TEST(Http, ABodyTakenByPartsIsTheBodyAtEverySplit) {
+TEST(Http, ABodyTakenInPartsIsCompleteAtEverySplit) {
   const std::string next = "GET /b HTTP/1.1\r\n";
   const std::string chunked =
       request("Transfer-Encoding: chunked\r\n", "3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n");
@@ -67,16 +67,16 @@
       }
       ASSERT_EQ(state_of(message), State::kDone) << split;
       EXPECT_EQ(body, "abc0123456789");
-      EXPECT_EQ(message.raw.substr(message.parser.size()), next) << "what follows stays";
+      EXPECT_EQ(message.raw.substr(message.parser.size()), next) << "the next message stays in the buffer";
       EXPECT_EQ(message.head().target.in(message.raw), "/a");
     }
   }
 }
 
-// Found by the fuzzer: read in one piece it went on waiting for a line end, in two it was refused.
-TEST(Http, NoiseBehindALineEndIsRefusedAtEverySplit) { expect_refused("\r\n\aHn", 400, "bad request line"); }
+// Found by the fuzzer: the parser waited for a line end if this came in one piece, and refused it in two.
+TEST(Http, GarbageAfterALineEndIsRefusedAtEverySplit) { expect_refused("\r\n\aHn", 400, "bad request line"); }
 
-TEST(Http, ALongBodyIsTakenByPartsOnlyWhereThatIsMeant) {
+TEST(Http, ALongBodyIsAcceptedOnlyIfStreamingIsEnabled) {
   const std::string head = request("Content-Length: 70000\r\n");
   expect_refused(head, 413, "body too large");
   Message message(Kind::kRequest, kMaxRequestBody);
@@ -92,7 +92,7 @@
   EXPECT_EQ(state_of(to_head), State::kDone);
 }
 
-TEST(Http, EveryPrefixIsUnfinishedAndNeverWrong) {
+TEST(Http, EveryPrefixIsIncompleteButNotBad) {
   for (std::size_t length = 0; length < kPost.size(); ++length) {
     Message message(Kind::kRequest);
     message.raw = kPost.substr(0, length);
@@ -101,7 +101,7 @@
   }
 }
 
-TEST(Http, ByteForByteWithTheBufferMoving) {
+TEST(Http, ParsesByteByByteWhileTheBufferMoves) {
   Message message(Kind::kRequest);
   for (const char c : kPost) {
     std::string moved = message.raw + c;
@@ -112,7 +112,7 @@
   EXPECT_EQ(message.body(), "hello");
 }
 
-TEST(Http, ChunkedBodyComesOutWholeAtEverySplit) {
+TEST(Http, AChunkedBodyIsDecodedAtEverySplit) {
   const std::string text =
       request("Transfer-Encoding: chunked\r\n", "3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n");
   for (std::size_t split = 0; split <= text.size(); ++split) {
@@ -131,7 +131,7 @@
   EXPECT_EQ(message.body(), "hello");
 }
 
-TEST(Http, FramingInDoubtIsRefused) {
+TEST(Http, AmbiguousFramingIsRefused) {
   expect_refused(request("Content-Length: 1\r\nContent-Length: 1\r\n"), 400, "repeated Content-Length");
   expect_refused(request("Content-Length: 1\r\nContent-Length: 2\r\n"), 400, "repeated Content-Length");
   expect_refused(request("Content-Length: 1\r\nTransfer-Encoding: chunked\r\n"), 400,
@@ -171,8 +171,8 @@
   EXPECT_EQ(state_of(whole), State::kDone);
 }
 
-// Guards against a buffer filled with framing: the body limit alone does not bound chunks of one byte.
-TEST(Http, FramingWithoutEndIsRefused) {
+// Guards against filling the buffer with framing: the limit of the body does not bound one-byte chunks.
+TEST(Http, EndlessFramingIsRefused) {
   Message message(Kind::kRequest);
   message.raw = request("Transfer-Encoding: chunked\r\n");
   const std::string chunk = "1;" + std::string(200, 'e') + "\r\nx\r\n";
@@ -193,7 +193,7 @@
   EXPECT_EQ(many.parser.refusal(), 431);
 }
 
-TEST(Http, ResponsesByEveryKindOfLength) {
+TEST(Http, ParsesResponsesWithEveryKindOfLength) {
   for (const std::string text : {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
                                  "HTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"}) {
     for (std::size_t split = 0; split <= text.size(); ++split) {
@@ -214,8 +214,8 @@
   EXPECT_EQ(state_of(bodiless), State::kDone);
 }
 
-// Guards against waiting out an attempt's time for noise that cannot become an answer.
-TEST(Http, NoiseIsRefusedWithItsFirstWrongByte) {
+// Guards against waiting for the time-out of an attempt after garbage that cannot become a response.
+TEST(Http, GarbageIsRefusedAtItsFirstWrongByte) {
   for (const std::string text :
        {"\x01\x02\x03", "HTTQ", "HTTP/2.0 200 OK", "<html>", " HTTP/1.1 200 OK\r\n\r\n"}) {
     for (std::size_t split = 0; split <= text.size(); ++split) {
@@ -226,8 +226,8 @@
   expect_refused(std::string("\x16\x03\x01", 3), 400, "bad request line");
 }
 
-// Guards against a 200 cut short passing for a whole one.
-TEST(Http, AnswerCutShortIsNeverDone) {
+// Guards against taking a truncated 200 for a complete one.
+TEST(Http, ATruncatedResponseIsNeverComplete) {
   for (const std::string text : {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no",
                                  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n",
                                  "HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\n"}) {
@@ -238,7 +238,7 @@
   }
 }
 
-TEST(Http, ConnectionPersistsAsTheVersionAndFieldSay) {
+TEST(Http, KeepAliveFollowsTheVersionAndTheConnectionField) {
   const auto keeps = [](const std::string& text) {
     Message message(Kind::kRequest);
     message.raw = text;
@@ -251,7 +251,7 @@
   EXPECT_TRUE(keeps("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n"));
 }
 
-TEST(Http, FieldsOfOneConnectionStayOnIt) {
+TEST(Http, HopByHopFieldsAreNotForwarded) {
   Message message(Kind::kRequest);
   message.raw = request(
       "Connection: x-private\r\nX-Private: 1\r\nX-Request-ID: 7\r\nIdempotency-Key: k\r\nTE: trailers\r\n"
@@ -264,7 +264,7 @@
   EXPECT_EQ(passed, "Host: a\r\nX-Request-ID: 7\r\nIdempotency-Key: k\r\n");
 }
 
-TEST(Http, AWatchWithoutEndIsTakenAsItComes) {
+TEST(Http, AnEndlessBodyIsTakenAsItArrives) {
   Parser parser(Kind::kResponse);
   std::string buffer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const std::size_t head = buffer.size();
--- a/tests/node_case.h
+++ b/tests/node_case.h
@@ -1,4 +1,4 @@
-// A node in a thread of its own before scripted peers, as tests of the node use it.
+// Test fixture: a node in its own thread, with scripted peers.
 #pragma once
 
 #include <array>
@@ -17,12 +17,12 @@
   RequestClass c;
   c.effect = effect;
   c.dedup_window = 800;
-  c.aim = 15000;  // no test ends by its time-outs
+  c.aim = 15000;  // longer than any test
   c.deadline = 20000;
   return c;
 }
 
-// A node in a thread of its own, and the discovery that it watches.
+// A node in its own thread, and the discovery server that it watches.
 class Node {
  public:
   Node() {
@@ -39,7 +39,7 @@
     config.settings.max_wait_advice = 600;
     config.host.classes = {"safe", "unsafe", "keyed"};
     config.host.idle_timeout = 60000;
-    config.host.settle = 0;  // tests ask again at once
+    config.host.settle = 0;  // tests send the next request at once
     config.known.whole = true;
   }
   ~Node() {
@@ -77,13 +77,13 @@
   Config config;
   Server::Timeouts timeouts;
   std::function<Config()> read_again;                        // on SIGHUP
-  std::function<void()> run_loop = [this] { loop->run(); };  // what its thread does
+  std::function<void()> run_loop = [this] { loop->run(); };  // body of its thread
   std::unique_ptr<Loop> loop;
   std::unique_ptr<Server> server;
   std::thread thread;
 };
 
-// What most tests begin with: one backend, a node that knows it, and a client.
+// The usual setup: one backend, a node that knows it, and a client.
 struct Served {
   Peer backend;
   Node node;
@@ -94,14 +94,14 @@
   }();
 };
 
-// The start of a watch's answer, with one line of it.
+// The start of a watch's response, with its first line.
 inline std::string first_line(const std::string& line) {
   std::array<char, 32> size{};
   std::snprintf(size.data(), size.size(), "%zx\r\n", line.size());
   return std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") + size.data() + line + "\r\n";
 }
 
-// New with every request.
+// A new request id with every call.
 inline std::string id_field() {
   static int last = 0;
   return "X-Request-ID: r" + std::to_string(++last) + "\r\n";
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,5 +1,5 @@
-// The node's parts over loopback, against small peers that each test scripts. No test waits for a time to
-// pass; time limits here only end a test that hangs.
+// The whole node over loopback, against small peers that each test scripts. Time limits only end tests that
+// hang.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -18,7 +18,7 @@
 namespace shorelead::node {
 namespace {
 
-TEST(Node, PassesARequestAndItsAnswerOn) {
+TEST(Node, ForwardsARequestAndItsResponse) {
   Served served;
   auto& [backend, node, client] = served;
   client.write(post("/unsafe/x?user=u1", "hello", "X-Timeout-Ms: 9000\r\nX-Custom: c\r\n"));
@@ -37,9 +37,9 @@
   EXPECT_TRUE(answer.ends_with("\r\n\r\nbody"));
 }
 
-// With routes the class is told by host, path, method and fields, and everything else is answered 404; the
-// request goes on as it came. A reload brings other routes for what is read from then on.
-TEST(Node, RoutesTellTheClass) {
+// Routes determine the class by host, path, method and header fields; anything else gets a 404. A reload
+// applies to requests that are read after it.
+TEST(Node, RoutesDetermineTheClass) {
   const auto routes_to = [](const std::string& path, int request_class) {
     auto routes = std::make_shared<Routes>();
     std::vector<routing::Refusal> refusals;
@@ -67,7 +67,7 @@
   client.write(post("/a/7", "x"));
   Line there = backend.accept();
   EXPECT_EQ(there.request().rfind("POST /a/7 HTTP/1.1\r\n", 0), 0U);
-  ::kill(::getpid(), SIGHUP);  // with a request under the old routes under way
+  ::kill(::getpid(), SIGHUP);  // while a request of the old routes is in progress
   while (reads == 0) std::this_thread::yield();
   there.write(kOk);
   EXPECT_EQ(status_of(client.answer()), "HTTP/1.1 200");
@@ -92,7 +92,7 @@
   }
 }
 
-TEST(Node, ChunkedBothWays) {
+TEST(Node, ForwardsChunkedBodiesBothWays) {
   Served served;
   auto& [backend, node, client] = served;
   client.write(
@@ -104,12 +104,12 @@
   EXPECT_TRUE(client.answer().ends_with("\r\n\r\nok"));
 }
 
-// Rule "no effect twice": once written whole, an unsafe request is never sent again, however it ended.
-TEST(Node, AnUnsafeRequestThatMayHaveRunFails) {
+// Rule "no effect twice": an unsafe request that was written completely is not sent again, however it ended.
+TEST(Node, AnUnsafeRequestThatMayHaveRunIsNotRetried) {
   const std::vector<std::function<void(Line&)>> ends = {
       [](Line& there) { there.reset(); },
       [](Line& there) { there.close(); },
-      [](Line& there) {  // a 200 cut short
+      [](Line& there) {  // a truncated 200
         there.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
         there.close();
       },
@@ -132,12 +132,12 @@
   }
 }
 
-TEST(Node, AnUnsafeRequestThatCannotHaveRunGoesElsewhere) {
+TEST(Node, AnUnsafeRequestThatCannotHaveRunIsRetried) {
   Peer dead;
   Peer backend;
   const std::string away = "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
   {
-    Node node;  // turned away
+    Node node;  // rejected by the backend
     node.know("s-1", backend);
     node.know("s-2", backend);
     node.start();
@@ -166,7 +166,7 @@
   }
 }
 
-TEST(Node, RefusesAtOnceWithAdviceWhereNobodyIsLeft) {
+TEST(Node, RefusesAtOnceWithRetryAfterIfNoBackendIsLeft) {
   Served served;
   auto& [backend, node, client] = served;
   client.write(get("/safe"));
@@ -178,15 +178,15 @@
   EXPECT_TRUE(holds(answer, "Retry-After: 0.600\r\n")) << answer;
 }
 
-// Guards against handing out a connection that the backend has closed, or on which something came unasked:
-// the request would end as a reset, which may have run.
-TEST(Node, ClosedOrNoisyConnectionsAreNotUsedAgain) {
-  const std::vector<std::function<void(Line&)>> surprises = {
+// Guards against reusing a connection that the backend has closed, or on which it sent unexpected data: the
+// request would end with a reset, after which it may have run.
+TEST(Node, ClosedConnectionsAndThoseWithUnexpectedDataAreNotReused) {
+  const std::vector<std::function<void(Line&)>> events = {
       [](Line& there) { there.close(); },
       [](Line& there) { there.reset(); },
       [](Line& there) { there.write("HTTP/1.1 408 Timeout\r\nContent-Length: 0\r\n\r\n"); },
   };
-  for (const auto& surprise : surprises) {
+  for (const auto& event : events) {
     Served served;
     auto& [backend, node, client] = served;
     client.write(post("/unsafe/1", "x"));
@@ -194,7 +194,7 @@
     there.request();
     there.write(kOk);
     EXPECT_EQ(status_of(client.answer()), "HTTP/1.1 200");
-    surprise(there);
+    event(there);
     client.write(post("/unsafe/2", "x"));
     Line again = backend.accept();
     EXPECT_TRUE(holds(again.request(), "/unsafe/2"));
@@ -203,8 +203,8 @@
   }
 }
 
-// An answer with bytes to spare leaves it open what comes next on its connection.
-TEST(Node, AnAnswerWithBytesToSpareEndsItsConnection) {
+// After extra bytes behind a response, the next response on the connection could not be told apart.
+TEST(Node, ExtraBytesAfterAResponseCloseItsConnection) {
   Served served;
   auto& [backend, node, client] = served;
   client.write(get("/safe"));
@@ -215,17 +215,17 @@
   EXPECT_EQ(there.rest(), "");
 }
 
-TEST(Node, AClientThatLeavesEndsItsAttempt) {
+TEST(Node, AClientThatDisconnectsCancelsItsAttempt) {
   Served served;
   auto& [backend, node, client] = served;
   client.write(get("/safe"));
   Line there = backend.accept();
   there.request();
   client.close();
-  EXPECT_EQ(there.rest(), "");  // the node closes
+  EXPECT_EQ(there.rest(), "");  // closed by the node
 }
 
-TEST(Node, RefusesWhatItCannotPassOn) {
+TEST(Node, RefusesInvalidRequestsWithTheirStatus) {
   Peer backend;
   Node node;
   node.know("s-1", backend);
@@ -262,7 +262,7 @@
   }
 }
 
-TEST(Node, IsReadyOnceDiscoveryHasSpoken) {
+TEST(Node, IsReadyOnceDiscoveryHasSentAList) {
   Peer backend;
   Node node;
   node.start();
@@ -282,21 +282,21 @@
     answer = probe.answer();
   } while (status_of(answer) == "HTTP/1.1 503");
   EXPECT_EQ(status_of(answer), "HTTP/1.1 200");
-  // The list counts.
+  // The list is used.
   Line client = node.client();
   client.write(get("/safe"));
   Line there = backend.accept();
   there.request();
   there.write(kOk);
   EXPECT_EQ(status_of(client.answer()), "HTTP/1.1 200");
-  // A broken watch goes on from the version reached.
+  // After a broken watch, the next one continues from the last version.
   watch.reset();
   Line anew = node.discovery.accept();
   EXPECT_TRUE(holds(anew.request(), "from=7 "));
 }
 
-// Rule "drains are kept": connections kept to a draining backend go, and what follows goes elsewhere.
-TEST(Node, ADrainingBackendGetsNothingNew) {
+// Rule "drains are kept": idle connections to a draining backend are closed, and requests go to others.
+TEST(Node, ADrainingBackendGetsNoNewRequests) {
   Peer leaving;
   Peer staying;
   Node node;
@@ -325,8 +325,8 @@
   }
 }
 
-// Guards against running out of descriptors: idle clients make room, and those who ask are served.
-TEST(Node, IdleClientsMakeRoomForOthers) {
+// Guards against running out of descriptors: idle clients are evicted so that new ones are served.
+TEST(Node, IdleClientsAreEvictedForNewOnes) {
   Peer backend;
   Node node;
   node.know("s-1", backend);
@@ -346,15 +346,14 @@
   there.write(kOk);
   const std::string answer = last.answer();
   EXPECT_EQ(status_of(answer), "HTTP/1.1 200");
-  // Where room is short the client is asked to leave, rather than closed on while it asks again.
+  // When descriptors are short, the response announces the close, so that no request is lost.
   EXPECT_TRUE(holds(answer, "Connection: close\r\n"));
 }
 
-// Guards against being shut off by clients that connect and say nothing: they give way to those who ask. One
-// that asks while all others are newer than `speak` is refused, rightly, and comes again a little later,
-// until they are old enough: tries in a row without a pause were all over within one such moment (seen on a
-// busy machine).
-TEST(Node, SilentClientsMakeRoomForOthers) {
+// Guards against being blocked by clients that connect and send nothing: they are evicted for others. While
+// all silent clients are newer than `speak` a request is refused, so it is repeated with pauses until they
+// are old enough; repeated without pauses, all attempts fell into that time on a busy machine.
+TEST(Node, SilentClientsAreEvictedForNewOnes) {
   Peer backend;
   Node node;
   node.know("s-1", backend);
@@ -382,7 +381,7 @@
   serving.join();
 }
 
-// Guards against another's request passing for a repeat: the id of an open request does not reach a backend.
+// Guards against taking a different request for a repeat: the id of an open request does not reach a backend.
 TEST(Node, TheIdOfAnOpenRequestIsRefused) {
   Served served;
   auto& [backend, node, client] = served;
@@ -402,13 +401,14 @@
   EXPECT_EQ(status_of(other.answer()), "HTTP/1.1 200");
 }
 
-// More clients at once than there are descriptors: each gets a whole answer, if only a refusal.
-TEST(Node, EveryClientIsAnsweredWhereDescriptorsRunShort) {
+// With more clients than descriptors, each gets a complete response, even if it is a refusal.
+TEST(Node, EveryClientIsAnsweredWhenDescriptorsRunOut) {
   Peer backend;
   Node node;
   constexpr int kClients = 20;
-  for (int i = 0; i < kClients; ++i) node.know("s-" + std::to_string(i), backend);  // so that none is crowded
-  node.config.limits.sockets = 48;  // 16 connections beside the node's own
+  for (int i = 0; i < kClients; ++i)
+    node.know("s-" + std::to_string(i), backend);  // so that none is overloaded
+  node.config.limits.sockets = 48;                 // 16 connections beside the node's own
   node.start();
   std::thread serving([&backend] {
     while (std::optional<Line> there = backend.accept_until_stopped()) {
@@ -432,12 +432,12 @@
   serving.join();
 }
 
-// Guards against a busy reactor: a removed write observer must really be gone (POCO keeps polling for it).
-TEST(Node, SleepsWhileNothingHappens) {
+// Guards against a spinning reactor: POCO keeps polling for a removed write observer.
+TEST(Node, DoesNotWakeUpWhileIdle) {
   Node node;
   node.config.settings.list_on_request = false;
   node.start();
-  Line watch = node.discovery.accept();  // stays silent, with nothing to write to it
+  Line watch = node.discovery.accept();  // nothing is sent in either direction
   watch.request();
   const std::string ask = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
   Line probe = node.client();
@@ -450,9 +450,9 @@
   EXPECT_LT(node.loop->wakeups(), 1000U);  // a spinning reactor makes some hundred thousand
 }
 
-// On SIGHUP: the watch moves to where discovery is now, from the version reached, and the list and the
-// traffic stay. A configuration that cannot be read changes nothing.
-TEST(Node, ANewConfigurationMovesTheWatchAndKeepsTheTraffic) {
+// On SIGHUP the watch moves to the new address of discovery and continues from the last version; the list and
+// requests in progress stay. An invalid configuration changes nothing.
+TEST(Node, AReloadMovesTheWatchAndKeepsRequestsInProgress) {
   Peer backend;
   Peer elsewhere;
   Node node;
@@ -475,7 +475,7 @@
   ::kill(::getpid(), SIGHUP);
   const std::string line = R"({"seq":9,"whole":false,"hosts":[]})"
                            "\n";
-  watch.write(first_line(line));  // the old watch stands after the bad file, and its news count
+  watch.write(first_line(line));  // the old watch still works after the invalid file
   Line probe = node.client();
   do {
     probe.write("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -493,8 +493,9 @@
   EXPECT_EQ(reads, 2);
 }
 
-// On SIGTERM: not ready, yet still serving who comes, every answer the last on its connection; then it ends.
-TEST(Node, ServesOnWhileItShutsDown) {
+// On SIGTERM the node is not ready but still serves new clients; each response closes its connection; then it
+// ends.
+TEST(Node, ServesClientsDuringTheShutdown) {
   Peer backend;
   Node node;
   node.know("s-1", backend);
@@ -527,7 +528,7 @@
   busy.close();
   late.close();
   probe.close();
-  node.thread.join();  // leaves by itself
+  node.thread.join();  // the process ends by itself
 }
 
 }  // namespace
--- a/tests/peer.h
+++ b/tests/peer.h
@@ -1,4 +1,4 @@
-// Small peers for tests over loopback, which the test plays step by step.
+// Scripted peers for tests over loopback.
 #pragma once
 
 #include <arpa/inet.h>
@@ -18,9 +18,9 @@
 
 namespace shorelead::node {
 
-constexpr int kHangSeconds = 20;  // ends a test that hangs; none waits for it
+constexpr int kHangSeconds = 20;  // time limit of tests that hang
 
-// One side of a connection, read and written step by step.
+// One side of a connection.
 class Line {
  public:
   explicit Line(int fd) : fd_(fd) {
@@ -49,7 +49,7 @@
     EXPECT_EQ(::send(fd_, text.data(), text.size(), MSG_NOSIGNAL), static_cast<ssize_t>(text.size()));
   }
 
-  // One message, head and body; empty if the connection ended before it was whole.
+  // Reads one message, head and body; empty if the connection ended before it was complete.
   std::string read(Parser::Kind kind) {
     Parser parser(kind);
     while (parser.advance(text_) != Parser::State::kDone) {
@@ -62,25 +62,25 @@
   std::string request() { return read(Parser::Kind::kRequest); }
   std::string answer() { return read(Parser::Kind::kResponse); }
 
-  // Whatever has come in, at least a byte; empty at the end of the connection.
+  // Reads what has arrived, at least one byte; empty at the end of the connection.
   std::string some() {
     if (text_.empty()) more();
     return std::exchange(text_, "");
   }
 
-  // Everything up to the end of the connection, however it ends.
+  // Reads everything up to the end of the connection, however it ends.
   std::string rest() {
     while (more()) continue;
     return std::exchange(text_, "");
   }
 
-  // Whether anything, an end too, can be read.
+  // Whether data or an end can be read.
   bool readable() const {
     pollfd look{fd_, POLLIN, 0};
     return !text_.empty() || ::poll(&look, 1, 0) > 0;
   }
 
-  // What befell the connection besides an orderly end; 0 = nothing.
+  // The error of the socket; 0 if there is none.
   int error() const {
     int found = 0;
     socklen_t size = sizeof found;
@@ -88,7 +88,7 @@
     return found;
   }
 
-  // Until the other side's machine has all that was sent, the end too.
+  // Waits until the peer's machine has acknowledged all output, including the end.
   void await_taken() const {
     int left = 1;
     while (left > 0 && error() == 0 && ::ioctl(fd_, SIOCOUTQ, &left) == 0) continue;
@@ -100,7 +100,7 @@
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
 
-  // Ends the connection as a process that dies does.
+  // Closes with a reset, as when a process is killed.
   void reset() {
     const linger hard{1, 0};
     ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
@@ -121,8 +121,8 @@
   std::string text_;
 };
 
-// The test's next step, on the loop of the part that it tests: not before there is something to read for it.
-// A step that waited for that would hold up who is to write it.
+// Runs a step of the test on the loop once there is something to read for it. A step that blocked for that
+// would also block the writer, which runs on the same loop.
 inline void once_readable(Loop& loop, const Line& line, const Loop::Task& step) {
   loop.after(1, [&loop, &line, step] { line.readable() ? step() : once_readable(loop, line, step); });
 }
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -1,5 +1,5 @@
-// TLS as a filter: two sides against each other in memory, cut into any parts; and the registry's exchange
-// through it over loopback. Keys are made by the test.
+// TLS sessions: client and server connected in memory with bytes split into parts of any size, and an
+// exchange with a registry over loopback. The test generates its keys.
 #include "net/tls.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 
 namespace fs = std::filesystem;
 
-// A certificate of `name` (as DNS name, or as address), signed by `issuer` or by itself.
+// A certificate for `name` (DNS name or address), signed by `issuer` or self-signed.
 struct Identity {
   EVP_PKEY* key = EVP_EC_gen("P-256");
   X509* certificate = X509_new();
@@ -86,11 +86,11 @@
   return made;
 }
 
-// Both sides until neither has anything to say, in parts of `part` bytes.
-struct Both {
-  Both(const TlsContext& client_context, const TlsContext& server_context,
-       const std::string& dialled = "127.0.0.1")
-      : client(client_context, dialled), server(server_context, "") {}
+// A client and a server session. run() exchanges bytes in parts of `part` until both are idle.
+struct SessionPair {
+  SessionPair(const TlsContext& client_context, const TlsContext& server_context,
+              const std::string& address = "127.0.0.1")
+      : client(client_context, address), server(server_context, "") {}
 
   void run(std::size_t part) {
     const auto carry = [part](TlsSession& from, TlsSession& to, std::string& plain) {
@@ -111,31 +111,31 @@
   std::string at_server;
 };
 
-TEST(Tls, CarriesBothWaysInAnyParts) {
+TEST(Tls, CarriesDataBothWaysHoweverBytesAreSplit) {
   const Keys keys;
   const auto c = context(keys.files("ca", "client"), TlsContext::Side::kClient);
   const auto s = context(keys.files("ca", "server"), TlsContext::Side::kServer);
   for (const std::size_t part : {1, 2, 7, 1000, 100000}) {
-    Both both(*c, *s);
+    SessionPair pair(*c, *s);
     const std::string large(70000, 'x');
-    both.client.write("before the handshake, " + large);
-    both.run(part);
-    ASSERT_TRUE(both.client.ready()) << both.client.cause();
-    ASSERT_TRUE(both.server.ready()) << both.server.cause();
-    both.server.write("answer");
-    both.run(part);
-    EXPECT_EQ(both.at_server, "before the handshake, " + large);
-    EXPECT_EQ(both.at_client, "answer");
+    pair.client.write("before the handshake, " + large);
+    pair.run(part);
+    ASSERT_TRUE(pair.client.ready()) << pair.client.cause();
+    ASSERT_TRUE(pair.server.ready()) << pair.server.cause();
+    pair.server.write("answer");
+    pair.run(part);
+    EXPECT_EQ(pair.at_server, "before the handshake, " + large);
+    EXPECT_EQ(pair.at_client, "answer");
   }
 }
 
-// Nothing passes where the other side is not who it should be, and the cause says why.
-TEST(Tls, AWrongCertificateIsRefused) {
+// No plaintext passes if the peer is not verified, and the cause names the reason.
+TEST(Tls, AWrongCertificateIsRefusedWithACause) {
   const Keys keys;
   const struct {
     TlsFiles client;
     TlsFiles server;
-    const char* dialled;
+    const char* address;
     bool refused_by_client;
     const char* words;
   } cases[] = {
@@ -148,17 +148,17 @@
   for (const auto& one : cases) {
     const auto c = context(one.client, TlsContext::Side::kClient);
     const auto s = context(one.server, TlsContext::Side::kServer);
-    Both both(*c, *s, one.dialled);
-    both.client.write("secret");
-    both.run(100000);
-    const TlsSession& refuses = one.refused_by_client ? both.client : both.server;
+    SessionPair pair(*c, *s, one.address);
+    pair.client.write("secret");
+    pair.run(100000);
+    const TlsSession& refuses = one.refused_by_client ? pair.client : pair.server;
     EXPECT_FALSE(refuses.ready());
     EXPECT_NE(refuses.cause().find(one.words), std::string::npos) << refuses.cause();
-    EXPECT_EQ(both.at_server, "");
+    EXPECT_EQ(pair.at_server, "");
   }
 }
 
-TEST(Tls, FilesThatAreOfNoUseAreNamed) {
+TEST(Tls, UnusableFilesAreReported) {
   const Keys keys;
   const std::pair<TlsFiles, const char*> cases[] = {
       {{"", "", "", ""}, "a CA file is needed"},
@@ -172,8 +172,8 @@
   }
 }
 
-// Keys are read again when a file has changed; a bad one changes nothing.
-TEST(Tls, KeysAreReadAgain) {
+// Keys are reloaded when a file has changed; a bad file changes nothing.
+TEST(Tls, ChangedKeysAreReloadedAndBadOnesIgnored) {
   const Keys keys;
   const auto c = context(keys.files("ca", ""), TlsContext::Side::kClient);
   const auto s = context(keys.files("", "server"), TlsContext::Side::kServer);
@@ -181,25 +181,25 @@
   EXPECT_FALSE(c->refresh(cause));
   Identity("127.0.0.1", &keys.other_ca, 5).write(keys.at("server"));
   EXPECT_TRUE(s->refresh(cause)) << cause;
-  Both refused(*c, *s);
+  SessionPair refused(*c, *s);
   refused.run(100000);
   EXPECT_FALSE(refused.client.ready());
   fs::copy_file(keys.at("other_ca.pem"), keys.at("fresh"));
   fs::rename(keys.at("fresh"), keys.at("ca.pem"));
   EXPECT_TRUE(c->refresh(cause)) << cause;
-  Both taken(*c, *s);
+  SessionPair taken(*c, *s);
   taken.run(100000);
   EXPECT_TRUE(taken.client.ready()) << taken.client.cause();
   fs::resize_file(keys.at("ca.pem"), 10);
   EXPECT_FALSE(c->refresh(cause));
   EXPECT_NE(cause.find("ca.pem"), std::string::npos);
-  Both still(*c, *s);
+  SessionPair still(*c, *s);
   still.run(100000);
   EXPECT_TRUE(still.client.ready());
 }
 
-// A registry behind TLS: a question and its answer through the exchange, and none to one that is not it.
-TEST(Tls, AnExchangeThroughIt) {
+// A request to a registry over TLS succeeds, and is not sent to one whose certificate is not trusted.
+TEST(Tls, ARegistryExchangeRequiresTheRightAuthority) {
   const Keys keys;
   for (const char* const ca : {"ca", "other_ca"}) {
     node::Peer peer;
