--- a/tests/faults/accept_test.cpp
+++ b/tests/faults/accept_test.cpp
@@ -35,7 +35,7 @@
     loop.after(1, [this] { acceptor.listening() < 0 ? loop.stop() : look(); });
   }
 
-  const faults::StrikeThisThread strike;
+  const faults::InjectInThisThread strike;
   Loop loop;
   std::vector<int> taken;
   Acceptor acceptor{loop,
@@ -78,7 +78,7 @@
 
 // A caller at the admin server waits while there is no descriptor: the loop does not spin meanwhile.
 TEST(Accept, ACallerWhoCannotBeTakenInDoesNotKeepTheLoopBusy) {
-  const faults::StrikeThisThread strike;
+  const faults::InjectInThisThread strike;
   Loop loop;
   AdminServer door(loop, Poco::Net::SocketAddress("127.0.0.1", 0),
                    [](const manage::Call&) { return std::string(); });
@@ -87,13 +87,13 @@
   loop.after(200, [&loop] { loop.stop(); });
   loop.run();
   EXPECT_LT(loop.wakeups(), 100U);
-  EXPECT_GT(faults::struck(Call::kAccept), 0U);
+  EXPECT_GT(faults::injected_count(Call::kAccept), 0U);
   faults::clear();
 }
 
 // Nor does the process that is to replace this one.
 TEST(Accept, ASuccessorWhoCannotBeTakenInDoesNotKeepTheLoopBusy) {
-  const faults::StrikeThisThread strike;
+  const faults::InjectInThisThread strike;
   Loop loop;
   const std::string path = testing::TempDir() + "shorelead-accept-" + std::to_string(::getpid());
   handover::HandoverServer predecessor(loop, path, {});
@@ -106,7 +106,7 @@
   loop.after(200, [&loop] { loop.stop(); });
   loop.run();
   EXPECT_LT(loop.wakeups(), 100U);
-  EXPECT_GT(faults::struck(Call::kAccept), 0U);
+  EXPECT_GT(faults::injected_count(Call::kAccept), 0U);
   faults::clear();
   ::unlink(path.c_str());
 }
--- a/tests/faults/bans_test.cpp
+++ b/tests/faults/bans_test.cpp
@@ -38,7 +38,7 @@
     return next.bans().out(id);
   }
 
-  const faults::StrikeThisThread strike;
+  const faults::InjectInThisThread strike;
   std::string folder = [] {
     std::string name = testing::TempDir() + "shorelead-XXXXXX";
     return std::string(::mkdtemp(name.data()));
--- a/tests/faults/calls_test.cpp
+++ b/tests/faults/calls_test.cpp
@@ -5,7 +5,7 @@
 #include <cerrno>
 
 #include "crossings/backends.h"
-#include "faults/struck_node.h"
+#include "faults/node_with_faults.h"
 
 namespace shorelead::node {
 namespace {
@@ -15,7 +15,7 @@
 
 struct Struck {
   Backends backends{"hang"};
-  StruckNode node;
+  NodeWithFaults node;
   Line client = [this] {
     backends.join(node, 1);
     node.start();
@@ -68,7 +68,7 @@
 
 TEST(Calls, ATimerThatCouldNotBeSetIsSetAgain) {
   net::Loop loop;
-  const faults::StrikeThisThread strike;
+  const faults::InjectInThisThread strike;
   int fired = 0;
   for (const int error : {ENOMEM, EINTR, ECANCELED}) {
     fail_next(Call::kTimerSet, error, 3);
--- a/tests/faults/clock_reading_test.cpp
+++ b/tests/faults/clock_reading_test.cpp
@@ -9,7 +9,7 @@
 
 #include "crossings/backends.h"
 #include "faults/clock_readings.h"
-#include "faults/struck_node.h"
+#include "faults/node_with_faults.h"
 
 namespace shorelead::node {
 namespace {
@@ -45,7 +45,7 @@
 
   Peer backend;
   std::optional<Line> there;
-  StruckNode node;
+  NodeWithFaults node;
   Standstill still{node};
 };
 
--- a/tests/faults/clock_readings.cpp
+++ b/tests/faults/clock_readings.cpp
@@ -43,7 +43,7 @@
 }
 
 void clock_was_read() {
-  if (!armed.load(std::memory_order_relaxed) || !this_thread_is_struck()) return;
+  if (!armed.load(std::memory_order_relaxed) || !thread_has_faults()) return;
   if (const auto then = due()) then();
 }
 
--- a/tests/faults/connect_test.cpp
+++ b/tests/faults/connect_test.cpp
@@ -20,7 +20,7 @@
   for (const int error : {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ENOBUFS, EAGAIN, EINTR, ENOMEM}) {
     Peer peer;
     Backends b;
-    const faults::StrikeThisThread strike;
+    const faults::InjectInThisThread strike;
     fail_next(Call::kConnect, error, 3);
     b.send(peer, kLong);
     std::thread there([&peer] {
@@ -40,7 +40,7 @@
   for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     Peer peer;
     Backends b;
-    const faults::StrikeThisThread strike;
+    const faults::InjectInThisThread strike;
     fail_next(Call::kSocket, error, 3);
     b.send(peer, kLong);
     std::thread there([&peer] {
@@ -58,7 +58,7 @@
 TEST(Connect, OneThatCanNeverBeBegunEndsAsNotSent) {
   Peer peer;
   Backends b;
-  const faults::StrikeThisThread strike;
+  const faults::InjectInThisThread strike;
   fail_next(Call::kConnect, ENETUNREACH, 1'000'000);
   b.send(peer, kSoon);
   EXPECT_EQ(b.run(), Ending::kLocalFailure);
--- a/tests/faults/each_reading_test.cpp
+++ b/tests/faults/each_reading_test.cpp
@@ -7,7 +7,7 @@
 
 #include "crossings/backends.h"
 #include "faults/clock_readings.h"
-#include "faults/struck_node.h"
+#include "faults/node_with_faults.h"
 
 namespace shorelead::node {
 namespace {
@@ -44,7 +44,7 @@
   }
 
   Backends backends{"hang"};
-  StruckNode node;
+  NodeWithFaults node;
   Standstill still{node};
 };
 
--- a/tests/faults/fault_plan.cpp
+++ b/tests/faults/fault_plan.cpp
@@ -49,7 +49,7 @@
   return kErrors[static_cast<std::size_t>(call)];
 }
 
-struct Named {
+struct NamedFault {
   Call call;
   int error;
   int times;
@@ -63,7 +63,7 @@
 
 struct Plan {
   std::mutex mutex;
-  std::vector<Named> named;
+  std::vector<NamedFault> named_faults;
   bool drawn = false;
   std::uint64_t random = 0;
   std::array<std::uint64_t, kCalls> one_in{};
@@ -83,7 +83,7 @@
 std::atomic<std::uint64_t>* counts = own_counts.data();
 std::atomic<bool> any{false};
 std::atomic<std::int64_t> stepped_ns{0};
-thread_local int struck_depth = 0;
+thread_local int thread_depth = 0;
 
 // SplitMix64.
 std::uint64_t draw(Plan& p) {
@@ -102,13 +102,13 @@
 Fault fault_of(int error) { return error == kPartial ? Fault{0, true} : Fault{error, false}; }
 
 std::optional<Fault> named_next(Plan& p, Call call) {
-  if (struck_depth == 0) return std::nullopt;
-  for (auto it = p.named.begin(); it != p.named.end(); ++it) {
+  if (thread_depth == 0) return std::nullopt;
+  for (auto it = p.named_faults.begin(); it != p.named_faults.end(); ++it) {
     if (it->call != call) continue;
     if (it->spare-- > 0) return std::nullopt;
     it->spare = 0;
     const Fault fault = fault_of(it->error);
-    if (--it->times == 0) p.named.erase(it);
+    if (--it->times == 0) p.named_faults.erase(it);
     return fault;
   }
   return std::nullopt;
@@ -163,24 +163,24 @@
 void fail_next(Call call, int error, int times, int spare) {
   Plan& p = plan();
   const std::lock_guard lock(p.mutex);
-  p.named.push_back({call, error, times, spare});
+  p.named_faults.push_back({call, error, times, spare});
   any = true;
 }
 
-StrikeThisThread::StrikeThisThread() { ++struck_depth; }
-StrikeThisThread::~StrikeThisThread() { --struck_depth; }
-bool this_thread_is_struck() { return struck_depth > 0; }
+InjectInThisThread::InjectInThisThread() { ++thread_depth; }
+InjectInThisThread::~InjectInThisThread() { --thread_depth; }
+bool thread_has_faults() { return thread_depth > 0; }
 
 void clear() {
   Plan& p = plan();
   const std::lock_guard lock(p.mutex);
-  p.named.clear();
+  p.named_faults.clear();
   p.steps.clear();
   any = p.drawn;
   stepped_ns = 0;
 }
 
-std::optional<std::string> draw_from(const std::string& text) {
+std::optional<std::string> draw_faults(const std::string& text) {
   Plan& p = plan();
   const std::lock_guard lock(p.mutex);
   p.started_ns = monotonic_ns();
@@ -198,7 +198,7 @@
   return std::nullopt;
 }
 
-bool count_in(const std::string& path) {
+bool count_into(const std::string& path) {
   const int fd = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (fd < 0) return false;
   constexpr std::size_t kSize = kCalls * sizeof(std::uint64_t);
@@ -220,7 +220,7 @@
   return fault;
 }
 
-std::uint64_t struck(Call call) { return counts[static_cast<std::size_t>(call)].load(); }
+std::uint64_t injected_count(Call call) { return counts[static_cast<std::size_t>(call)].load(); }
 const char* name_of(Call call) { return kNames[static_cast<std::size_t>(call)]; }
 
 std::int64_t wall_clock_step(std::int64_t monotonic_now) {
--- a/tests/faults/interposed_calls.cpp
+++ b/tests/faults/interposed_calls.cpp
@@ -54,7 +54,7 @@
 }
 
 // Held up between a look at the clock and the write, for up to 0.15 s.
-void hold_up() {
+void stall() {
   if (!next(Call::kStall)) return;
   const timespec span{0, 100'000'000 + std::rand() % 50'000'000};
   ::nanosleep(&span, nullptr);
@@ -77,8 +77,8 @@
   std::string settings = text;
   // Processes of one run must not fail in step; the same life of the same node fails in the same way.
   const char* const name = std::getenv("SHORELEAD_FAULT_COUNTS");
-  if (name != nullptr && !shorelead::faults::count_in(name)) die(std::string(name) + " cannot be written");
-  if (const auto trouble = shorelead::faults::draw_from(settings)) die(*trouble);
+  if (name != nullptr && !shorelead::faults::count_into(name)) die(std::string(name) + " cannot be written");
+  if (const auto trouble = shorelead::faults::draw_faults(settings)) die(*trouble);
 }
 
 }  // namespace
@@ -114,13 +114,13 @@
 
 ssize_t send(int fd, const void* from, size_t size, int flags) {
   static const auto call = REAL(send);
-  hold_up();
+  stall();
   return fails(Call::kSend, size) ? -1 : call(fd, from, size, flags);
 }
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
   static const auto call = REAL(sendmsg);
-  hold_up();
+  stall();
   std::size_t size = 2;  // here only told apart from 1: of several pieces the first alone goes
   if (fails(Call::kSendMessage, size)) return -1;
   if (size == 2 || message->msg_iovlen == 0) return call(fd, message, flags);
--- a/tests/faults/struck_node.h
+++ b/tests/faults/node_with_faults.h
@@ -6,14 +6,14 @@
 
 namespace shorelead::node {
 
-struct StruckNode : Node {
-  StruckNode() {
+struct NodeWithFaults : Node {
+  NodeWithFaults() {
     run_loop = [this] {
-      const faults::StrikeThisThread strike;
+      const faults::InjectInThisThread strike;
       loop->run();
     };
   }
-  ~StruckNode() {
+  ~NodeWithFaults() {
     stop();
     faults::clear();
   }
--- a/tests/faults/reload_test.cpp
+++ b/tests/faults/reload_test.cpp
@@ -7,7 +7,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "faults/struck_node.h"
+#include "faults/node_with_faults.h"
 
 namespace shorelead::node {
 namespace {
@@ -22,7 +22,7 @@
     const std::string path = folder + "/config.json";
     std::ofstream(path) << "{}";
     Peer elsewhere;
-    StruckNode node;
+    NodeWithFaults node;
     Config next = node.config;
     next.discovery = Poco::Net::SocketAddress("127.0.0.1", elsewhere.port());
     node.read_again = [&] {
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -493,8 +493,7 @@
   EXPECT_EQ(reads, 2);
 }
 
-// On SIGTERM the node is not ready but still serves new clients; each response closes its connection; then it
-// ends.
+// On SIGTERM the node is not ready, but serves new clients, closes each connection, and then ends.
 TEST(Node, ServesClientsDuringTheShutdown) {
   Peer backend;
   Node node;
