--- a/tests/faults/accept_test.cpp
+++ b/tests/faults/accept_test.cpp
@@ -1,5 +1,5 @@
-// Clients that are taken in while accept fails, at the end of a process too: who waits in the queue then has
-// connected, and may have sent a request.
+// Accepting clients while accept() fails, also at the end of a process: clients in the queue are connected,
+// and may have sent a request.
 #include <gtest/gtest.h>
 #include <sys/un.h>
 
@@ -18,21 +18,21 @@
 using faults::Call;
 using faults::fail_next;
 
-struct Entrance {
-  Entrance() { acceptor.open(); }
-  ~Entrance() {
+struct AcceptorCase {
+  AcceptorCase() { acceptor.open(); }
+  ~AcceptorCase() {
     for (const int fd : taken) ::close(fd);
     faults::clear();
   }
-  // Or for as long as a test that hangs may.
+  // Ends a test that hangs after kHangSeconds.
   void run_until_closed() {
     if (acceptor.listening() < 0) return;
     loop.after(1000.0 * kHangSeconds, [this] { loop.stop(); });
-    look();
+    stop_when_closed();
     loop.run();
   }
-  void look() {
-    loop.after(1, [this] { acceptor.listening() < 0 ? loop.stop() : look(); });
+  void stop_when_closed() {
+    loop.after(1, [this] { acceptor.listening() < 0 ? loop.stop() : stop_when_closed(); });
   }
 
   const faults::InjectInThisThread strike;
@@ -43,23 +43,23 @@
                     {[this](int fd) { taken.push_back(fd); }, [] { return true; }, [] { return false; }}};
 };
 
-TEST(Accept, WhoWaitsAtTheEndIsTakenInWhateverAcceptSays) {
+TEST(Accept, QueuedClientsAreAcceptedAtTheEndDespiteErrors) {
   for (const int error : {EINTR, ECONNABORTED, EPROTO, ENETUNREACH, EHOSTUNREACH, ENETDOWN, EPERM, ETIMEDOUT,
                           EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     for (const int times : {1, 3}) {
-      Entrance door;
-      const Line one = Line::connect(door.acceptor.port());
-      const Line two = Line::connect(door.acceptor.port());
+      AcceptorCase acceptor_case;
+      const Line one = Line::connect(acceptor_case.acceptor.port());
+      const Line two = Line::connect(acceptor_case.acceptor.port());
       fail_next(Call::kAccept, error, times, 1);
-      door.acceptor.close();
-      door.run_until_closed();
-      EXPECT_EQ(door.taken.size(), 2U) << error << " " << times << " times";
-      EXPECT_LT(door.acceptor.listening(), 0) << "closed once all are in";
+      acceptor_case.acceptor.close();
+      acceptor_case.run_until_closed();
+      EXPECT_EQ(acceptor_case.taken.size(), 2U) << error << " " << times << " times";
+      EXPECT_LT(acceptor_case.acceptor.listening(), 0) << "closed once all are accepted";
     }
   }
 }
 
-TEST(Accept, AnEndBeforeTheStartIsDoneLeavesNobodyInTheBacklog) {
+TEST(Accept, ClosingBeforeOpeningLeavesNoClientInTheBacklog) {
   Loop loop;
   Acceptor acceptor(loop, Poco::Net::SocketAddress("127.0.0.1", 0),
                     {[](int fd) { ::close(fd); }, [] { return true; }, [] { return false; }});
@@ -76,13 +76,13 @@
   EXPECT_LT(acceptor.listening(), 0);
 }
 
-// A caller at the admin server waits while there is no descriptor: the loop does not spin meanwhile.
-TEST(Accept, ACallerWhoCannotBeTakenInDoesNotKeepTheLoopBusy) {
+// While there is no descriptor for a caller of the admin server, the loop does not spin.
+TEST(Accept, AnUnacceptableCallerDoesNotSpinTheLoop) {
   const faults::InjectInThisThread strike;
   Loop loop;
-  AdminServer door(loop, Poco::Net::SocketAddress("127.0.0.1", 0),
-                   [](const manage::Call&) { return std::string(); });
-  const Line caller = Line::connect(door.port());
+  AdminServer admin_server(loop, Poco::Net::SocketAddress("127.0.0.1", 0),
+                           [](const manage::Call&) { return std::string(); });
+  const Line caller = Line::connect(admin_server.port());
   fail_next(Call::kAccept, EMFILE, 1'000'000);
   loop.after(200, [&loop] { loop.stop(); });
   loop.run();
@@ -91,8 +91,8 @@
   faults::clear();
 }
 
-// Nor does the process that is to replace this one.
-TEST(Accept, ASuccessorWhoCannotBeTakenInDoesNotKeepTheLoopBusy) {
+// The same for a successor process.
+TEST(Accept, AnUnacceptableSuccessorDoesNotSpinTheLoop) {
   const faults::InjectInThisThread strike;
   Loop loop;
   const std::string path = testing::TempDir() + "shorelead-accept-" + std::to_string(::getpid());
--- a/tests/faults/calls_test.cpp
+++ b/tests/faults/calls_test.cpp
@@ -1,5 +1,4 @@
-// System calls on clients' connections that fail for a moment, in ways that Linux documents: nothing of a
-// request is lost by it.
+// Transient failures, as Linux documents them, of system calls on clients' connections: no request is lost.
 #include <gtest/gtest.h>
 
 #include <cerrno>
@@ -13,7 +12,7 @@
 using faults::Call;
 using faults::fail_next;
 
-struct Struck {
+struct ServedWithFaults {
   Backends backends{"hang"};
   NodeWithFaults node;
   Line client = [this] {
@@ -28,8 +27,8 @@
   }
 };
 
-TEST(Calls, AnInterruptedLookAtAConnectionIsNoEnd) {
-  Struck s;
+TEST(Calls, AFailedPeekIsNoEndOfTheConnection) {
+  ServedWithFaults s;
   EXPECT_EQ(s.ask(), "HTTP/1.1 200");
   for (int n = 0; n < 20; ++n) {
     fail_next(Call::kPeek, n % 2 == 0 ? EINTR : ENOMEM, 1, n % 3);
@@ -39,9 +38,9 @@
   EXPECT_EQ(s.node.server->counters().left_early, 0U);
 }
 
-// Reads, and writes to either side, that could not be carried out now: all goes on where it was.
-TEST(Calls, AReadOrWriteThatCouldNotBeCarriedOutIsNoBreak) {
-  Struck s;
+// After a transient failure of a read or write on either side, the transfer continues.
+TEST(Calls, ATransientReadOrWriteErrorIsNoBreak) {
+  ServedWithFaults s;
   EXPECT_EQ(s.ask(), "HTTP/1.1 200");
   for (const Call call : {Call::kReceive, Call::kSend, Call::kSendMessage}) {
     for (const int error : {EINTR, EAGAIN, ENOBUFS, ENOMEM}) {
@@ -53,9 +52,9 @@
   }
 }
 
-// The system has no memory to watch one more socket, or to set a timer: for a moment.
-TEST(Calls, ASocketThatCannotBeWatchedNowIsWatchedSoon) {
-  Struck s;
+// The system has no memory for a moment to watch another socket.
+TEST(Calls, AFailedSocketRegistrationIsRetried) {
+  ServedWithFaults s;
   EXPECT_EQ(s.ask(), "HTTP/1.1 200");
   for (int spare = 0; spare < 4; ++spare) {
     fail_next(Call::kEpollControl, ENOMEM, 3, spare);
@@ -66,7 +65,7 @@
   }
 }
 
-TEST(Calls, ATimerThatCouldNotBeSetIsSetAgain) {
+TEST(Calls, AFailedTimerIsRetried) {
   net::Loop loop;
   const faults::InjectInThisThread strike;
   int fired = 0;
--- a/tests/faults/clock_history_test.cpp
+++ b/tests/faults/clock_history_test.cpp
@@ -1,5 +1,5 @@
-// When something happened that the wall clock labelled, after steps of that clock: drawn histories against
-// what really was.
+// Conversion of wall-clock timestamps after steps of the clock: random histories are compared with the true
+// times.
 #include "net/clock_history.h"
 
 #include <gtest/gtest.h>
@@ -11,27 +11,27 @@
 namespace {
 
 constexpr Millis kStart = 1'700'000'000'000;
-constexpr Millis kObserveEvery = 50;
-constexpr Millis kSlack = 250;  // between two observations a step may have come at any time
+constexpr Millis kObserveInterval = 50;
+constexpr Millis kSlack = 250;  // a step may fall anywhere between two observations
 
-// Without a step all is as it was: no label moves, however little the two clocks' readings lie apart.
-TEST(ClockHistory, WithoutAStepLabelsAreTimes) {
+// Without a step no timestamp changes, although the two clocks are not read at the same moment.
+TEST(ClockHistory, WithoutAStepTimestampsAreUnchanged) {
   ClockHistory clock;
-  for (Millis at = kStart; at < kStart + 60000; at += kObserveEvery) clock.observe(at, at + 0.4);
+  for (Millis at = kStart; at < kStart + 60000; at += kObserveInterval) clock.observe(at, at + 0.4);
   EXPECT_EQ(clock.to_steady(kStart + 1234, kStart + 60000), kStart + 1234);
   EXPECT_EQ(clock.to_wall(kStart + 1234), kStart + 1234);
   EXPECT_EQ(clock.to_steady(kStart - 86'400'000, kStart), kStart - 86'400'000);
 }
 
-// A process that begins after a step back sees births that lie ahead of its clock: they count from now on.
-TEST(ClockHistory, ALabelAheadOfTheClockCountsFromNow) {
+// A process started after a step back sees start times that lie ahead of its clock; they count as now.
+TEST(ClockHistory, AFutureTimestampCountsAsNow) {
   ClockHistory clock;
   clock.observe(kStart, kStart);
   EXPECT_EQ(clock.to_steady(kStart + 3'600'000, kStart + 5), kStart + 5);
 }
 
-// Nothing counts as older than it is, and nothing as younger than the last step back could make it.
-RC_GTEST_PROP(ClockHistory, NothingIsTakenForOlderThanItIs, ()) {
+// No event counts as older than it is, nor as younger than the steps back allow.
+RC_GTEST_PROP(ClockHistory, NoEventIsTakenForOlderThanItIs, ()) {
   ClockHistory clock;
   Millis offset = 0;
   Millis now = kStart;
@@ -44,7 +44,7 @@
   Millis back = 0;
   for (int n = 0; n <= steps; ++n) {
     for (int turns = *rc::gen::inRange(1, 200); turns > 0; --turns) {
-      now += kObserveEvery;
+      now += kObserveInterval;
       clock.observe(now, now + offset);
       if (*rc::gen::inRange(0, 20) == 0) events.push_back({now, now + offset});
     }
--- a/tests/faults/clock_reading_test.cpp
+++ b/tests/faults/clock_reading_test.cpp
@@ -1,6 +1,6 @@
-// A process is held up right behind a reading of the clock, and its client leaves meanwhile, or the backend
-// ends or speaks on the connection that it is to use: the reading, and whatever was seen before it, says
-// nothing of the moment in which the attempt is written.
+// A process is suspended right after reading the clock; meanwhile the client closes, or the backend closes or
+// sends data on the connection chosen for the attempt. What was checked before the reading is outdated when
+// the attempt is written.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -14,7 +14,7 @@
 namespace shorelead::node {
 namespace {
 
-constexpr int kMostReadings = 60;  // far more than the handling of a request takes
+constexpr int kMaxReadings = 60;  // far more than the handling of a request takes
 
 std::string first_request() { return get("/safe", "X-Timeout-Ms: 15000\r\n"); }
 
@@ -24,7 +24,7 @@
     node.start();
   }
 
-  // A connection to the backend stands ready, so that an attempt can be written at once.
+  // Opens an idle connection to the backend, so that an attempt can be written at once.
   void warm() {
     Line client = node.client();
     client.write(first_request());
@@ -34,7 +34,7 @@
     EXPECT_EQ(status_of(client.answer()), "HTTP/1.1 200");
   }
 
-  // The node's loop has turned, so that all it had begun is written.
+  // Waits for some turns of the node's loop, so that everything it began is written.
   void await_turns() {
     Line behind = node.client();
     for (int n = 0; n < 3; ++n) {
@@ -51,7 +51,7 @@
 
 using Event = std::function<void(Scene&, Line& client)>;
 
-// Takes a request that comes on another connection than the one that stood ready.
+// Serves a request that arrives on another connection than the idle one.
 void serve_elsewhere(Scene& scene, Line& client) {
   std::optional<Line> other;
   pollfd come{scene.backend.fd(), POLLIN, 0};
@@ -64,11 +64,11 @@
   EXPECT_FALSE(client.answer().empty());
 }
 
-// Brings `event` behind each reading in turn, until it comes behind the write: where it came before, nothing
-// is written on the connection that stood ready. `stays`: the client waits for its answer.
-void nothing_is_written_behind(const Event& event, bool stays) {
+// Injects `event` after each reading in turn, until it falls after the write. If it falls before, nothing may
+// be written on the idle connection. `stays`: the client waits for its response.
+void expect_no_write_after(const Event& event, bool stays) {
   int prevented = 0;
-  for (int nth = 1; nth <= kMostReadings; ++nth) {
+  for (int nth = 1; nth <= kMaxReadings; ++nth) {
     Scene scene;
     scene.warm();
     Line client = scene.node.client();
@@ -83,7 +83,7 @@
       come = true;
     });
     scene.still.go();
-    while (!come) scene.await_turns();  // readings go on by themselves
+    while (!come) scene.await_turns();  // the clock is read without requests, too
     if (written_before) {
       EXPECT_GT(prevented, 0) << "nothing was held up before its write";
       return;
@@ -97,16 +97,16 @@
   ADD_FAILURE() << "no attempt was ever written";
 }
 
-TEST(ClockReading, NoAttemptIsWrittenForAClientThatLeftBehindAReading) {
-  nothing_is_written_behind([](Scene&, Line& client) { client.close(); }, false);
+TEST(ClockReading, NoAttemptIsWrittenAfterTheClientClosed) {
+  expect_no_write_after([](Scene&, Line& client) { client.close(); }, false);
 }
 
-TEST(ClockReading, NoAttemptIsWrittenToABackendThatSpokeBehindAReading) {
-  nothing_is_written_behind([](Scene& scene, Line&) { scene.there->write(kOk); }, true);
+TEST(ClockReading, NoAttemptIsWrittenAfterUnexpectedData) {
+  expect_no_write_after([](Scene& scene, Line&) { scene.there->write(kOk); }, true);
 }
 
-TEST(ClockReading, NoAttemptIsWrittenToABackendThatEndedBehindAReading) {
-  nothing_is_written_behind([](Scene& scene, Line&) { scene.there->close_sending(); }, true);
+TEST(ClockReading, NoAttemptIsWrittenAfterTheBackendClosed) {
+  expect_no_write_after([](Scene& scene, Line&) { scene.there->close_sending(); }, true);
 }
 
 }  // namespace
--- a/tests/faults/clock_readings.cpp
+++ b/tests/faults/clock_readings.cpp
@@ -15,7 +15,7 @@
   std::function<void()> then;
 };
 
-// Never destroyed: clocks are read while a process ends.
+// Never destroyed, as clocks are read during the exit of the process.
 AtReading& at_reading() {
   static AtReading* const one = new AtReading;
   return *one;
@@ -23,7 +23,7 @@
 
 std::atomic<bool> armed{false};
 
-// What is to come now, if this is the reading.
+// Returns the function to run, if this is the reading it was set for.
 std::function<void()> due() {
   AtReading& at = at_reading();
   const std::lock_guard lock(at.mutex);
--- a/tests/faults/clock_readings.h
+++ b/tests/faults/clock_readings.h
@@ -1,13 +1,13 @@
-// What comes right behind a reading of a clock, before that reading is used: all that a process would miss
-// which is held up there.
+// Runs a function right after a clock is read and before the value is used, as if the process was suspended
+// there and missed what happened meanwhile.
 #pragma once
 
 #include <functional>
 
 namespace shorelead::faults {
 
-// Once, on the thread that reads: behind the `nth` reading by a struck thread from now on.
+// Runs `then` once, on the reading thread, after the `nth` reading from now by a thread with fault injection.
 void at_clock_reading(int nth, std::function<void()> then);
-void clock_was_read();  // told by the call that stands in for the C library's
+void clock_was_read();  // called by the replacement of clock_gettime()
 
 }  // namespace shorelead::faults
--- a/tests/faults/clock_test.cpp
+++ b/tests/faults/clock_test.cpp
@@ -1,4 +1,4 @@
-// The wall clock is stepped while a node runs: whatever it measures in spans of time stays as long as it was.
+// Steps of the wall clock while a node runs do not change any duration that it measures.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -20,8 +20,8 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-// A node whose one backend starts after the wall clock was stepped. While that is cold its budget is a few
-// requests, and the others are refused.
+// A node whose only backend starts after the wall clock was stepped. While the backend is cold, its
+// slow-start budget allows a few requests, and the others are refused.
 class OneColdBackend {
  public:
   OneColdBackend(double step, Millis warm_up) {
@@ -64,7 +64,7 @@
   std::optional<Line> watch_;
 };
 
-TEST(Clock, ANewBackendIsColdAndWarmsWhateverTheWallClockDidBefore) {
+TEST(Clock, SlowStartOfANewBackendIsIndependentOfWallClockSteps) {
   for (const double step : {0.0, -kHour, -kSeconds, kSeconds, kHour}) {
     EXPECT_GT(OneColdBackend(step, kLongWarmUp).refused(), kRequests / 2) << step << ": cold at first";
     OneColdBackend warms(step, kWarmUp);
--- a/tests/faults/connect_test.cpp
+++ b/tests/faults/connect_test.cpp
@@ -1,5 +1,5 @@
-// Connections to backends that this machine cannot begin, for a moment: the backends are well, so that none
-// is blamed, and the attempt is made.
+// Connections that fail for a moment because of this machine: no backend is blamed, and the attempt is
+// retried.
 #include <gtest/gtest.h>
 
 #include <cerrno>
@@ -16,7 +16,7 @@
 using faults::Call;
 using faults::fail_next;
 
-TEST(Connect, OneThatThisMachineCannotBeginIsBegunAgain) {
+TEST(Connect, ALocalConnectErrorIsRetried) {
   for (const int error : {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ENOBUFS, EAGAIN, EINTR, ENOMEM}) {
     Peer peer;
     Backends b;
@@ -36,7 +36,7 @@
   }
 }
 
-TEST(Connect, ADescriptorThatIsNotThereForAMomentIsAskedForAgain) {
+TEST(Connect, AMissingDescriptorIsRetried) {
   for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     Peer peer;
     Backends b;
@@ -54,8 +54,8 @@
   }
 }
 
-// Where it lasts, the attempt ends in its time, as one that was never sent.
-TEST(Connect, OneThatCanNeverBeBegunEndsAsNotSent) {
+// If the error lasts, the attempt ends in time, as not sent.
+TEST(Connect, ALastingLocalErrorEndsAsNotSent) {
   Peer peer;
   Backends b;
   const faults::InjectInThisThread strike;
@@ -66,23 +66,24 @@
   faults::clear();
 }
 
-// A backend that a connection is refused by is told at once: that is no trouble of this machine.
-TEST(Connect, AConnectionThatIsRefusedIsNotTriedAgain) {
+// A refusal by the backend is no local failure and is reported at once.
+TEST(Connect, ARefusedConnectionIsNotRetried) {
   Peer peer;
   Backends b;
   b.upstream.send(1, 0, 0, "127.0.0.1:1", b.loop.now() + kLong, post_of(1));
   EXPECT_EQ(b.run(), Ending::kRefused);
 }
 
-// No way leads to one backend, while connections to others are begun: time and again, it is that backend's.
-TEST(LocalFailures, NoWayToOneBackendAloneIsToldInTheEnd) {
+// If connecting fails repeatedly for one backend while it works for others, the backend is the cause.
+TEST(LocalFailures, RepeatedFailuresForOneBackendAloneAreItsOwn) {
   LocalFailures failures;
-  for (int n = 0; n < 5; ++n) EXPECT_EQ(failures.gave_up(1, 100 * n), Ending::kLocalFailure) << "nor to any";
+  for (int n = 0; n < 5; ++n)
+    EXPECT_EQ(failures.gave_up(1, 100 * n), Ending::kLocalFailure) << "fails for all backends";
   failures.began(2, 1000);
   EXPECT_EQ(failures.gave_up(1, 999), Ending::kRefused);
   failures.began(1, 1100);
   failures.began(2, 1200);
-  EXPECT_EQ(failures.gave_up(1, 1150), Ending::kLocalFailure) << "it was begun since";
+  EXPECT_EQ(failures.gave_up(1, 1150), Ending::kLocalFailure) << "connecting to it has worked since";
 }
 
 }  // namespace
--- a/tests/faults/each_reading_test.cpp
+++ b/tests/faults/each_reading_test.cpp
@@ -1,6 +1,6 @@
-// Whatever befalls a request comes right behind each reading of the clock in its handling, in turn: its
-// client or its backends end, or backends speak unasked. Judged by what must hold always: one whole answer to
-// a client that stays, an unsafe request seen once at most, no violation counted by the checker.
+// Injects an event right after each reading of the clock while a request is handled: its client or its
+// backends close, or backends send unexpected data. Checks what must always hold: one complete response to a
+// client that stays connected, an unsafe request seen at most once, and no violation counted by the checker.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -23,7 +23,7 @@
   }
   ~Scene() { faults::at_clock_reading(kNever, {}); }
 
-  // Connections to all backends stand ready.
+  // Opens idle connections to all backends.
   void warm() {
     std::vector<Line> clients;
     const std::size_t before = backends.count("warm");
@@ -55,7 +55,7 @@
   return kind == "safe" ? get(path) : post(path, "x");
 }
 
-// `stays`: the client waits for its answer.
+// `stays`: the client waits for its response.
 void at_each_reading(const std::string& kind, bool stays, const Event& event) {
   Scene scene;
   for (int nth = 1; nth <= kReadings; ++nth) {
@@ -76,23 +76,23 @@
     if (kind == "unsafe") {
       ASSERT_LE(scene.backends.count(name), 1U) << "reading " << nth;
     }
-    // A second answer that is still on its way would be taken for that to the next request: here connections
-    // do not rest between two, as they do in a node that serves.
+    // A second response still in transit would be taken for the response to the next request, as connections
+    // are not idle between two requests here.
     scene.backends.end_all();
   }
 }
 
 class EachReading : public testing::TestWithParam<std::string> {};
 
-TEST_P(EachReading, BackendsEndTheirConnections) {
+TEST_P(EachReading, BackendsCloseTheirConnections) {
   at_each_reading(GetParam(), true, [](Scene& scene, Line&) { scene.backends.end_all(); });
 }
 
-TEST_P(EachReading, BackendsAnswerUnasked) {
+TEST_P(EachReading, BackendsSendUnexpectedResponses) {
   at_each_reading(GetParam(), true, [](Scene& scene, Line&) { scene.backends.answer_all(); });
 }
 
-TEST_P(EachReading, TheClientLeaves) {
+TEST_P(EachReading, TheClientCloses) {
   at_each_reading(GetParam(), false, [](Scene&, Line& client) { client.close(); });
 }
 
@@ -100,7 +100,7 @@
   at_each_reading(GetParam(), false, [](Scene&, Line& client) { client.reset(); });
 }
 
-TEST_P(EachReading, TheClientEndsItsSending) {
+TEST_P(EachReading, TheClientClosesItsSendingHalf) {
   at_each_reading(GetParam(), false, [](Scene&, Line& client) { client.close_sending(); });
 }
 
--- a/tests/faults/exception_test.cpp
+++ b/tests/faults/exception_test.cpp
@@ -1,5 +1,5 @@
-// A handler that throws in the middle of a request, as for want of memory: the request still gets its answer,
-// and nothing more is sent for it.
+// A handler that throws while a request is handled, as for lack of memory: the client still gets a response,
+// and nothing more is sent for the request.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -21,9 +21,9 @@
   return snapshot;
 }
 
-// Clients before a node whose requests all meet an exception.
-struct Thrown {
-  Thrown() { front.open(); }
+// A front whose handler throws for every request.
+struct FrontWithThrowingHandler {
+  FrontWithThrowingHandler() { front.open(); }
 
   Loop loop;
   std::vector<RequestId> gone;
@@ -39,7 +39,7 @@
 };
 
 TEST(Exceptions, ARequestWhoseHandlerThrowsIsAnsweredAsFailed) {
-  Thrown t;
+  FrontWithThrowingHandler t;
   std::string answer;
   std::thread client([&] {
     Line line = Line::connect(t.front.port());
--- a/tests/faults/fault_plan.cpp
+++ b/tests/faults/fault_plan.cpp
@@ -21,9 +21,9 @@
     "sendmsg",  "read",   "read_file", "write_file", "epoll_wait", "epoll_ctl", "timer_set",
     "signalfd", "open",   "fsync",     "rename",     "stall"};
 
-constexpr int kPartial = -1;  // stands among errors for fewer bytes than asked for
+constexpr int kPartial = -1;  // in place of an errno: a partial transfer
 
-// The errors that Linux documents for each call and that may pass.
+// The transient errors that Linux documents for each call.
 const std::vector<int>& errors_of(Call call) {
   static const std::array<std::vector<int>, kCalls> kErrors = {{
       {EINTR, ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, ENETUNREACH, EHOSTUNREACH, ENETDOWN},
@@ -73,7 +73,7 @@
   std::int64_t started_ns = 0;
 };
 
-// Never destroyed: calls go on while a process ends.
+// Never destroyed, as calls are made during the exit of the process.
 Plan& plan() {
   static Plan* const one = new Plan;
   return *one;
@@ -130,7 +130,7 @@
   return error == std::errc() && rest == text.data() + text.size();
 }
 
-// Two numbers with `between` between them.
+// Parses two numbers that are separated by `between`.
 bool read_pair(std::string_view text, char between, std::int64_t& first, std::int64_t& second) {
   const std::size_t at = text.find(between);
   return at != std::string_view::npos && read_number(text.substr(0, at), first) &&
--- a/tests/faults/fault_plan.h
+++ b/tests/faults/fault_plan.h
@@ -30,23 +30,23 @@
   kOpen,
   kSync,
   kRename,
-  kStall,  // no failure: the process is held up just before a write
+  kStall,  // no failure: a delay just before a write
   kCount
 };
 
 inline constexpr std::size_t kCalls = static_cast<std::size_t>(Call::kCount);
 
-// What is to become of a call.
+// The fault injected into a call.
 struct Fault {
-  int error = 0;         // errno of the failure; 0: no failure, but
-  bool partial = false;  // fewer bytes than asked for
+  int error = 0;         // errno of the failure; 0 if the call succeeds
+  bool partial = false;  // the call transfers fewer bytes than requested
 };
 
 // ---- for tests ----
 
-// The next `times` such calls of struck threads fail with `error`, after `spare` calls that do not.
+// After `spare` successful calls, the next `times` calls of threads with injection fail with `error`.
 void fail_next(Call call, int error, int times = 1, int spare = 0);
-// Calls of this thread may fail while one of these stands.
+// Enables injection in the current thread for the lifetime of the object.
 class InjectInThisThread {
  public:
   InjectInThisThread();
@@ -55,25 +55,27 @@
   InjectInThisThread& operator=(const InjectInThisThread&) = delete;
 };
 bool thread_has_faults();
-// Forgets all failures named before, and the step of the wall clock.
+// Removes all named failures and the step of the wall clock.
 void clear();
 
 // ---- for whole processes ----
 
-// Reads "seed=7,recv=200,connect=50,clock=-3600000@1500": one in so many calls fails, drawn from the seed;
-// the wall clock is stepped by so many milliseconds, so long after the start. `burst=LENGTH/EVERY`: calls
-// fail only within the first LENGTH ms of every EVERY ms. Says what is wrong with the text.
+// Parses settings such as "seed=7,recv=200,connect=50,clock=-3600000@1500": one in 200 calls of recv() fails,
+// drawn from the seed; `clock=BY@AT` steps the wall clock by BY ms, AT ms after the start. With
+// `burst=LENGTH/EVERY` calls fail only in the first LENGTH ms of every EVERY ms. Returns an error message if
+// the text is not valid.
 std::optional<std::string> draw_faults(const std::string& text);
-// Keeps the counts in this file, which outlives the process however it ends. False: it cannot be written.
+// Keeps the counts in a file, which remains when the process is killed. Returns false if it cannot be
+// written.
 bool count_into(const std::string& path);
 
 // ---- for both ----
 
-std::optional<Fault> next(Call call);     // none: the call goes through
-std::uint64_t injected_count(Call call);  // how often such calls failed
+std::optional<Fault> next(Call call);     // nothing if the call is not to fail
+std::uint64_t injected_count(Call call);  // number of injected faults
 const char* name_of(Call call);
-// By how much the wall clock is off now, in ns.
+// Current offset of the wall clock, in ns.
 std::int64_t wall_clock_step(std::int64_t monotonic_ns);
-void step_wall_clock(double ms);  // at once
+void step_wall_clock(double ms);  // immediately
 
 }  // namespace shorelead::faults
--- a/tests/faults/interposed_calls.cpp
+++ b/tests/faults/interposed_calls.cpp
@@ -1,6 +1,6 @@
-// The C library's calls with failures put in (fault_plan.h). Linked into a test's program these stand before
-// the C library's own; in a preloaded library they do so for a whole process, which SHORELEAD_FAULTS and
-// SHORELEAD_FAULT_COUNTS then steer.
+// Replacements of C library calls that inject faults (fault_plan.h). They take precedence over the C library
+// when they are linked into a test, or preloaded into a whole process, where SHORELEAD_FAULTS and
+// SHORELEAD_FAULT_COUNTS configure them.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -33,7 +33,7 @@
 }
 #define REAL(name) real<decltype(&::name)>(#name)
 
-// Whether the call is to fail; sets errno.
+// Whether the call fails; sets errno.
 bool fails(Call call) {
   const auto fault = next(call);
   if (!fault || fault->partial) return false;
@@ -41,7 +41,7 @@
   return fault->error != 0;
 }
 
-// The same for one that carries bytes, of which fewer may go.
+// The same for a call that transfers bytes; may reduce `size`.
 bool fails(Call call, std::size_t& size) {
   const auto fault = next(call);
   if (!fault) return false;
@@ -53,7 +53,7 @@
   return true;
 }
 
-// Held up between a look at the clock and the write, for up to 0.15 s.
+// Delays a write by 0.1 s to 0.15 s, as if the process was suspended between reading the clock and writing.
 void stall() {
   if (!next(Call::kStall)) return;
   const timespec span{0, 100'000'000 + std::rand() % 50'000'000};
@@ -65,7 +65,7 @@
   return fd > STDERR_FILENO && ::fstat(fd, &info) == 0 && S_ISREG(info.st_mode);
 }
 
-// By hand: what a write of the standard library would need may be what fails.
+// Avoids the C++ library, whose calls may be failing here.
 void die(const std::string& why) {
   std::fprintf(stderr, "faults: %s\n", why.c_str());
   ::_exit(2);
@@ -75,7 +75,7 @@
   const char* const text = std::getenv("SHORELEAD_FAULTS");
   if (text == nullptr) return;
   std::string settings = text;
-  // Processes of one run must not fail in step; the same life of the same node fails in the same way.
+  // Each process of a run has its own seed and counts, so that processes do not fail in step.
   const char* const name = std::getenv("SHORELEAD_FAULT_COUNTS");
   if (name != nullptr && !shorelead::faults::count_into(name)) die(std::string(name) + " cannot be written");
   if (const auto trouble = shorelead::faults::draw_faults(settings)) die(*trouble);
@@ -121,7 +121,7 @@
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
   static const auto call = REAL(sendmsg);
   stall();
-  std::size_t size = 2;  // here only told apart from 1: of several pieces the first alone goes
+  std::size_t size = 2;  // reduced to 1 for a partial transfer: only the first piece is sent
   if (fails(Call::kSendMessage, size)) return -1;
   if (size == 2 || message->msg_iovlen == 0) return call(fd, message, flags);
   msghdr part = *message;
@@ -148,7 +148,7 @@
 
 int epoll_ctl(int fd, int operation, int other, epoll_event* event) noexcept {
   static const auto call = REAL(epoll_ctl);
-  const bool may_fail = operation != EPOLL_CTL_DEL;  // that one is not documented to want for memory
+  const bool may_fail = operation != EPOLL_CTL_DEL;  // is not documented to fail for lack of memory
   return may_fail && fails(Call::kEpollControl) ? -1 : call(fd, operation, other, event);
 }
 
--- a/tests/faults/node_with_faults.h
+++ b/tests/faults/node_with_faults.h
@@ -1,4 +1,4 @@
-// A node whose thread is struck by the failures that a test names.
+// A node whose thread has the faults injected that a test names.
 #pragma once
 
 #include "faults/fault_plan.h"
--- a/tests/faults/reload_test.cpp
+++ b/tests/faults/reload_test.cpp
@@ -1,4 +1,4 @@
-// A new configuration whose file cannot be read for a moment: it is owed all the same.
+// A reload whose file cannot be read for a moment still takes effect.
 #include <gtest/gtest.h>
 
 #include <cerrno>
@@ -15,7 +15,7 @@
 using faults::Call;
 using faults::fail_next;
 
-TEST(Reload, AFileThatCannotBeReadNowIsReadAgain) {
+TEST(Reload, AFileThatCannotBeReadIsRetried) {
   for (const Call call : {Call::kOpen, Call::kReadFile}) {
     std::string folder = testing::TempDir() + "shorelead-XXXXXX";
     ASSERT_NE(::mkdtemp(folder.data()), nullptr);
@@ -31,7 +31,7 @@
       } catch (const UnreadableConfig&) {
         throw;
       } catch (const FieldError&) {
-        // Read, and of no use: another stands for it.
+        // The file was read; its content does not matter here.
       }
       return next;
     };
--- a/tests/faults/start_test.cpp
+++ b/tests/faults/start_test.cpp
@@ -1,4 +1,4 @@
-// A node's process while it starts: what is told to it in the middle is not lost, and ends nothing.
+// The process of a node during its start: signals are not lost and do not end it.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/stat.h>
@@ -17,7 +17,7 @@
 namespace shorelead::node {
 namespace {
 
-constexpr int kAnswerWithin = 5000;  // ms, far more than an answer takes
+constexpr int kAnswerTimeoutMs = 5000;  // far more than a response takes
 
 unsigned short free_port() { return Peer().port(); }
 
@@ -31,11 +31,11 @@
        "Invariants":{"ColdShare":0.3,"WarmUp":9000,"FallMultiple":3,"Fall":1000,"AskEvery":10000}}})";
 }
 
-// A node whose process waits in the middle of its start, as its configuration does not come.
-class Starting {
+// A process that blocks during its start, as its configuration is a pipe without data.
+class StartingNode {
  public:
-  // `output`: where its log goes. `faults`: which of its calls fail (fault_plan.h).
-  explicit Starting(int output = STDOUT_FILENO, const char* faults = nullptr) {
+  // `output`: descriptor for its log. `faults`: injected faults (fault_plan.h).
+  explicit StartingNode(int output = STDOUT_FILENO, const char* faults = nullptr) {
     EXPECT_EQ(::mkfifo(path_.c_str(), 0600), 0);
     child_ = ::fork();
     if (child_ == 0) {
@@ -48,24 +48,24 @@
       ::execl(SHORELEAD_NODE, SHORELEAD_NODE, "serve", "--config", path_.c_str(), nullptr);
       ::_exit(127);
     }
-    pipe_ = ::open(path_.c_str(), O_WRONLY);  // once it reads
-    // Read again it is an ordinary file.
+    pipe_ = ::open(path_.c_str(), O_WRONLY);  // returns once the process reads
+    // A reload reads an ordinary file.
     std::filesystem::remove(path_);
     std::ofstream(path_) << configuration(port_, discovery_);
   }
-  ~Starting() {
+  ~StartingNode() {
     ::kill(child_, SIGKILL);
     ::waitpid(child_, nullptr, 0);
     std::filesystem::remove_all(folder_);
   }
   void signal(int number) const { ::kill(child_, number); }
-  void go_on() {
+  void deliver_configuration() {
     const std::string text = configuration(port_, discovery_);
     EXPECT_EQ(::write(pipe_, text.data(), text.size()), static_cast<ssize_t>(text.size()));
     ::close(pipe_);
   }
-  // Whether the process has come to take clients; false: it has ended.
-  bool takes_clients() {
+  // Waits until the process accepts clients; false if it has ended.
+  bool accepts_clients() {
     while (::waitpid(child_, nullptr, WNOHANG) == 0) {
       const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
       sockaddr_in to{};
@@ -78,14 +78,14 @@
     }
     return false;
   }
-  // Whether it answers a client that sends this as soon as it can connect.
+  // Whether it answers a request that is sent as soon as a client can connect.
   bool answers(const std::string& request = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n",
-               int within = kAnswerWithin) {
-    if (!takes_clients()) return false;
+               int within = kAnswerTimeoutMs) {
+    if (!accepts_clients()) return false;
     Line client = Line::connect(port_);
     client.write(request);
-    pollfd come{client.fd(), POLLIN, 0};
-    return ::poll(&come, 1, within) > 0;
+    pollfd readable{client.fd(), POLLIN, 0};
+    return ::poll(&readable, 1, within) > 0;
   }
 
  private:
@@ -100,42 +100,42 @@
   int pipe_ = -1;
 };
 
-TEST(Start, ANewConfigurationToldInTheMiddleEndsNothing) {
-  Starting node;
+TEST(Start, SighupDuringTheStartDoesNotEndTheProcess) {
+  StartingNode node;
   node.signal(SIGHUP);
-  node.go_on();
-  EXPECT_TRUE(node.takes_clients());
+  node.deliver_configuration();
+  EXPECT_TRUE(node.accepts_clients());
 }
 
-// A pipe that is full, and that nobody reads.
-struct StandingReader {
-  StandingReader() {
+// A full pipe that is not read.
+struct StalledReader {
+  StalledReader() {
     EXPECT_EQ(::pipe2(ends.data(), O_CLOEXEC | O_NONBLOCK), 0);
-    const std::string much(4096, 'x');
-    while (::write(ends[1], much.data(), much.size()) > 0) continue;
-    ::fcntl(ends[1], F_SETFL, 0);  // as a process finds its standard output
+    const std::string filler(4096, 'x');
+    while (::write(ends[1], filler.data(), filler.size()) > 0) continue;
+    ::fcntl(ends[1], F_SETFL, 0);  // blocking, as standard output usually is
   }
-  ~StandingReader() {
+  ~StalledReader() {
     for (const int end : ends) ::close(end);
   }
   std::array<int, 2> ends{};
 };
 
-TEST(Start, ALogThatNobodyReadsHoldsNoClientUp) {
-  const StandingReader reader;
-  Starting node(reader.ends[1]);
-  node.go_on();
+TEST(Start, AnUnreadLogDoesNotDelayClients) {
+  const StalledReader reader;
+  StartingNode node(reader.ends[1]);
+  node.deliver_configuration();
   EXPECT_TRUE(node.answers());
 }
 
-TEST(Start, NoRequestIsAcceptedThatTheUnfinishedStartLeavesUnanswered) {
-  constexpr int kWait = 100;  // ms, of the client
-  constexpr int kLost = 500;  // beyond that it is lost
-  Starting node(STDOUT_FILENO, "signalfd=1,burst=1500/1000000");
-  node.go_on();
+TEST(Start, RequestsAcceptedDuringTheStartAreAnswered) {
+  constexpr int kClientTimeoutMs = 100;  // of the client
+  constexpr int kGraceMs = 500;          // after which the request counts as lost
+  StartingNode node(STDOUT_FILENO, "signalfd=1,burst=1500/1000000");
+  node.deliver_configuration();
   EXPECT_TRUE(node.answers("GET /lookup HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\nX-Timeout-Ms: " +
-                               std::to_string(kWait) + "\r\n\r\n",
-                           kWait + kLost));
+                               std::to_string(kClientTimeoutMs) + "\r\n\r\n",
+                           kClientTimeoutMs + kGraceMs));
 }
 
 }  // namespace
