--- a/tests/faults/fault_plan.h
+++ b/tests/faults/fault_plan.h
@@ -1,6 +1,6 @@
-// Which system calls of this process fail, how, and how often they did. Two uses: a test names the next
-// failures itself (fail_next), or a seed draws them (draw_faults), as the preloaded library does for whole
-// processes. Only threads that asked for it are struck, unless a seed draws: then all are.
+// Fault injection: which system calls of this process fail and how, with counts. Either a test names the next
+// failures (fail_next), or they are drawn at random from a seed (draw_faults), as the preloaded library does
+// for whole processes. Named failures affect only threads with InjectInThisThread, drawn ones all threads.
 #pragma once
 
 #include <array>
--- a/tests/faults/interposed_calls.cpp
+++ b/tests/faults/interposed_calls.cpp
@@ -75,7 +75,8 @@
   const char* const text = std::getenv("SHORELEAD_FAULTS");
   if (text == nullptr) return;
   std::string settings = text;
-  // Each process of a run has its own seed and counts, so that processes do not fail in step.
+  // Each process of a run is given its own seed, so that processes do not fail in step and a rerun fails
+  // alike.
   const char* const name = std::getenv("SHORELEAD_FAULT_COUNTS");
   if (name != nullptr && !shorelead::faults::count_into(name)) die(std::string(name) + " cannot be written");
   if (const auto trouble = shorelead::faults::draw_faults(settings)) die(*trouble);
