--- a/fuzz/door_fuzz.cpp
+++ b/fuzz/door_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzzes the lines of admin calls and the file of bans: a line reads the same however its bytes are split, its
-// size is bounded, and a damaged file is rejected with a cause.
+// Fuzzes the lines of admin calls and the file of bans: a line reads the same however its bytes are split,
+// its size is bounded, and a damaged file is rejected with a cause.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -81,7 +81,7 @@
   if (!file || !(text << file.rdbuf())) throw shorelead::FieldError(path + " cannot be read, or is empty");
   const auto migration = shorelead::node::migrate(std::move(text).str(), path, shape);
   if (migration.already) {
-    std::cerr << path << ": already in the new shape, nothing to do\n";
+    std::cerr << path << ": of the new shape already, nothing to do\n";
     return 0;
   }
   for (const std::string& line : migration.changed) std::cerr << "changed " << line << "\n";
@@ -90,7 +90,7 @@
   if (!output.empty() && std::filesystem::exists(output)) {
     if (std::filesystem::equivalent(output, path))
       throw shorelead::FieldError(output + " is the input file; name another output");
-    if (!replace) throw shorelead::FieldError(output + " exists already; --replace overwrites it");
+    if (!replace) throw shorelead::FieldError(output + " is there already; --replace overwrites it");
   }
   if (!dry && !output.empty()) write_whole(output, migration.text);
   std::cerr << path << ": " << migration.changed.size() << " changed, " << migration.left.size()
