--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -14,11 +14,11 @@
 namespace shorelead::net {
 namespace {
 
-constexpr std::size_t kReadSize = 16384;
-constexpr Millis kClearWait = 10;  // the system counts such times in steps of some milliseconds
-constexpr int kSendBuffer = 131072;
-constexpr std::size_t kMostPieces = 64;  // in one call; the rest is copied
-constexpr int kMostTries = 32;           // of a call that is interrupted
+constexpr std::size_t kReadBytes = 16384;
+constexpr Millis kMinMeasurableWait = 10;  // TCP_INFO counts in steps of some milliseconds
+constexpr int kSendBufferBytes = 131072;
+constexpr std::size_t kMaxPieces = 64;  // per call; the rest is buffered
+constexpr int kMaxPeekAttempts = 32;    // of calls that are interrupted
 
 }  // namespace
 
@@ -43,10 +43,10 @@
   const int fd = ::socket(address.af(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return false;
   auto socket = std::make_unique<Descriptor>(fd);
-  // After a real interruption the connection is on its way, which the second call then says.
+  // After an interrupted connect() the connection is in progress, which the repeated call reports.
   const int result = uninterrupted([&] { return ::connect(fd, address.addr(), address.length()); });
-  if (result != 0 && !connects(errno)) {
-    if (turned_down(errno)) failure_ = Ending::kRefused;
+  if (result != 0 && !connect_in_progress(errno)) {
+    if (connection_refused(errno)) failure_ = Ending::kRefused;
     return false;
   }
   const int on = 1;
@@ -67,18 +67,18 @@
   if (!open()) return;
   std::size_t written = 0;
   if (connected_ && output_.empty()) {
-    std::array<iovec, kMostPieces> parts{};
+    std::array<iovec, kMaxPieces> parts{};
     std::size_t count = 0;
     for (const std::string_view piece : pieces) {
-      if (piece.empty() || count == kMostPieces) continue;
+      if (piece.empty() || count == kMaxPieces) continue;
       parts[count++] = {const_cast<char*>(piece.data()), piece.size()};
     }
     msghdr message{};
     message.msg_iov = parts.data();
     message.msg_iovlen = count;
     const ssize_t sent = uninterrupted([&] { return ::sendmsg(fd(), &message, MSG_NOSIGNAL); });
-    // A break is told once the caller is done, by the next wake-up.
-    if (sent < 0 && !passes(errno)) broken_ = true;
+    // The failure is reported by on_writable(), not within the caller's call.
+    if (sent < 0 && !is_transient(errno)) broken_ = true;
     written = sent > 0 ? static_cast<std::size_t>(sent) : 0;
   }
   for (const std::string_view piece : pieces) {
@@ -94,7 +94,7 @@
   socklen_t size = sizeof info;
   if (!open() || ::getsockopt(fd(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
   const auto since = static_cast<Millis>(info.tcpi_last_data_recv);
-  return since >= kClearWait ? since : 0;
+  return since >= kMinMeasurableWait ? since : 0;
 }
 
 bool Stream::quiet() const { return open() && input_.empty() && peek() == Peek::kNothing; }
@@ -102,11 +102,11 @@
 bool Stream::ended() const {
   if (!open()) return true;
   const Peek found = peek();
-  return found == Peek::kEnd || (found == Peek::kData && end_has_come());
+  return found == Peek::kEnd || (found == Peek::kData && end_received());
 }
 
-// Behind bytes that nobody has read, the connection's state alone shows it.
-bool Stream::end_has_come() const {
+// An end behind unread bytes shows only in the state of the TCP connection.
+bool Stream::end_received() const {
   tcp_info info{};
   socklen_t size = sizeof info;
   if (::getsockopt(fd(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return false;
@@ -126,12 +126,13 @@
   char byte = 0;
   ssize_t got = 0;
   int tries = 0;
-  // One that was interrupted, or had no memory, has seen nothing.
+  // A call that was interrupted or had no memory tells nothing, so it is repeated.
   do {
     got = ::recv(fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  } while (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && passes(errno) && ++tries < kMostTries);
+  } while (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && is_transient(errno) &&
+           ++tries < kMaxPeekAttempts);
   if (got > 0) return Peek::kData;
-  return got < 0 && passes(errno) ? Peek::kNothing : Peek::kEnd;
+  return got < 0 && is_transient(errno) ? Peek::kNothing : Peek::kEnd;
 }
 
 void Stream::reset_on_close() {
@@ -140,7 +141,7 @@
 }
 
 void Stream::bound_send_buffer() {
-  if (open()) ::setsockopt(fd(), SOL_SOCKET, SO_SNDBUF, &kSendBuffer, sizeof kSendBuffer);
+  if (open()) ::setsockopt(fd(), SOL_SOCKET, SO_SNDBUF, &kSendBufferBytes, sizeof kSendBufferBytes);
 }
 
 void Stream::close_sending() {
@@ -162,10 +163,10 @@
 
 bool Stream::read_now() {
   if (!open()) return false;
-  // A connection that is still being made has nothing to read; whether it came up is told as writable.
+  // An unfinished connect has no input; its outcome is handled as writable.
   if (!connected_) return on_writable(), false;
-  // Read aside, so that what is kept of a connection is no larger than what came in.
-  std::array<char, kReadSize> part;
+  // Read into a local buffer, so that an idle connection keeps no memory for reading.
+  std::array<char, kReadBytes> part;
   const ssize_t got = uninterrupted([&] { return ::recv(fd(), part.data(), part.size(), 0); });
   const int error = errno;
   if (got > 0) {
@@ -173,9 +174,9 @@
     handler_.on_input(*this);
     return true;
   }
-  // The system tells of a reset once: after a write that met it, a read sees but an end.
+  // The system reports a reset only once: after a write has failed with it, a read only sees the end.
   if (got == 0) return fail(broken_ ? Ending::kBroken : Ending::kPeerClosed), false;
-  if (!passes(error)) fail(Ending::kBroken);
+  if (!is_transient(error)) fail(Ending::kBroken);
   return false;
 }
 
@@ -184,11 +185,12 @@
   if (!connected_) {
     int error = 0;
     socklen_t size = sizeof error;
-    if (::getsockopt(fd(), SOL_SOCKET, SO_ERROR, &error, &size) != 0) return;  // asked again next turn
+    if (::getsockopt(fd(), SOL_SOCKET, SO_ERROR, &error, &size) != 0)
+      return;  // tried again at the next wake-up
     if (error != 0) return fail(Ending::kRefused);
     sockaddr_storage peer{};
     socklen_t length = sizeof peer;
-    if (::getpeername(fd(), reinterpret_cast<sockaddr*>(&peer), &length) != 0) return;  // not up yet
+    if (::getpeername(fd(), reinterpret_cast<sockaddr*>(&peer), &length) != 0) return;  // not connected yet
     connected_ = true;
     if (output_.empty()) watch_->want_write(false);
     handler_.on_connected(*this);
@@ -197,7 +199,7 @@
   if (broken_) return fail(Ending::kBroken);
   const ssize_t sent =
       uninterrupted([&] { return ::send(fd(), output_.data(), output_.size(), MSG_NOSIGNAL); });
-  if (sent < 0 && passes(errno)) return;
+  if (sent < 0 && is_transient(errno)) return;
   if (sent < 0) return fail(Ending::kBroken);
   output_.erase(0, static_cast<std::size_t>(sent));
   if (!output_.empty()) return;
@@ -208,7 +210,7 @@
 void Stream::on_error() {
   if (!open()) return;
   if (!connected_) return on_writable();
-  // What has come in before the error is still there to be read; the read after it tells the error.
+  // Input that arrived before the error can still be read; the read after it reports the error.
   read_now();
 }
 
--- a/src/node/generations.h
+++ b/src/node/generations.h
@@ -1,6 +1,6 @@
-// Generations of the configuration: how a new one is made out of the pools that live, waits for their lists,
-// and comes in force. Owns the pools, which end once no generation can send to them and nothing is with them.
-// It must never touch what is under way.
+// Generations of the configuration. A new generation reuses the pools that have not changed, waits for the
+// lists of its new pools, and is then activated. Owns the pools; one is removed when no generation can send
+// to it and it has no requests left. Requests in progress keep the generation that they began with.
 #pragma once
 
 #include <functional>
@@ -20,8 +20,8 @@
  public:
   struct Host {
     std::function<std::shared_ptr<Pool>(const PoolConfig&, const Config&)> make_pool;
-    std::function<void(Pool&)> begin;  // of a pool that has come with a reload
-    std::function<void(std::shared_ptr<const RoutingSnapshot>)> in_force;
+    std::function<void(Pool&)> start_pool;  // called for each pool that a reload adds
+    std::function<void(std::shared_ptr<const RoutingSnapshot>)> on_activated;
   };
 
   Generations(Loop& loop, FleetAdmissions& admissions, Host host);
@@ -29,28 +29,28 @@
   Generations(const Generations&) = delete;
   Generations& operator=(const Generations&) = delete;
 
-  void begin(const Config& config);  // the first one, in force at once
-  // The next one. Throws where it cannot be made; then all stays as it was.
-  void follow(const Config& config);
-  // The platform's form: the one pool goes on with what it has learnt.
-  void adopt(const Config& config);
+  void start(const Config& config);  // makes and activates the first generation
+  // Makes the next generation. Throws if it cannot be made; nothing has changed then.
+  void apply(const Config& config);
+  // The same for the platform's JSON: its one pool is updated in place and keeps its statistics.
+  void apply_in_place(const Config& config);
 
-  const std::shared_ptr<const RoutingSnapshot>& snapshot() const { return snapshot_; }  // in force
-  // All that live: in force, pending, or left with something to do.
+  const std::shared_ptr<const RoutingSnapshot>& snapshot() const { return snapshot_; }  // the active one
+  // All pools: of the active and the pending generation, and removed ones with requests left.
   const std::vector<std::shared_ptr<Pool>>& pools() const { return pools_; }
-  std::uint64_t written_by_ended() const { return written_by_ended_; }  // attempts of pools that have ended
+  std::uint64_t attempts_of_removed_pools() const { return attempts_of_removed_pools_; }
 
  private:
-  // One that waits for the lists of its new pools before requests go by it.
+  // A generation that waits for the lists of its new pools before it is activated.
   struct Pending {
     std::shared_ptr<RoutingSnapshot> snapshot;
-    std::vector<PoolConfig> told;  // by pool: what it is to follow once the generation is in force
-    Millis until = 0;
+    std::vector<PoolConfig> pool_configs;  // by pool, applied at the activation
+    Millis deadline = 0;
   };
 
   Pending make_snapshot(const Config& config);
-  void put_in_force();  // what is pending, if it is time
-  void sweep_pools();
+  void activate_when_ready();  // the pending generation; also once its deadline has passed
+  void remove_unused_pools();
 
   Loop& loop_;
   FleetAdmissions& admissions_;
@@ -58,9 +58,9 @@
   std::vector<std::shared_ptr<Pool>> pools_;
   std::shared_ptr<const RoutingSnapshot> snapshot_;
   std::optional<Pending> pending_;
-  Loop::TimerId look_ = 0;
-  Loop::TimerId sweep_ = 0;
-  std::uint64_t written_by_ended_ = 0;
+  Loop::TimerId activation_timer_ = 0;
+  Loop::TimerId removal_timer_ = 0;
+  std::uint64_t attempts_of_removed_pools_ = 0;
 };
 
 }  // namespace shorelead::node
--- a/tests/faults/struck_node.h
+++ b/tests/faults/node_with_faults.h
@@ -1,4 +1,4 @@
-// A node whose thread is struck by the failures that a test names.
+// A node whose thread has the faults injected that a test names.
 #pragma once
 
 #include "faults/fault_plan.h"
@@ -6,14 +6,14 @@
 
 namespace shorelead::node {
 
-struct StruckNode : Node {
-  StruckNode() {
+struct NodeWithFaults : Node {
+  NodeWithFaults() {
     run_loop = [this] {
-      const faults::StrikeThisThread strike;
+      const faults::InjectInThisThread strike;
       loop->run();
     };
   }
-  ~StruckNode() {
+  ~NodeWithFaults() {
     stop();
     faults::clear();
   }
--- a/tests/faults/reload_test.cpp
+++ b/tests/faults/reload_test.cpp
@@ -1,4 +1,4 @@
-// A new configuration whose file cannot be read for a moment: it is owed all the same.
+// A reload whose file cannot be read for a moment still takes effect.
 #include <gtest/gtest.h>
 
 #include <cerrno>
@@ -7,7 +7,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "faults/struck_node.h"
+#include "faults/node_with_faults.h"
 
 namespace shorelead::node {
 namespace {
@@ -15,14 +15,14 @@
 using faults::Call;
 using faults::fail_next;
 
-TEST(Reload, AFileThatCannotBeReadNowIsReadAgain) {
+TEST(Reload, AFileThatCannotBeReadIsRetried) {
   for (const Call call : {Call::kOpen, Call::kReadFile}) {
     std::string folder = testing::TempDir() + "shorelead-XXXXXX";
     ASSERT_NE(::mkdtemp(folder.data()), nullptr);
     const std::string path = folder + "/config.json";
     std::ofstream(path) << "{}";
     Peer elsewhere;
-    StruckNode node;
+    NodeWithFaults node;
     Config next = node.config;
     next.discovery = Poco::Net::SocketAddress("127.0.0.1", elsewhere.port());
     node.read_again = [&] {
@@ -31,7 +31,7 @@
       } catch (const UnreadableConfig&) {
         throw;
       } catch (const FieldError&) {
-        // Read, and of no use: another stands for it.
+        // The file was read; its content does not matter here.
       }
       return next;
     };
--- a/tests/manage/manage_test.cpp
+++ b/tests/manage/manage_test.cpp
@@ -1,4 +1,4 @@
-// The admin server's pure parts: calls, bans, the drain's states and the request counters.
+// The pure parts of the admin server: calls, bans, drain states, request counters and metrics.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -13,7 +13,7 @@
 namespace shorelead::manage {
 namespace {
 
-TEST(Calls, EachIsReadAndEverythingElseIsRefusedWithItsCause) {
+TEST(Calls, ValidCallsAreParsedAndOthersRejectedWithACause) {
   struct Case {
     std::string line;
     std::optional<CallKind> kind;
@@ -35,18 +35,18 @@
                                    {std::string("ready\0", 6), std::nullopt, "control character"},
                                    {"ready\r", std::nullopt, "control character"}};
   for (const Case& one : cases) {
-    const Reading reading = read_call(one.line);
-    ASSERT_EQ(reading.call.has_value(), one.kind.has_value()) << one.line;
-    if (reading.call) {
-      EXPECT_EQ(reading.call->kind, *one.kind);
-      EXPECT_EQ(reading.call->id, one.id_or_cause);
+    const ParsedCall parsed = parse_call(one.line);
+    ASSERT_EQ(parsed.call.has_value(), one.kind.has_value()) << one.line;
+    if (parsed.call) {
+      EXPECT_EQ(parsed.call->kind, *one.kind);
+      EXPECT_EQ(parsed.call->id, one.id_or_cause);
     } else {
-      EXPECT_NE(reading.cause.find(one.id_or_cause), std::string::npos) << reading.cause;
+      EXPECT_NE(parsed.cause.find(one.id_or_cause), std::string::npos) << parsed.cause;
     }
   }
 }
 
-TEST(Calls, ALineIsTheSameAtEverySplit) {
+TEST(Calls, ALineDoesNotDependOnHowItsBytesAreSplit) {
   for (const std::string text :
        {"disable-server s-1\n", "disable-server s-1\r\n", "disable-server s-1\r\nready\n"}) {
     for (std::size_t a = 0; a <= text.size(); ++a) {
@@ -59,23 +59,24 @@
   }
 }
 
-TEST(Calls, ALineMayBeTooLongOrEndWithTheConnection) {
+TEST(Calls, TooLongLinesAreRejectedAndTheConnectionsEndEndsALine) {
   LineReader longest;
-  EXPECT_EQ(longest.add(std::string(kMostLine, 'x') + "\r\n"), LineReader::State::kLine);
+  EXPECT_EQ(longest.add(std::string(kMaxCallBytes, 'x') + "\r\n"), LineReader::State::kLine);
   LineReader over;
-  EXPECT_EQ(over.add(std::string(kMostLine + 1, 'x') + "\n"), LineReader::State::kTooLong);
+  EXPECT_EQ(over.add(std::string(kMaxCallBytes + 1, 'x') + "\n"), LineReader::State::kTooLong);
   LineReader endless;
   for (int n = 0; n < 100000; ++n) endless.add("xxxxxxxxxx");
   EXPECT_EQ(endless.add("\n"), LineReader::State::kTooLong);
-  EXPECT_LE(endless.line().size(), kMostLine + 2);
+  EXPECT_LE(endless.line().size(), kMaxCallBytes + 2);
   LineReader ended;
   ended.add("ready");
   EXPECT_EQ(ended.finish(), LineReader::State::kLine);
   EXPECT_EQ(LineReader().finish(), LineReader::State::kOpen);
 }
 
-// Twice out, one call back undoes both; what the list says of a birth since then wins over the guess.
-TEST(Bans, LastUntilTheCallBack) {
+// One enable() undoes two disable() calls. A start time in the list that is later than the ban overrides the
+// end of the ban.
+TEST(Bans, LastUntilTheBackendIsEnabled) {
   BanSet bans;
   EXPECT_TRUE(bans.disable("s-1", 100));
   EXPECT_FALSE(bans.disable("s-1", 200));
@@ -85,12 +86,12 @@
   EXPECT_FALSE(bans.enable("s-1", 400));
   EXPECT_FALSE(bans.out("s-1"));
   EXPECT_TRUE(bans.knows("s-1"));
-  EXPECT_EQ(bans.started("s-1", 50), 300);   // the list has not told of a start yet
-  EXPECT_EQ(bans.started("s-1", 150), 150);  // it has
+  EXPECT_EQ(bans.started("s-1", 50), 300);   // the list has no later start time
+  EXPECT_EQ(bans.started("s-1", 150), 150);  // it has one
   EXPECT_EQ(bans.started("s-2", 50), 50);
 }
 
-RC_GTEST_PROP(Bans, TheirTextIsReadBackAndNoTornOrChangedOneIs, ()) {
+RC_GTEST_PROP(Bans, TheirTextIsParsedAndDamagedTextIsRejected, ()) {
   BanSet bans;
   const auto ids = *rc::gen::container<std::vector<std::string>>(
       rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::elementOf(std::string("abc -.:7")))));
@@ -112,24 +113,24 @@
   RC_ASSERT(!BanSet::parse(changed, cause));
 }
 
-TEST(Drain, StatesInTurn) {
+TEST(Drain, ServingDrainingDrainedAndBack) {
   Drain drain;
   EXPECT_EQ(drain.state(0), DrainState::kServing);
   drain.drain(1000);
   EXPECT_EQ(drain.state(1000), DrainState::kDraining);
-  drain.drain(2000);  // a second call does not begin anew
-  EXPECT_EQ(drain.state(1000 + Drain::kUnusedByCall), DrainState::kDrained);
+  drain.drain(2000);  // a second call does not restart the time
+  EXPECT_EQ(drain.state(1000 + Drain::kIdleTimeAfterCall), DrainState::kDrained);
   EXPECT_TRUE(drain.resume());
   EXPECT_EQ(drain.state(9000), DrainState::kServing);
   drain.drain(10000);
-  drain.leave(10100);
+  drain.shut_down(10100);
   EXPECT_FALSE(drain.resume());
-  EXPECT_EQ(drain.state(10100 + Drain::kUnusedAtEnd), DrainState::kDrained);
-  EXPECT_LE(Drain::kUnusedByCall,
+  EXPECT_EQ(drain.state(10100 + Drain::kIdleTimeAtShutdown), DrainState::kDrained);
+  EXPECT_LE(Drain::kIdleTimeAfterCall,
             2000);  // what comes later would be held, as a request of the last 2 s, after 4 s
 }
 
-// Over any lives of requests: each is in exactly one state, and no count ever falls but in_progress.
+// For any sequence of requests, each is in exactly one state.
 RC_GTEST_PROP(RequestCounters, EachRequestIsInExactlyOneState, ()) {
   RequestCounters counters;
   std::vector<std::string> open;
@@ -157,7 +158,7 @@
   }
 }
 
-TEST(Figures, HaveTheirForm) {
+TEST(Metrics, AreFormattedOnePerLine) {
   RequestCounters counters;
   counters.name_class("check");
   counters.taken("check");
