--- a/src/node/acceptor.cpp
+++ b/src/node/acceptor.cpp
@@ -14,18 +14,18 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kPause = 20;  // accepting stopped for want of descriptors
+constexpr Millis kResumeInterval = 20;  // between attempts to accept again after a pause
 constexpr int kBacklog = 1024;
-constexpr int kMostFailures = 64;  // of accept in one turn, before others get theirs
+constexpr int kMaxFailures = 64;  // of accept() in one turn of the loop
 
 }  // namespace
 
-Acceptor::Acceptor(Loop& loop, const Entry& entry, Host host) : loop_(loop), host_(std::move(host)) {
-  if (entry.listening >= 0) {
-    socket_ = std::make_unique<net::Descriptor>(entry.listening);
+Acceptor::Acceptor(Loop& loop, const ListenSpec& spec, Host host) : loop_(loop), host_(std::move(host)) {
+  if (spec.listening >= 0) {
+    socket_ = std::make_unique<net::Descriptor>(spec.listening);
   } else {
     auto socket = std::make_unique<Poco::Net::ServerSocket>();
-    socket->bind(entry.address, true, entry.shared);
+    socket->bind(spec.address, true, spec.shared);
     socket_ = std::move(socket);
   }
   socket_->setBlocking(false);
@@ -39,17 +39,17 @@
   watch_ = std::make_unique<Watch>(loop_, *socket_, *this, !held_, false);
 }
 
-Acceptor::~Acceptor() { loop_.cancel(resume_); }
+Acceptor::~Acceptor() { loop_.cancel(resume_timer_); }
 
 void Acceptor::accept_all() {
   int failures = 0;
   while (socket_ && guard::may_accept({.held = held_})) {
     const int fd = ::accept4(socket_->impl()->sockfd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
-      if (errno == EAGAIN || errno == EWOULDBLOCK) break;  // nobody waits
-      // Any other error leaves open who does: they are looked at again, now or soon.
-      const bool no_room = net::lacks_room(errno);
-      if (no_room ? host_.evict_unused() : net::of_one_connection(errno) && ++failures < kMostFailures)
+      if (errno == EAGAIN || errno == EWOULDBLOCK) break;  // the backlog is empty
+      // After any other error there may be more connections: accept() is called again, now or after a pause.
+      const bool no_descriptor = net::lacks_room(errno);
+      if (no_descriptor ? host_.evict_unused() : net::of_one_connection(errno) && ++failures < kMaxFailures)
         continue;
       return pause();
     }
@@ -57,10 +57,10 @@
     host_.take(fd);
     if (!host_.make_room()) return pause();  // for the next one
   }
-  if (closing_) socket_.reset();  // right behind the last look: who connects in between is turned down
+  if (closing_) socket_.reset();  // right after the last accept(): connections in between are refused
 }
 
-// Clients may wait in the backlog from the moment of listening on, whatever this process is busy with.
+// The delay shows how long clients may have waited in the backlog while this process was busy.
 void Acceptor::log_first() {
   spdlog::info("first client accepted {:.0f} ms after listening", loop_.now() - listening_since_);
 }
@@ -70,14 +70,14 @@
   paused_ = true;
   ++pauses_;
   if (watch_) watch_->want_read(false);
-  resume_ = loop_.after(kPause, [this] { look_for_room(); });
+  resume_timer_ = loop_.after(kResumeInterval, [this] { try_resume(); });
 }
 
-void Acceptor::look_for_room() {
-  loop_.cancel(resume_);
+void Acceptor::try_resume() {
+  loop_.cancel(resume_timer_);
   if (!paused_ || !socket_) return;
   if (!host_.make_room()) {
-    resume_ = loop_.after(kPause, [this] { look_for_room(); });
+    resume_timer_ = loop_.after(kResumeInterval, [this] { try_resume(); });
     return;
   }
   paused_ = false;
--- a/src/node/acceptor.h
+++ b/src/node/acceptor.h
@@ -1,5 +1,5 @@
-// The socket on which clients connect. Owns it, and when nobody is taken in: while it is held for another
-// process, or for want of descriptors. It must never speak to a client.
+// Accepts client connections. Owns the listening socket and suspends accepting while another process of the
+// node accepts in its place, or while no descriptor is free. Does not communicate with clients.
 #pragma once
 
 #include <Poco/Net/Socket.h>
@@ -13,41 +13,40 @@
 
 namespace shorelead::node {
 
-// Where clients connect: an address to listen on, with another process of the node if `shared`, or a socket
-// that listens there already, handed over by that process.
-struct Entry {
-  Entry(const Poco::Net::SocketAddress& address) : address(address) {}  // NOLINT: an address is an entry
+// Where clients connect: an address to bind, shared with another process of the node if `shared`; or a socket
+// that is bound already, handed over by that process.
+struct ListenSpec {
+  ListenSpec(const Poco::Net::SocketAddress& address) : address(address) {}  // NOLINT: implicit by design
   Poco::Net::SocketAddress address;
   bool shared = false;
-  int listening = -1;
+  int listening = -1;  // descriptor of the inherited socket; -1: none
 };
 
 class Acceptor : public Watch::Handler {
  public:
   struct Host {
-    std::function<void(int fd)> take;    // somebody connected
-    std::function<bool()> make_room;     // whether one more may be taken in
-    std::function<bool()> evict_unused;  // whether a connection could be closed for it
+    std::function<void(int fd)> take;  // a client has connected
+    std::function<bool()> make_room;  // frees descriptors if need be; whether one more client may be accepted
+    std::function<bool()> evict_unused;  // closes an idle connection; whether there was one
   };
 
-  // Takes the address, on which clients are turned down until open(). Throws Poco::Exception where it cannot
-  // be had.
-  Acceptor(Loop& loop, const Entry& entry, Host host);
+  // Binds the address; connections are refused until open(). Throws Poco::Exception if it cannot be bound.
+  Acceptor(Loop& loop, const ListenSpec& spec, Host host);
   ~Acceptor() override;
 
-  // Listens, and takes in who comes. From then on the system accepts connections, and each request on one is
-  // owed an answer: to be called once nothing else is left of a start. Throws std::system_error where it
-  // cannot listen.
+  // Listens and accepts. Called as the last step of the start, as from then on the system completes
+  // connections whose requests have to be answered. Throws std::system_error if it cannot listen.
   void open();
 
-  // While held, whoever comes is left to the other process.
+  // While held, new connections are left to the other process of the node.
   void hold(bool held);
   bool held() const { return held_; }
-  // Whoever wants in waits in the backlog until a client is idle or gone, or a descriptor is free.
+  // Accepting is paused: connections wait in the backlog until a descriptor is free.
   bool paused() const { return paused_; }
-  void look_for_room();
-  // Closes once all who had connected are taken in, unless they are left to the other: at once, or as room
-  // is found for them.
+  // Accepts again if there is room by now.
+  void try_resume();
+  // Closes the socket once all connections of the backlog are accepted, now or as descriptors become free; at
+  // once while held, as the other process accepts them.
   void close();
 
   int listening() const { return socket_ ? socket_->impl()->sockfd() : -1; }
@@ -69,7 +68,7 @@
   bool held_ = false;
   bool closing_ = false;
   bool opened_ = false;
-  Loop::TimerId resume_ = 0;
+  Loop::TimerId resume_timer_ = 0;
   Millis listening_since_ = 0;
   std::uint64_t accepted_ = 0;
   std::uint64_t pauses_ = 0;
--- a/src/node/affinity_hold.h
+++ b/src/node/affinity_hold.h
@@ -1,25 +1,26 @@
-// What a request has that a rule of affinity keeps at a unit: a place among those whose end is counted. Owns
-// no code; whoever has a place tells its end exactly once.
+// The place that a request holds while an affinity rule keeps it at a unit (a backend, cell or zone): a
+// closed slot moves only once all places in it are released. Whoever holds a place releases it exactly once.
 #pragma once
 
 #include <memory>
 
 namespace shorelead::node {
 
-class Holder {
+// Who counts the places.
+class AffinityPlaces {
  public:
-  virtual ~Holder() = default;
-  virtual bool may_send(int place) = 0;  // looked at just before bytes go out
-  virtual void over(int place) = 0;      // nothing of it is under way any more
+  virtual ~AffinityPlaces() = default;
+  virtual bool may_send(int place) = 0;  // checked just before bytes are written
+  virtual void release(int place) = 0;   // no attempt of its request is in flight any more
 };
 
 struct AffinityHold {
-  std::shared_ptr<Holder> by;  // none: nobody counts
+  std::shared_ptr<AffinityPlaces> places;  // null: the request holds no place
   int place = -1;
 
-  bool may_send() const { return !by || by->may_send(place); }
-  void over() const {
-    if (by) by->over(place);
+  bool may_send() const { return !places || places->may_send(place); }
+  void release() const {
+    if (places) places->release(place);
   }
 };
 
--- a/src/node/affinity_planner.h
+++ b/src/node/affinity_planner.h
@@ -1,6 +1,6 @@
-// The planner's side of affinity in this process: the shaper of maps, on the control's thread, and the list
-// of backends that the traffic hands it. Owns the way of that list from one thread to the other and the
-// figures back; it must never lock, nor let a plan be shaped by a list that was never told.
+// The planner's part of affinity in this process: computes the key maps of a plan on the control thread, from
+// the list of backends that the traffic thread sends. Passes the list to the control thread and the counters
+// back without locks. Plans no map before it has a list.
 #pragma once
 
 #include <utility>
@@ -21,11 +21,11 @@
   explicit AffinityPlanner(std::vector<affinity::Rule> rules)
       : shaper_(std::move(rules), affinity::ShaperOptions()) {}
 
-  // The traffic's thread.
+  // On the traffic thread.
   void put(std::vector<affinity::BackendSeen> backends) { backends_.put(std::move(backends)); }
   const AffinityPlannerCells& cells() const { return cells_; }
 
-  // The control's.
+  // On the control thread.
   void shape(fleet::Plan& next, const fleet::Plan* standing, const std::vector<fleet::Record>& records,
              Millis now) override {
     if (backends_.take()) shaper_.see(*backends_.current());
--- a/src/node/affinity_router.cpp
+++ b/src/node/affinity_router.cpp
@@ -16,11 +16,11 @@
 using affinity::To;
 using affinity::Why;
 
-constexpr int kMostWaiting = 1000;   // requests of this node that wait for slots
-constexpr Millis kLookEvery = 10;    // after those that wait, or that may have to be called off
-constexpr double kFirstPlan = 2;     // leases, for which a process that begins waits for its first plan
-constexpr Millis kFeedEvery = 50;    // whether the list has changed
-constexpr Millis kWarmEvery = 1000;  // and how warm backends are
+constexpr int kMaxWaiting = 1000;               // requests of this process that wait for slots
+constexpr Millis kCheckInterval = 10;           // of requests that wait, or that may have to be cancelled
+constexpr double kFirstPlanLeases = 2;          // leases that a new process waits for its first plan
+constexpr Millis kListCheckInterval = 50;       // for changes of the endpoint lists
+constexpr Millis kWarmthUpdateInterval = 1000;  // warmth changes without a change of the list
 constexpr std::array kWhyNames = {"kept",     "no_key", "no_map", "not_valid", "closed",    "unknown",
                                   "draining", "gone",   "full",   "repeat",    "queue_full"};
 static_assert(kWhyNames.size() == affinity::kWhys);
@@ -30,11 +30,11 @@
 }
 
 std::optional<Standing> standing(Pool& pool, To to, const std::string& unit) {
-  const std::optional<Seen> seen = pool.see(kind_of(to), unit);
+  const std::optional<UnitState> seen = pool.find_unit(kind_of(to), unit);
   return seen ? std::optional(seen->standing) : std::nullopt;
 }
 
-// As the module has it (estimate/load.h): from its share when cold, evenly up to the whole.
+// The same ramp as the decision module's (estimate/load.h): linear from the cold share up to 1.
 double warmth(const Settings& settings, Millis born, Millis now) {
   if (settings.warm_up <= 0 || born <= 0 || now - born >= settings.warm_up) return 1;
   return settings.cold_share + (1 - settings.cold_share) * std::max(0.0, now - born) / settings.warm_up;
@@ -53,40 +53,40 @@
 }
 
 AffinityRouter::AffinityRouter(Loop& loop, const FleetConfig& fleet, fleet::Port& port,
-                               std::function<void(RequestId)> again)
+                               std::function<void(RequestId)> reconsider)
     : loop_(loop),
       port_(port),
-      told_by_(loop.now() + kFirstPlan * fleet.sharing.lease),
-      again_(std::move(again)),
-      bindings_(fleet.affinity, kMostWaiting),
+      first_plan_by_(loop.now() + kFirstPlanLeases * fleet.sharing.lease),
+      reconsider_(std::move(reconsider)),
+      bindings_(fleet.affinity, kMaxWaiting),
       planner_(std::make_shared<AffinityPlanner>(fleet.affinity)) {}
 
 AffinityRouter::~AffinityRouter() {
-  loop_.cancel(tick_);
-  loop_.cancel(feed_);
+  loop_.cancel(check_timer_);
+  loop_.cancel(planner_timer_);
 }
 
 void AffinityRouter::watch(const std::vector<std::shared_ptr<Pool>>& pools) {
   pools_.assign(pools.begin(), pools.end());
-  fed_at_ = 0;
-  loop_.cancel(feed_);
-  feed_ = 0;
-  if (!pools_.empty()) feed();
+  sent_at_ = 0;
+  loop_.cancel(planner_timer_);
+  planner_timer_ = 0;
+  if (!pools_.empty()) update_planner();
 }
 
-// What the planner sees: all backends of the list, once it is told. Who is out by hand is so at this node
-// alone.
-void AffinityRouter::feed() {
-  feed_ = loop_.after(kFeedEvery, [this] { feed(); });
+// Sends the planner all listed backends, once every pool has its list. Bans are left out: they apply to this
+// node alone, while the plan is the fleet's.
+void AffinityRouter::update_planner() {
+  planner_timer_ = loop_.after(kListCheckInterval, [this] { update_planner(); });
   std::uint64_t changes = 0;
   for (const auto& watched : pools_) {
     const std::shared_ptr<Pool> pool = watched.lock();
     if (!pool || !pool->told()) return;
     changes += pool->list_changes();
   }
-  if (changes == seen_ && loop_.now() - fed_at_ < kWarmEvery) return;
-  seen_ = changes;
-  fed_at_ = loop_.now();
+  if (changes == list_changes_ && loop_.now() - sent_at_ < kWarmthUpdateInterval) return;
+  list_changes_ = changes;
+  sent_at_ = loop_.now();
   std::vector<affinity::BackendSeen> backends;
   for (const auto& watched : pools_) {
     const std::shared_ptr<Pool> pool = watched.lock();
@@ -103,46 +103,49 @@
     }
   }
   std::sort(backends.begin(), backends.end(), [](const auto& a, const auto& b) { return a.name < b.name; });
-  if (ever_told_ && std::equal(backends.begin(), backends.end(), told_.begin(), told_.end(), same)) return;
-  ever_told_ = true;
-  told_ = backends;
+  if (ever_sent_ &&
+      std::equal(backends.begin(), backends.end(), sent_to_planner_.begin(), sent_to_planner_.end(), same))
+    return;
+  ever_sent_ = true;
+  sent_to_planner_ = backends;
   planner_->put(std::move(backends));
 }
 
-AffinityRouter::Said AffinityRouter::answer(const affinity::Bindings::Said& said,
-                                            const std::shared_ptr<Pool>& pool) {
-  Said out{said.go, said.why, {}, said.place};
+AffinityRouter::Decision AffinityRouter::decision_of(const affinity::Bindings::Said& said,
+                                                     const std::shared_ptr<Pool>& pool) {
+  Decision decision{said.go, said.why, {}, said.place};
   if (said.unit != nullptr) {
-    // It was seen a moment ago, on this thread.
+    // The unit is known: it was looked up a moment ago, on this thread.
     const To to = said.to;
-    out.home = pool->see(kind_of(to), *said.unit)->unit;
-    out.home.only = said.go == Go::kOnly;
+    decision.home = pool->find_unit(kind_of(to), *said.unit)->unit;
+    decision.home.only = said.go == Go::kOnly;
   }
   if (said.place >= 0) {
     const auto n = static_cast<std::size_t>(said.place);
     if (places_.size() <= n) places_.resize(n + 1);
     places_[n] = pool;
-    if (tick_ == 0) tick_ = loop_.after(kLookEvery, [this] { look_after(); });
+    if (check_timer_ == 0) check_timer_ = loop_.after(kCheckInterval, [this] { check_places(); });
   }
-  return out;
+  return decision;
 }
 
-AffinityRouter::Said AffinityRouter::arrive(RequestId request, const affinity::Found& found,
-                                            const std::shared_ptr<Pool>& pool, Millis due) {
+AffinityRouter::Decision AffinityRouter::route(RequestId request, const affinity::Found& found,
+                                               const std::shared_ptr<Pool>& pool, Millis due) {
   const Millis now = fleet::boot_now();
-  const affinity::Bindings::Look look = [&pool](To to, const std::string& unit) {
+  const affinity::Bindings::Look find_standing = [&pool](To to, const std::string& unit) {
     return standing(*pool, to, unit);
   };
-  return answer(bindings_.arrive(request, found, valid(now), now + (due - loop_.now()), now, look), pool);
+  return decision_of(
+      bindings_.arrive(request, found, valid(now), now + (due - loop_.now()), now, find_standing), pool);
 }
 
-AffinityRouter::Said AffinityRouter::again(int place) {
+AffinityRouter::Decision AffinityRouter::reconsider(int place) {
   const Millis now = fleet::boot_now();
   const std::shared_ptr<Pool> pool = places_[static_cast<std::size_t>(place)].lock();
-  const affinity::Bindings::Look look = [&pool](To to, const std::string& unit) {
+  const affinity::Bindings::Look find_standing = [&pool](To to, const std::string& unit) {
     return standing(*pool, to, unit);
   };
-  return answer(bindings_.again(place, valid(now), now, look), pool);
+  return decision_of(bindings_.again(place, valid(now), now, find_standing), pool);
 }
 
 void AffinityRouter::leave(int place) {
@@ -150,31 +153,31 @@
   bindings_.leave(place);
 }
 
-bool AffinityRouter::told() const { return port_.last() != nullptr || loop_.now() >= told_by_; }
+bool AffinityRouter::plan_settled() const { return port_.last() != nullptr || loop_.now() >= first_plan_by_; }
 
 bool AffinityRouter::may_send(int place) { return bindings_.may_send(place, valid(fleet::boot_now())); }
 
-void AffinityRouter::over(int place) {
+void AffinityRouter::release(int place) {
   places_[static_cast<std::size_t>(place)].reset();
   bindings_.over(place);
-  quiet();
+  report_quiet_slots();
 }
 
-void AffinityRouter::quiet() {
+void AffinityRouter::report_quiet_slots() {
   if (bindings_.quiet() && port_.last() != nullptr) port_.slots_quiet();
 }
 
-void AffinityRouter::take_up() {
+void AffinityRouter::apply_snapshot() {
   bindings_.take_up(*port_.last(), fleet::boot_now());
-  quiet();
+  report_quiet_slots();
   if (!bindings_.busy()) return;
-  // Not from within a request's handler.
-  loop_.cancel(tick_);
-  tick_ = loop_.after(0, [this] { look_after(); });
+  // Deferred, as this may run within a request's handler.
+  loop_.cancel(check_timer_);
+  check_timer_ = loop_.after(0, [this] { check_places(); });
 }
 
-void AffinityRouter::look_after() {
-  tick_ = bindings_.busy() ? loop_.after(kLookEvery, [this] { look_after(); }) : 0;
+void AffinityRouter::check_places() {
+  check_timer_ = bindings_.busy() ? loop_.after(kCheckInterval, [this] { check_places(); }) : 0;
   const Millis now = fleet::boot_now();
   const auto anywhere = [this](To to, const std::string& unit) {
     std::optional<Standing> found;
@@ -186,10 +189,10 @@
   };
   for (const int place : bindings_.call_off(valid(now), now, anywhere)) {
     const std::shared_ptr<Pool> pool = places_[static_cast<std::size_t>(place)].lock();
-    if (pool) pool->call_off(bindings_.request_of(place));
+    if (pool) pool->cancel(bindings_.request_of(place));
   }
   const std::vector<int> waiting = bindings_.waiting();
-  for (const int place : waiting) again_(bindings_.request_of(place));
+  for (const int place : waiting) reconsider_(bindings_.request_of(place));
 }
 
 void AffinityRouter::log_counters() const {
--- a/src/node/affinity_router.h
+++ b/src/node/affinity_router.h
@@ -1,7 +1,8 @@
-// Rules of affinity at one process, on the traffic's thread: which requests they take, where those may go
-// now, who waits, what is under way in closed slots, and the list of backends that the planner goes by. Owns
-// the places of requests (affinity/bindings.h) and the clock that they are looked after by. It must never
-// choose a backend within a unit, never answer a client, and never say that slots are quiet before they are.
+// Affinity rules in this process, on the traffic thread: which requests a rule matches, where those may go
+// now, which wait for a slot and which are in flight in closed slots; also feeds the planner its list of
+// backends. Owns the places of requests (affinity/bindings.h) and the timer that checks them. Chooses no
+// backend within a unit and answers no client. Slots are reported quiet only once nothing is in flight in
+// them: a slot that moved earlier would have two backends serve one key at once.
 #pragma once
 
 #include <functional>
@@ -22,20 +23,20 @@
 
 class Pool;
 
-class AffinityRouter : public Holder {
+class AffinityRouter : public AffinityPlaces {
  public:
-  // `again`: called for each request that waits, when it may be time to ask again().
+  // `reconsider` is called for each waiting request when it may be time to call reconsider().
   AffinityRouter(Loop& loop, const FleetConfig& fleet, fleet::Port& port,
-                 std::function<void(RequestId)> again);
+                 std::function<void(RequestId)> reconsider);
   ~AffinityRouter() override;
   AffinityRouter(const AffinityRouter&) = delete;
   AffinityRouter& operator=(const AffinityRouter&) = delete;
 
   const std::shared_ptr<AffinityPlanner>& planner() const { return planner_; }
-  void watch(
-      const std::vector<std::shared_ptr<Pool>>& pools);  // whose backends the planner goes by; none: no more
+  // The pools whose backends the planner uses from now on; with none, its list is updated no more.
+  void watch(const std::vector<std::shared_ptr<Pool>>& pools);
 
-  struct Said {
+  struct Decision {
     affinity::Go go = affinity::Go::kFree;
     affinity::Why why = affinity::Why::kNoKey;
     Unit home{};     // kOnly, kPrefer
@@ -44,45 +45,48 @@
   std::optional<affinity::Found> find(const affinity::Request& request) const {
     return affinity::find(bindings_.rules(), request);
   }
+  // Whether a request of this rule may go to no other unit.
   bool must(const affinity::Found& found) const { return bindings_.rules()[found.rule].must; }
-  // `due`: its client's time, as the loop counts.
-  Said arrive(RequestId request, const affinity::Found& found, const std::shared_ptr<Pool>& pool, Millis due);
-  Said again(int place);
-  void leave(int place);  // its client has gone while it waited
+  // `due`: the request's deadline on the loop's clock.
+  Decision route(RequestId request, const affinity::Found& found, const std::shared_ptr<Pool>& pool,
+                 Millis due);
+  Decision reconsider(int place);  // decides again for a request that waits
+  void leave(int place);           // a waiting request has ended
 
   bool may_send(int place) override;
-  void over(int place) override;
+  void release(int place) override;
 
-  void take_up();  // the port has a newer snapshot
-  // Whether a plan was ever in force, or none can be hoped for: until then clients are better off elsewhere.
-  bool told() const;
+  void apply_snapshot();  // the port has a newer snapshot
+  // Whether a plan has been received, or the time to wait for one is over. Until then clients are better
+  // served by other processes.
+  bool plan_settled() const;
   bool busy() const { return bindings_.busy(); }
   void log_counters() const;
 
  private:
   bool valid(Millis now) const { return port_.valid(now) != nullptr; }
-  Said answer(const affinity::Bindings::Said& said, const std::shared_ptr<Pool>& pool);
-  void look_after();
-  void feed();
-  void quiet();
+  Decision decision_of(const affinity::Bindings::Said& said, const std::shared_ptr<Pool>& pool);
+  void check_places();
+  void update_planner();
+  void report_quiet_slots();
 
   Loop& loop_;
   fleet::Port& port_;
-  const Millis told_by_;
-  const std::function<void(RequestId)> again_;
+  const Millis first_plan_by_;
+  const std::function<void(RequestId)> reconsider_;
   affinity::Bindings bindings_;
   const std::shared_ptr<AffinityPlanner> planner_;
   std::vector<std::weak_ptr<Pool>> pools_;   // watched
-  std::vector<std::weak_ptr<Pool>> places_;  // the pool of each place, which lives for as long as it
-  std::vector<affinity::BackendSeen> told_;  // to the planner
-  bool ever_told_ = false;
-  std::uint64_t seen_ = 0;  // changes of the list
-  Millis fed_at_ = 0;
-  Loop::TimerId tick_ = 0;
-  Loop::TimerId feed_ = 0;
+  std::vector<std::weak_ptr<Pool>> places_;  // the pool of each place
+  std::vector<affinity::BackendSeen> sent_to_planner_;
+  bool ever_sent_ = false;
+  std::uint64_t list_changes_ = 0;  // of all pools, when the list was last sent
+  Millis sent_at_ = 0;
+  Loop::TimerId check_timer_ = 0;
+  Loop::TimerId planner_timer_ = 0;
 };
 
-// What a refusal for a key's sake says.
+// The body text of a refusal by an affinity rule.
 const char* cause_of(affinity::Why why);
 
 }  // namespace shorelead::node
--- a/src/node/client.cpp
+++ b/src/node/client.cpp
@@ -10,8 +10,8 @@
 namespace shorelead::node {
 namespace {
 
-constexpr std::size_t kMostAhead = 131072;  // bytes taken of what follows the request at hand
-constexpr int kMostReads = 16;              // at once, of what lies there: a long request and what follows it
+constexpr std::size_t kMaxReadAhead = 131072;  // bytes buffered after the current request
+constexpr int kMaxReads = 16;  // in one read_all(): enough for a long request and some after it
 
 }  // namespace
 
@@ -21,23 +21,23 @@
     if (!lingering_close.drop(size, loop_.now())) host_.forget(*this, Ending::kDone);
     return;
   }
-  input_at = loop_.now() - stream.waited();
+  last_input_at = loop_.now() - stream.waited();
   if (state == State::kReading) return read();
   if (forwarding_request_body()) return take_request_body();
-  if (stream.input().size() > kMostAhead) stream.want_input(false);
+  if (stream.input().size() > kMaxReadAhead) stream.want_input(false);
 }
 
 void Client::read() {
   std::string& input = stream.input();
   if (input.empty()) return;
-  if (begun_at == 0) begun_at = input_at;
+  if (request_started_at == 0) request_started_at = last_input_at;
   const Parser::State parsed = message->parser.advance(input);
   if (parsed == Parser::State::kBad) {
     return answer(message->parser.refusal(), message->parser.cause(), 0, true);
   }
   if (parsed != Parser::State::kDone) {
-    if (parsed == Parser::State::kBody && !told_to_go_on_ && message->head().find(input, "expect")) {
-      told_to_go_on_ = true;
+    if (parsed == Parser::State::kBody && !sent_continue_ && message->head().find(input, "expect")) {
+      sent_continue_ = true;
       const std::array<std::string_view, 1> pieces = {"HTTP/1.1 100 Continue\r\n\r\n"};
       stream.send(pieces);
     }
@@ -45,7 +45,7 @@
     return;
   }
   if (left_while_unread()) return;
-  // The message keeps its bytes, whatever comes in after them.
+  // The message takes its bytes; later input stays in the stream's buffer.
   const std::size_t size = message->parser.size();
   std::string rest = input.size() > size ? input.substr(size) : std::string();
   message->raw = std::move(input);
@@ -53,12 +53,13 @@
   input = std::move(rest);
   keep_alive_ = message->head().keep_alive;
   used = true;
-  stand_unused(false);
+  set_unused(false);
   state = State::kWaiting;
   host_.begin(*this);
 }
 
-// Guards against sending on for a client that left while its request lay unread: that end came right behind.
+// Drops a request whose client closed the connection right after it, before it was read: nobody waits for the
+// response.
 bool Client::left_while_unread() {
   if (!stream.ended()) return false;
   host_.left_early();
@@ -67,29 +68,29 @@
 }
 
 void Client::read_all() {
-  for (int read = 0; read < kMostReads && stream.read_now(); ++read) continue;
+  for (int read = 0; read < kMaxReads && stream.read_now(); ++read) continue;
 }
 
 bool Client::still_waits() {
   if (!stream.open()) return false;
   if (!stream.ended()) return true;
-  // Not from within the caller, who is busy with this very request.
+  // Deferred, as the caller is in the middle of handling this request.
   loop_.later([this, hold = shared_from_this()] {
     if (stream.open()) on_end(stream, Ending::kPeerClosed);
   });
   return false;
 }
 
-// ---- a request's body that comes by parts ----
+// ---- streamed request bodies ----
 
 void Client::begin_request_body() {
   if (left_while_unread()) return;
   used = true;
-  stand_unused(false);
+  set_unused(false);
   state = State::kWaiting;
-  cut_short = true;
+  streamed_body = true;
   const auto& flows = host_.flows();
-  // Never sent on, so trying again is harmless.
+  // No attempt was made, so a repeat is harmless.
   if (!flows || !flows->room())
     return answer(flows ? 503 : 413, "no memory for one more large body", 0, true);
   message->raw = std::exchange(stream.input(), {});
@@ -107,27 +108,26 @@
   message->raw += std::exchange(stream.input(), {});
   const Parser::State parsed = message->parser.advance(message->raw);
   if (parsed == Parser::State::kBad) {
-    return host_.break_off(*this, message->parser.refusal(), message->parser.cause(),
-                           manage::RequestEnd::kLeft);
+    return host_.abort(*this, message->parser.refusal(), message->parser.cause(), manage::RequestEnd::kLeft);
   }
   std::string part = message->parser.take_body(message->raw);
   if (parsed == Parser::State::kDone) {
     stream.input() = message->raw.substr(message->parser.size());
     message->raw.resize(message->parser.size());
-    host_.whole(*this);
+    host_.body_complete(*this);
     return taking->end(std::move(part));
   }
   taking->put(std::move(part));
 }
 
-// ---- answers ----
+// ---- responses ----
 
-void Client::pass_on(const Message& answer, std::shared_ptr<net::Flow> flow) {
+void Client::forward(const Message& response, std::shared_ptr<net::Flow> flow) {
   host_.answered(200);
   response_forwarder = std::make_shared<ResponseForwarder>(std::move(flow), message->head().minor, last());
   state = State::kForwarding;
   response_forwarder->begin(
-      stream, answer, [this] { pump(); }, loop_.now());
+      stream, response, [this] { pump(); }, loop_.now());
   pump();
 }
 
@@ -135,13 +135,13 @@
   if (state != State::kForwarding || !stream.open() || !stream.flushed()) return;
   const std::shared_ptr<ResponseForwarder> hold = response_forwarder;
   switch (hold->pump(stream, loop_.now())) {
-    case ResponseForwarder::Step::kGoesOn:
+    case ResponseForwarder::Step::kContinues:
       return;
-    case ResponseForwarder::Step::kWhole:
+    case ResponseForwarder::Step::kComplete:
       host_.release(*this, manage::RequestEnd::kPassed);
       return answered(hold->last());
-    case ResponseForwarder::Step::kCut:
-      // The client must see that it is not whole: an end of the connection alone may be one of the body.
+    case ResponseForwarder::Step::kTruncated:
+      // The client has to see that the response is truncated: a plain close may mean the end of the body.
       host_.release(*this, manage::RequestEnd::kBadGateway);
       if (hold->ends_with_connection()) stream.reset_on_close();
       host_.forget(*this, Ending::kBroken);
@@ -159,77 +159,78 @@
   }
 }
 
-void Client::answer(const Refusal& words, bool end) {
-  host_.answered(words.status);
-  if (end) keep_alive_ = false;
-  const bool bye = last();
-  const std::string_view line = words.cause;
-  const std::string head = own_head(words, line.size() + 1, bye);
+void Client::answer(const Refusal& refusal, bool force_close) {
+  host_.answered(refusal.status);
+  if (force_close) keep_alive_ = false;
+  const bool closes = last();
+  const std::string_view line = refusal.cause;
+  const std::string head = generated_head(refusal, line.size() + 1, closes);
   const std::array<std::string_view, 3> pieces = {head, line, "\n"};
   stream.send(pieces);
-  answered(bye);
+  answered(closes);
 }
 
-void Client::pass(const Message& answer) {
+void Client::send(const Message& response) {
   host_.answered(200);
-  const bool bye = last();
-  pass_whole(stream, answer, message->head().method.in(message->raw) == "HEAD", bye);
-  answered(bye);
+  const bool closes = last();
+  send_complete(stream, response, message->head().method.in(message->raw) == "HEAD", closes);
+  answered(closes);
 }
 
-// Guards against letting go of a request that has come already behind this one: it was taken, and whoever
-// sent it waits for its answer.
+// Where only the host asks for the close, the connection stays open while there is unread input: a request
+// that has been received already has to be answered.
 bool Client::last() const {
-  return !keep_alive_ || forwarding_request_body() || (host_.ends_with(*this) && stream.quiet());
+  return !keep_alive_ || forwarding_request_body() || (host_.is_last(*this) && stream.quiet());
 }
 
-void Client::stand_unused(bool unused) {
-  if (unused != std::exchange(counted_, unused)) host_.unused(unused);
+void Client::set_unused(bool unused) {
+  if (unused != std::exchange(counted_unused_, unused)) host_.count_unused(unused);
 }
 
-void Client::answered(bool bye) {
+void Client::answered(bool closes) {
   leave_bodies();
   request = 0;
-  begun_at = 0;
-  told_to_go_on_ = false;
+  request_started_at = 0;
+  sent_continue_ = false;
   last_used = loop_.now();
   answered_before = true;
-  stand_unused(!bye);
-  if (bye) {
+  set_unused(!closes);
+  if (closes) {
     return end_sending();
   }
   state = State::kReading;
-  host_.free_again();
+  host_.became_idle();
   message = std::make_shared<Message>(Parser::Kind::kRequest, net::kMostLength);
   stream.want_input(true);
   if (stream.input().empty()) return;
-  // The next request has come already; not from within this one's answer.
+  // A further request has been received already; deferred, as this may run within the handling of the last
+  // one.
   loop_.later([this, hold = shared_from_this()] {
     if (stream.open() && state == State::kReading) guarded(&Client::read);
   });
 }
 
-// By halves: with bytes unread, a close would reset the connection and take the answer along.
+// Half-closes: a full close with unread bytes would reset the connection, and the response could be lost.
 void Client::end_sending() {
   state = State::kClosing;
-  lingering_close.begin(loop_.now(), cut_short);
+  lingering_close.begin(loop_.now(), streamed_body);
   stream.want_input(true);
   if (stream.flushed()) stream.close_sending();
 }
 
-bool Client::part() {
+bool Client::close_idle() {
   if (!guard::may_close_client({.under_way = !idle(), .unread = !stream.quiet()})) return false;
-  stand_unused(false);
+  set_unused(false);
   end_sending();
   return true;
 }
 
-bool Client::yield() {
+bool Client::try_evict() {
   if (state == State::kClosing) {
     stream.read_now();
     return !stream.open() || stream.quiet();
   }
-  return part() && stream.flushed() && stream.quiet();
+  return close_idle() && stream.flushed() && stream.quiet();
 }
 
 void Client::on_flushed(Stream&) {
@@ -243,7 +244,7 @@
   if (state == State::kWaiting || state == State::kForwarding)
     host_.release(*this, manage::RequestEnd::kLeft);
   host_.forget(*this, ending);
-  if (gone != 0) host_.gone(gone);
+  if (gone != 0) host_.client_gone(gone);
 }
 
 }  // namespace shorelead::node
--- a/src/node/client.h
+++ b/src/node/client.h
@@ -1,6 +1,6 @@
-// One client's connection: requests on it, one after the other, and the answers to them. It owns the bytes of
-// the request at hand, and whether the connection goes on behind its answer. It must never choose an answer,
-// nor answer a request twice.
+// A client connection: reads its requests one at a time and writes their responses. Owns the bytes of the
+// current request and decides whether the connection stays open after its response. The response itself is
+// the caller's.
 #pragma once
 
 #include <memory>
@@ -22,53 +22,56 @@
  public:
   enum class State { kReading, kWaiting, kForwarding, kClosing };
 
-  // Who took it in.
+  // Implemented by the owner of the connection.
   class Host {
    public:
     virtual ~Host() = default;
-    virtual void begin(Client& client) = 0;  // the request at hand, whole or with its body still to come
-    virtual void whole(Client& client) = 0;  // that body has come
-    // The request cannot be gone on with: it is answered so, and nothing more of it runs.
-    virtual void break_off(Client& client, int status, const char* cause, manage::RequestEnd end) = 0;
-    virtual void release(Client& client, manage::RequestEnd end) = 0;  // the request is over
-    virtual void forget(Client& client, Ending why) = 0;               // the connection is
-    virtual void gone(RequestId request) = 0;                          // nobody waits for its answer any more
-    virtual bool ends_with(const Client& client) const = 0;            // the answer at hand is to be its last
+    // A request has been received: whole, or its head where the body is streamed.
+    virtual void begin(Client& client) = 0;
+    virtual void body_complete(Client& client) = 0;  // a streamed body
+    // Aborts the request: the client is answered with `status`, and all attempts end.
+    virtual void abort(Client& client, int status, const char* cause, manage::RequestEnd end) = 0;
+    virtual void release(Client& client, manage::RequestEnd end) = 0;  // the request has ended
+    virtual void forget(Client& client, Ending why) = 0;               // closes the connection
+    virtual void client_gone(RequestId request) = 0;       // nobody waits for the response any more
+    virtual bool is_last(const Client& client) const = 0;  // whether to close after the current response
     virtual void answered(int status) = 0;
-    virtual void left_early() = 0;  // it was gone when its request was read
-    virtual void left_unanswered(const Client& client, Ending why) = 0;  // and here while it waited
-    virtual void unused(bool stands) = 0;  // one more, or one less, has asked and stands unused
-    virtual void free_again() = 0;         // it has had its answer and may give way
+    virtual void left_early() = 0;  // the client had gone when its request was read
+    // The client has gone while it waited for its response.
+    virtual void left_unanswered(const Client& client, Ending why) = 0;
+    virtual void count_unused(bool unused) = 0;  // the connection is idle after a request, or no longer
+    virtual void became_idle() = 0;              // the response is sent; the connection may be evicted
     virtual const std::shared_ptr<net::FlowBudget>& flows() const = 0;
   };
 
   Client(Loop& loop, Host& host, int fd) : stream(loop, *this, fd), loop_(loop), host_(host) {
-    last_used = input_at = loop.now();
+    last_used = last_input_at = loop.now();
   }
 
-  // Between requests, as far as has been read.
-  bool idle() const { return state == State::kReading && begun_at == 0; }
-  // Since when part of a request has lain here; 0: none does.
-  Millis partial_since() const { return state == State::kReading ? begun_at : 0; }
+  // Between requests, by the input read so far.
+  bool idle() const { return state == State::kReading && request_started_at == 0; }
+  // Since when a request has been incomplete; 0: none is.
+  Millis partial_since() const { return state == State::kReading ? request_started_at : 0; }
   bool forwarding_request_body() const { return request_body != nullptr && !request_body->ended(); }
 
-  void answer(const Refusal& words, bool end);
-  void answer(int status, const char* words, Millis wait, bool end) {
-    answer({status, words, "", wait}, end);
+  // Answers with a response of this node's own; `force_close`: the connection closes after it in any case.
+  void answer(const Refusal& refusal, bool force_close);
+  void answer(int status, const char* cause, Millis retry_after, bool force_close) {
+    answer({status, cause, "", retry_after}, force_close);
   }
-  void pass(const Message& message);
-  void pass_on(const Message& answer, std::shared_ptr<net::Flow> flow);  // while it comes
-  void read_all();  // whatever lies there to be read, as far as it would be kept
-  // Whether it still waits for its answer: looked at just before an attempt is written, so that none begins
-  // for one whose end has come in but was not taken in yet. If not, its end is handled next.
+  void send(const Message& response);                                      // a complete one
+  void forward(const Message& response, std::shared_ptr<net::Flow> flow);  // while its body is received
+  void read_all();  // all pending input, up to the limit of what is kept
+  // Whether the client still waits for its response. Checked just before an attempt is written, so that none
+  // starts after the client's end has arrived but has not been handled; if so, that is handled next.
   bool still_waits();
-  // Ends an unused connection by halves: what crosses that is dropped, and never resets it. False where
-  // something has come in, which is to be read first.
-  bool part();
-  // The same where its descriptor is needed at once: whether the connection may be closed now.
-  bool yield();
-  void leave_bodies();             // both end with the request or the connection
-  void stand_unused(bool unused);  // counts it among those that have asked and stand unused, or no longer
+  // Half-closes an idle connection: a request that crosses this is dropped without a reset. False if there is
+  // unread input, which has to be read first.
+  bool close_idle();
+  // The same if its descriptor is needed at once: whether the connection may be closed now.
+  bool try_evict();
+  void leave_bodies();           // ends the forwarding of both bodies
+  void set_unused(bool unused);  // idle after its first request
 
   Stream stream;
   State state = State::kReading;
@@ -77,26 +80,26 @@
   std::string class_name;  // of that request
   bool used = false;       // has carried a request
   bool answered_before = false;
-  Millis begun_at = 0;  // when the request at hand began to come in; 0 = none has
-  Millis input_at = 0;  // when the system took in what was read last
+  Millis request_started_at = 0;  // when the first byte of the current request was read; 0 = none was
+  Millis last_input_at = 0;       // when the system received the bytes that were read last
   Millis last_used = 0;
-  bool taken = false;                                     // the request is in the request counters
-  Millis wait = 0;                                        // that its client named
-  std::shared_ptr<RequestBodyForwarder> request_body;     // its body, where that comes by parts
-  std::shared_ptr<ResponseForwarder> response_forwarder;  // the answer's
-  bool cut_short = false;          // its body comes, or came, by parts: it may be answered in the middle
-  LingeringClose lingering_close;  // once it is closing
+  bool counted = false;                                   // the request is in the request counters
+  Millis timeout = 0;                                     // the client's, less the time in transit
+  std::shared_ptr<RequestBodyForwarder> request_body;     // null: the body is not streamed
+  std::shared_ptr<ResponseForwarder> response_forwarder;  // null: no response is streamed
+  bool streamed_body = false;      // had a streamed body, so its response may precede the end of that
+  LingeringClose lingering_close;  // while closing
 
  private:
   void on_input(Stream&) override { guarded(&Client::take_input); }
   void on_flushed(Stream&) override;
   void on_end(Stream&, Ending ending) override;
-  // Guards against a request without an answer where its handling throws.
+  // Runs a step so that the request is answered even if the step throws.
   void guarded(void (Client::*step)()) {
     const std::shared_ptr<Client> hold = shared_from_this();
     node::guarded(
         request, [&] { (this->*step)(); },
-        [&] { host_.break_off(*this, 500, "failed within this node", manage::RequestEnd::kBadGateway); });
+        [&] { host_.abort(*this, 500, "failed within this node", manage::RequestEnd::kBadGateway); });
   }
   void take_input();
   void read();
@@ -106,13 +109,13 @@
   bool last() const;
   bool left_while_unread();
   void end_sending();
-  void answered(bool bye);
+  void answered(bool closes);
 
   Loop& loop_;
   Host& host_;
   bool keep_alive_ = true;
-  bool counted_ = false;  // among the unused
-  bool told_to_go_on_ = false;
+  bool counted_unused_ = false;
+  bool sent_continue_ = false;  // 100 Continue, for the current request
 };
 
 }  // namespace shorelead::node
--- a/src/node/client_timeouts.h
+++ b/src/node/client_timeouts.h
@@ -1,5 +1,5 @@
-// For how long a client may stand unused, be slow, or keep its connection after its last answer. Owns these
-// times and what they mean for a connection; it must never close one.
+// Time-outs of client connections: for idle and for slow clients, and for a client to close after its last
+// response. Decides which connections are overdue; the caller closes them.
 #pragma once
 
 #include "manage/drain.h"
@@ -8,26 +8,27 @@
 namespace shorelead::node {
 
 struct ClientTimeouts {
-  // For the first request on a connection, for the head of one that has begun, and for the next bytes of one:
-  // who has stopped is owed an error within 3 s. A body has as much longer as it takes at the least rate.
-  // Slower clients than those of two seconds for a head are taken for dead.
+  // For the first request on a connection, for a whole head, and between two reads of a request: a client
+  // that has stopped sending gets an error within 3 s. A body has the time in addition that it takes at the
+  // minimum rate.
   Millis request = 2500;
-  Millis idle = 300000;        // for the next one
+  Millis idle = 300000;        // for the next request
   Millis idle_crowded = 2000;  // the same where many connections are open
-  Millis speak = 250;          // a new client that has said nothing for so long gives way where room is short
-  Millis sweep = 250;          // how often all these are looked after
+  Millis speak = 250;          // after which a new client that sent nothing may be evicted
+  Millis sweep = 250;          // how often connections are checked
 
-  // Little is lost if it is closed now: it had its answer and asks for nothing yet, or it has connected and
-  // said nothing for longer than `speak`, as one does who has something to ask.
-  bool dispensable(const Client& client, Millis now) const;
-  // Whether its time is up, by this node's drain and whether there is plenty of room.
+  // Whether the connection may be evicted when descriptors are short: it has had its response and no further
+  // request has begun, or it is new and has sent nothing for `speak`, which a client with a request would
+  // have used.
+  bool may_evict(const Client& client, Millis now) const;
+  // Whether a time-out has passed. `roomy`: descriptors are plentiful, so an idle connection may stay.
   bool overdue(const Client& client, Millis now, manage::DrainState drain, bool roomy) const;
 
  private:
-  // Whether it has brought nothing for so long, though it was free to.
+  // Whether the client has sent nothing for `request`, while this node was reading.
   bool stopped(const Client& client, Millis now) const;
-  // Whether it brings less than the least rate, for what it has brought so far; while this node holds it
-  // back, time stands.
+  // Whether the client has sent less than the minimum rate so far. Time in which this node did not read does
+  // not count.
   bool slow(const Client& client, Millis now) const;
 };
 
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -1,5 +1,5 @@
-// What the policy host has for its host to do, from when it was decided until the host comes for it. Owns
-// that list; it must never decide, nor do any of it.
+// Actions that the policy host has decided on and that its caller carries out: the queue between the decision
+// and the next tick(). Makes no decision and carries out none.
 #pragma once
 
 #include <algorithm>
@@ -10,36 +10,36 @@
 
 namespace shorelead::node {
 
-// What is to be done about a request now.
+// What the caller does about a request now.
 struct Choice {
   enum class Kind {
-    kHold,    // nothing yet; a later tick() tells
-    kSend,    // send it to `backend`, until `until`, by `begin_by`
-    kRefuse,  // answer that trying again is harmless, after `wait` if that is not 0
-    kFail,    // answer that it failed
-    kPass,    // pass on the answer that has just been reported
-    kOver,    // nothing: it had its answer before
+    kPending,  // nothing yet; a later tick() says more
+    kSend,     // send an attempt to `backend`, which ends at `deadline`
+    kRefuse,   // refuse it: a repeat is harmless, after `retry_after` if that is not 0
+    kFail,     // answer that it failed
+    kForward,  // forward the response that has just been reported
+    kEnded,    // nothing: the request has ended already
   };
-  Kind kind = Kind::kHold;
+  Kind kind = Kind::kPending;
   RequestId request = 0;
   BackendId backend = 0;
   int attempt = 0;
-  Millis until = 0;
-  Millis begin_by = 0;  // its last byte may not go out from then on
-  Millis wait = 0;
+  Millis deadline = 0;
+  Millis begin_by = 0;  // the last byte of the attempt has to be written before then
+  Millis retry_after = 0;
 };
 
-// What has fallen due, in the order in which it is to be done.
+// The actions that are due, in the order in which they are carried out.
 struct DeferredActions {
   std::vector<Choice> choices;
-  std::vector<std::pair<RequestId, int>> call_off;  // attempts that nobody waits for any more
+  std::vector<std::pair<RequestId, int>> cancellations;  // attempts whose response nobody waits for
   std::vector<BackendId> probes;
-  std::vector<BackendId> unwanted;  // nothing new may go there, and no connection is to be kept
-  std::vector<BackendId> crowded;   // connections there that stand unused are to be closed
-  bool watch = false;               // (re)open the watch on the list
-  Millis next = 0;                  // call tick() again by then; 0 = no need
+  std::vector<BackendId> unwanted;    // take no new attempts; their connections are closed
+  std::vector<BackendId> close_idle;  // their idle connections are closed
+  bool start_watch = false;           // open the watch on the endpoint list (again)
+  Millis next = 0;                    // when tick() is due; 0 = not at all
 
-  // What has just been decided of this request, if anything; what came up of others waits.
+  // Removes and returns the choice that was just made for this request, if any; those of others stay queued.
   Choice take(RequestId request, Choice::Kind otherwise) {
     const auto it = std::find_if(choices.begin(), choices.end(),
                                  [request](const Choice& choice) { return choice.request == request; });
@@ -49,17 +49,17 @@
     return found;
   }
 
-  // What was decided for backends that nothing may go to any more, and is not to be done.
+  // Removes and returns the attempts and probes for backends that have become unavailable.
   template <typename Wanted>
   std::pair<std::vector<Choice>, std::vector<BackendId>> take_unwanted(const Wanted& wanted) {
     const auto sends = std::stable_partition(choices.begin(), choices.end(), [&wanted](const Choice& choice) {
       return choice.kind != Choice::Kind::kSend || wanted(choice.backend);
     });
-    const auto asks = std::stable_partition(probes.begin(), probes.end(), wanted);
+    const auto unwanted_probes = std::stable_partition(probes.begin(), probes.end(), wanted);
     std::pair<std::vector<Choice>, std::vector<BackendId>> found{{sends, choices.end()},
-                                                                 {asks, probes.end()}};
+                                                                 {unwanted_probes, probes.end()}};
     choices.erase(sends, choices.end());
-    probes.erase(asks, probes.end());
+    probes.erase(unwanted_probes, probes.end());
     return found;
   }
 };
--- a/src/node/endpoint_list.cpp
+++ b/src/node/endpoint_list.cpp
@@ -132,7 +132,7 @@
   return count;
 }
 
-std::optional<Seen> EndpointList::see(Unit::Kind kind, const std::string& name) {
+std::optional<UnitState> EndpointList::find_unit(Unit::Kind kind, const std::string& name) {
   if (kind != Unit::Kind::kBackend) {
     if (std::exchange(units_of_, changes_) != changes_) {
       units_.clear();
@@ -141,17 +141,17 @@
         units_.put(known.listed.site, zone_number(known.listed.site), known.listed.cell, known.ready);
       }
     }
-    const Seen* const seen = units_.find(kind, name);
+    const UnitState* const seen = units_.find(kind, name);
     return seen == nullptr ? std::nullopt : std::optional(*seen);
   }
   const auto it = numbers_.find(name);
   if (it == numbers_.end()) return std::nullopt;
   const Known& known = backends_[it->second];
   using affinity::Standing;
-  return Seen{{kind, it->second},
-              known.gone    ? Standing::kGone
-              : known.ready ? Standing::kReady
-                            : Standing::kDraining};
+  return UnitState{{kind, it->second},
+                   known.gone    ? Standing::kGone
+                   : known.ready ? Standing::kReady
+                                 : Standing::kDraining};
 }
 
 // Says whether it was ready before.
--- a/src/node/endpoint_list.h
+++ b/src/node/endpoint_list.h
@@ -79,7 +79,7 @@
     return part_ ? std::optional(part_->counters()) : std::nullopt;
   }
   // The backend, cell or zone of that name, as this process sees it now; none: it knows none.
-  std::optional<Seen> see(Unit::Kind kind, const std::string& name);
+  std::optional<UnitState> find_unit(Unit::Kind kind, const std::string& name);
   std::uint64_t changes() const { return changes_; }  // of the list, counted
 
  private:
--- a/src/node/error_responses.cpp
+++ b/src/node/error_responses.cpp
@@ -36,25 +36,25 @@
 
 }  // namespace
 
-std::string own_head(const Refusal& answer, std::size_t length, bool last) {
-  std::string head = "HTTP/1.1 " + std::to_string(answer.status) + " " + reason(answer.status) + "\r\n";
-  if (answer.wait > 0) {
+std::string generated_head(const Refusal& response, std::size_t length, bool last) {
+  std::string head = "HTTP/1.1 " + std::to_string(response.status) + " " + reason(response.status) + "\r\n";
+  if (response.retry_after > 0) {
     std::array<char, 32> text{};
-    std::snprintf(text.data(), text.size(), "%.3f", answer.wait / 1000);
+    std::snprintf(text.data(), text.size(), "%.3f", response.retry_after / 1000);
     head += std::string("Retry-After: ") + text.data() + "\r\n";
   }
-  if (*answer.why != 0) head += std::string("Proxy-Status: ") + answer.why + "\r\n";
+  if (*response.proxy_status != 0) head += std::string("Proxy-Status: ") + response.proxy_status + "\r\n";
   head += "Content-Type: text/plain\r\nContent-Length: " + std::to_string(length) + "\r\n";
   if (last) head += "Connection: close\r\n";
   return head + "\r\n";
 }
 
-std::string passed_lines(std::optional<std::size_t> length, bool chunked, bool last) {
-  std::string lines;
-  if (length) lines = "Content-Length: " + std::to_string(*length) + "\r\n";
-  if (chunked) lines = "Transfer-Encoding: chunked\r\n";
-  if (last) lines += "Connection: close\r\n";
-  return lines + "\r\n";
+std::string framing_fields(std::optional<std::size_t> length, bool chunked, bool last) {
+  std::string fields;
+  if (length) fields = "Content-Length: " + std::to_string(*length) + "\r\n";
+  if (chunked) fields = "Transfer-Encoding: chunked\r\n";
+  if (last) fields += "Connection: close\r\n";
+  return fields + "\r\n";
 }
 
 }  // namespace shorelead::node
--- a/src/node/error_responses.h
+++ b/src/node/error_responses.h
@@ -1,5 +1,5 @@
-// The words of answers that this node gives itself, and of the lines that it adds to one it passes on. Pure.
-// Owns the wording alone; it must never send anything, nor know whose answer it is.
+// Heads of the responses that this node generates itself, and the framing fields that it adds to forwarded
+// ones. Pure text; sends nothing.
 #pragma once
 
 #include <optional>
@@ -10,25 +10,27 @@
 
 namespace shorelead::node {
 
-// Why a request is refused, in the published form (RFC 9209, Proxy-Status); told where processes share a
-// fleet, whose clients may hear of three reasons in one status.
-inline constexpr const char* kWhyNoRoom = "shorelead; error=destination_unavailable";
-inline constexpr const char* kWhyShortage = "shorelead; error=http_request_denied; details=\"shortage\"";
-inline constexpr const char* kWhyBudget = "shorelead; error=http_request_denied; details=\"budget\"";
-inline constexpr const char* kWhyKey = "shorelead; error=http_request_denied; details=\"affinity\"";
+// Why a request is refused, as a Proxy-Status field (RFC 9209). Sent where processes share a fleet: there one
+// status may have three causes.
+inline constexpr const char* kProxyStatusUnavailable = "shorelead; error=destination_unavailable";
+inline constexpr const char* kProxyStatusShortage =
+    "shorelead; error=http_request_denied; details=\"shortage\"";
+inline constexpr const char* kProxyStatusBudget = "shorelead; error=http_request_denied; details=\"budget\"";
+inline constexpr const char* kProxyStatusAffinity =
+    "shorelead; error=http_request_denied; details=\"affinity\"";
 
 struct Refusal {
   int status = 503;
   const char* cause = "refused, trying again is harmless";
-  const char* why = "";  // of the above; empty: not told
-  Millis wait = 0;       // before it may come back; 0: not told
+  const char* proxy_status = "";  // one of the above; empty: the field is left out
+  Millis retry_after = 0;         // 0: the field is left out
 };
 
-// Of an answer of this node's own, whose body is a line of `length` bytes with its end; `last` on its
-// connection.
-std::string own_head(const Refusal& answer, std::size_t length, bool last);
+// The head of a generated response, whose body is one line of `length` bytes including its end; `last`: the
+// connection closes after it.
+std::string generated_head(const Refusal& response, std::size_t length, bool last);
 
-// Behind the fields of an answer that is passed on.
-std::string passed_lines(std::optional<std::size_t> length, bool chunked, bool last);
+// What follows the forwarded fields of a response: framing, connection and the end of the head.
+std::string framing_fields(std::optional<std::size_t> length, bool chunked, bool last);
 
 }  // namespace shorelead::node
--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -15,8 +15,10 @@
 namespace {
 
 constexpr Millis kSecond = 1000;
-constexpr double kSoonest = 0.25;  // of the longest wait that may be told, for who meets a spent budget
-constexpr Millis kCutHolds = 2 * kSecond;  // a cut-off that was valid at the last look goes on till the next
+// Share of the longest stated wait that a client is told at least when a budget is spent; the rest is spread
+// over clients, so that they do not come back together.
+constexpr double kMinRetryAfterShare = 0.25;
+constexpr Millis kCutOffValidity = 2 * kSecond;  // of a cut-off read once a second
 
 std::vector<int> ranks_of(const plans::Order& order, const FleetConfig& fleet) {
   std::vector<int> ranks(fleet.plans.empty() ? 0 : static_cast<std::size_t>(order.ranks()));
@@ -30,19 +32,19 @@
   return worths;
 }
 
-struct OnBell : net::Watch::Handler {
-  explicit OnBell(std::function<void()> rung) : rung(std::move(rung)) {}
-  void on_readable() override { rung(); }
-  std::function<void()> rung;
+struct WakeHandler : net::Watch::Handler {
+  explicit WakeHandler(std::function<void()> wake) : wake(std::move(wake)) {}
+  void on_readable() override { wake(); }
+  std::function<void()> wake;
 };
 
 }  // namespace
 
 FleetAdmission::FleetAdmission(Loop& loop, const FleetConfig& fleet, const Config& config,
                                const std::string& name, std::uint64_t seed,
-                               const std::function<void(RequestId)>& again)
+                               const std::function<void(RequestId)>& reconsider)
     : loop_(loop),
-      wall_(loop.now() - fleet::boot_now()),
+      wall_offset_(loop.now() - fleet::boot_now()),
       fleet_(fleet),
       names_(names_of(config)),
       rules_(fleet, config),
@@ -52,7 +54,7 @@
       order_(fleet.plans, worths_of(config)),
       admission_(order_, plans::AdmissionSettings()),
       shedder_(order_.ranks(), plans::CutOffSettings(), seed),
-      counted_(order_.ranks()) {
+      rank_counts_(order_.ranks()) {
   fleet::ControlSpec spec;
   spec.store.endpoints = fleet.store;
   spec.sharing = fleet.sharing;
@@ -66,18 +68,18 @@
         std::make_shared<plans::CutOffShaper>(order_.ranks(), plans::CutOffSettings(), seed));
   }
   if (!fleet.affinity.empty()) {
-    keys_ = std::make_unique<AffinityRouter>(loop, fleet, port_, again);
-    spec.shapers.push_back(keys_->planner());
+    affinity_router_ = std::make_unique<AffinityRouter>(loop, fleet, port_, reconsider);
+    spec.shapers.push_back(affinity_router_->planner());
   }
   cease_reserve();
   control_ = std::make_unique<fleet::Control>(spec, channel_);
-  bell_ = std::make_unique<net::Descriptor>(::dup(port_.wake_fd()));
-  on_bell_ = std::make_unique<OnBell>([this] {
+  wake_fd_ = std::make_unique<net::Descriptor>(::dup(port_.wake_fd()));
+  on_wake_ = std::make_unique<WakeHandler>([this] {
     channel_->for_traffic.hush();
-    follow();
+    apply_snapshot();
   });
-  watch_ = std::make_unique<net::Watch>(loop_, *bell_, *on_bell_, true, false);
-  second_ = loop_.after(kSecond, [this] { each_second(); });
+  watch_ = std::make_unique<net::Watch>(loop_, *wake_fd_, *on_wake_, true, false);
+  each_second_timer_ = loop_.after(kSecond, [this] { each_second(); });
 }
 
 FleetAdmission::Names FleetAdmission::names_of(const Config& config) {
@@ -91,25 +93,26 @@
 }
 
 FleetAdmission::~FleetAdmission() {
-  loop_.cancel(second_);
+  loop_.cancel(each_second_timer_);
   watch_.reset();
 }
 
-void FleetAdmission::follow() {
+void FleetAdmission::apply_snapshot() {
   if (!port_.take_up()) return;
-  // Slots are given up when nothing is under way in them; without rules of affinity nothing ever is.
-  keys_ ? keys_->take_up() : port_.slots_quiet();
+  // Slots are handed over once nothing is in flight in them; without affinity rules nothing ever is.
+  affinity_router_ ? affinity_router_->apply_snapshot() : port_.slots_quiet();
   if (const fleet::Snapshot* const now = port_.last()) spdlog::debug("fleet: epoch {} in force", now->epoch);
 }
 
 void FleetAdmission::each_second() {
-  wall_ = loop_.to_wall(loop_.now()) - fleet::boot_now();
-  second_ = loop_.after(kSecond, [this] { each_second(); });
-  follow();
+  wall_offset_ = loop_.to_wall(loop_.now()) - fleet::boot_now();
+  each_second_timer_ = loop_.after(kSecond, [this] { each_second(); });
+  apply_snapshot();
   if (fleet_.plans.empty()) return;
   const Millis now = fleet::boot_now();
-  if (const fleet::Snapshot* const valid = port_.valid(now)) shedder_.told(valid->cut_off, now + kCutHolds);
-  const auto loads = counted_.since_last([this](int rank) { return cells_of(rank); });
+  if (const fleet::Snapshot* const valid = port_.valid(now))
+    shedder_.told(valid->cut_off, now + kCutOffValidity);
+  const auto loads = rank_counts_.since_last([this](int rank) { return cells_of(rank); });
   const fleet::CutOff next = shedder_.in_force(loads, channel_->traffic.room.get(), now);
   if (next == cut_off_) return;
   spdlog::info("fleet: in a shortage rank {} and {:.0f} % of it are turned away, by {}", next.rank + 1,
@@ -117,41 +120,45 @@
   cut_off_ = next;
 }
 
-FleetAdmission::Verdict FleetAdmission::admit(const Words& words, Millis aim) {
+FleetAdmission::Verdict FleetAdmission::admit(const Request& request, Millis aim) {
   Verdict verdict;
   const Millis now = fleet::boot_now();
-  if (!keys_) follow();  // maps are made ready by the bell, not on a request's path
-  // The same for a client's repeats, and spread over clients. By the same reading of the clock.
-  const plans::Coin coin(words.tenant, words.client, now + wall_);
+  // With key maps a snapshot takes long to apply, so that is done on wake-up and not on a request's path.
+  if (!affinity_router_) apply_snapshot();
+  // The same for all repeats of one client, and spread over clients; by the same reading of the clock as
+  // above.
+  const plans::Coin coin(request.tenant, request.client, now + wall_offset_);
   if (!fleet_.plans.empty()) {
-    const int plan = order_.plan_of(words.tenant);
-    const int rank = order_.rank_of(plan, words.request_class);
+    const int plan = order_.plan_of(request.tenant);
+    const int rank = order_.rank_of(plan, request.request_class);
     fleet::RankCells& cells = *port_.rank(rank);
     cells.offered.add(1);
-    const plans::Verdict said = admission_.decide(cut_off_, plan, words.request_class, coin, now);
+    const plans::Verdict said = admission_.decide(cut_off_, plan, request.request_class, coin, now);
     if (!said.taken()) {
       cells.refused.add(1);
       verdict.refused = 503;
       verdict.cause = "a shortage of the fleet, trying again later is harmless";
-      verdict.why = kWhyShortage;
-      verdict.come_back = std::min(said.come_back, words.most_wait);
+      verdict.proxy_status = kProxyStatusShortage;
+      verdict.retry_after = std::min(said.come_back, request.max_retry_after);
       return verdict;
     }
     verdict.ticket.rank = rank;
     verdict.worth = 1 - rank / std::max(1.0, order_.ranks() - 1.0);
     verdict.ticket.aim_at = now + aim;
   }
-  const std::uint64_t all = rules_.budgets_of(words.pool, words.route, words.request_class, words.tenant);
+  const std::uint64_t all =
+      rules_.budgets_of(request.pool, request.route, request.request_class, request.tenant);
   for (std::uint64_t left = all; left != 0; left &= left - 1) {
     const auto budget = static_cast<std::size_t>(std::countr_zero(left));
     const fleet::BudgetKind kind = fleet_.budgets[budget].kind;
-    if (kind == fleet::BudgetKind::kAttempts) continue;  // counted once it is taken by all
+    if (kind == fleet::BudgetKind::kAttempts) continue;  // counted once all others admit it
     if (port_.spend(budget, now) != fleet::Spent::kYes) {
-      ended(std::exchange(verdict.ticket, Ticket()), End::kGone);
+      ended(std::exchange(verdict.ticket, Ticket()), End::kClientGone);
       verdict.refused = 429;
       verdict.cause = "the fleet's budget is spent, trying again is harmless";
-      verdict.why = kWhyBudget;
-      verdict.come_back = words.most_wait * (kSoonest + (1 - kSoonest) * coin);
+      verdict.proxy_status = kProxyStatusBudget;
+      verdict.retry_after =
+          request.max_retry_after * (kMinRetryAfterShare + (1 - kMinRetryAfterShare) * coin);
       return verdict;
     }
     if (kind == fleet::BudgetKind::kAtOnce) verdict.ticket.at_once |= std::uint64_t{1} << budget;
@@ -173,13 +180,13 @@
   if (cells == nullptr) return;
   if (end == End::kServed && now <= ticket.aim_at) {
     cells->in_time.add(1);
-  } else if (end != End::kGone || now > ticket.aim_at) {
+  } else if (end != End::kClientGone || now > ticket.aim_at) {
     cells->failed.add(1);
   }
 }
 
-double FleetAdmission::attempts_left(int pool) {
-  follow();
+double FleetAdmission::retries_left(int pool) {
+  apply_snapshot();
   const Millis now = fleet::boot_now();
   double least = std::numeric_limits<double>::infinity();
   for (std::uint64_t left = rules_.attempts_of(pool); left != 0; left &= left - 1) {
@@ -188,7 +195,7 @@
   return least;
 }
 
-void FleetAdmission::attempt_made(int pool) {
+void FleetAdmission::count_retry(int pool) {
   const Millis now = fleet::boot_now();
   for (std::uint64_t left = rules_.attempts_of(pool); left != 0; left &= left - 1) {
     port_.spend(static_cast<std::size_t>(std::countr_zero(left)), now);
@@ -213,7 +220,7 @@
       c.histories.get(), c.name_taken.get(), c.refused.get(), c.elections.get(), c.resigned.get(),
       c.plans.get(), c.held.get(), c.older.get(), c.calls.get(), c.calls_lost.get(), c.watches.get(),
       c.deaf.get(), c.unreadable.get());
-  if (keys_) keys_->log_counters();
+  if (affinity_router_) affinity_router_->log_counters();
   const fleet::Snapshot* const last = port_.last();
   for (std::size_t b = 0; b < fleet_.budgets.size(); ++b) {
     const std::string& name = fleet_.budgets[b].name;
--- a/src/node/fleet_admission.h
+++ b/src/node/fleet_admission.h
@@ -1,7 +1,7 @@
-// The fleet's word on each request, on the traffic's thread: is it taken, by the budgets it spends of and by
-// its plan in a shortage; how many further attempts are left. Owns the process's end of the sharing (port,
-// control thread), the order of ranks and what is counted of each rank. It must never send, queue or answer
-// anything, and never wait for the store.
+// Admission control by the limits that the processes of a fleet share, on the traffic thread: admits a
+// request by its budgets and, in a shortage, by the rank of its tenant's plan; bounds retries. Owns this
+// process's side of the sharing (port and control thread), the order of ranks and the counters of each rank.
+// Sends, queues and answers nothing, and never waits for the store.
 #pragma once
 
 #include <cstdint>
@@ -27,29 +27,29 @@
 
 class FleetAdmission {
  public:
-  // What one request has of the fleet, until it is over.
+  // What an admitted request uses of the shared limits until it ends.
   struct Ticket {
-    std::uint64_t at_once = 0;  // budgets in use, a bit each
-    int rank = -1;              // none: no plans
-    Millis aim_at = 0;
+    std::uint64_t at_once = 0;  // concurrency budgets in use, a bit each
+    int rank = -1;              // -1: there are no plans
+    Millis aim_at = 0;          // when its class's target latency is over
   };
   struct Verdict {
-    int refused = 0;  // 0: taken; else the status to answer with
+    int refused = 0;  // the status of the refusal; 0: admitted
     const char* cause = "";
-    const char* why = "";
-    Millis come_back = 0;
-    double worth = -1;  // beside the highest rank; negative: no plans
+    const char* proxy_status = "";
+    Millis retry_after = 0;
+    double worth = -1;  // 1 for the highest rank down to 0; negative: there are no plans
     Ticket ticket;
   };
-  enum class End { kServed, kFailed, kGone };
+  enum class End { kServed, kFailed, kClientGone };
 
-  // `name`: of this process; no other that lives has it. Times of requests are `loop`'s.
-  // Pools, routes and classes in their order: what its rules go by.
+  // Pools, routes and classes in their order, to which the budgets refer.
   using Names = std::vector<std::vector<std::string>>;
   static Names names_of(const Config& config);
 
+  // `name` is this process's, unique in the fleet. Times of requests are by `loop`'s clock.
   FleetAdmission(Loop& loop, const FleetConfig& fleet, const Config& config, const std::string& name,
-                 std::uint64_t seed, const std::function<void(RequestId)>& again);
+                 std::uint64_t seed, const std::function<void(RequestId)>& reconsider);
   ~FleetAdmission();
   FleetAdmission(const FleetAdmission&) = delete;
   FleetAdmission& operator=(const FleetAdmission&) = delete;
@@ -59,53 +59,54 @@
     return fleet == fleet_ && names == names_;
   }
 
-  struct Words {
+  struct Request {
     int pool = 0;
     int route = -1;
     int request_class = 0;
     std::string_view tenant;
-    std::string_view client;  // empty = the tenant goes as one
-    Millis most_wait = 0;     // that a refusal may say to wait before coming back; 0 = it says nothing
+    std::string_view client;     // empty: the tenant counts as one client
+    Millis max_retry_after = 0;  // the longest wait that a refusal may state; 0: it states none
   };
-  Verdict admit(const Words& words, Millis aim);
+  Verdict admit(const Request& request, Millis aim);
   void ended(const Ticket& ticket, End end);
 
-  // Of the budgets of further attempts that count for a pool.
-  bool bounds_attempts(int pool) const { return rules_.attempts_of(pool) != 0; }
-  double attempts_left(int pool);
-  void attempt_made(int pool);
+  // By the retry budgets that apply to a pool.
+  bool bounds_retries(int pool) const { return rules_.attempts_of(pool) != 0; }
+  double retries_left(int pool);
+  void count_retry(int pool);
 
-  // What tells its client apart within its tenant; empty = nothing does.
+  // The field's value that tells clients of one tenant apart; empty: they are not told apart.
   std::string_view client_of(const Message& message) const {
     return fleet_.client.empty() ? std::string_view() : message.value(fleet_.client);
   }
 
-  // Rules of affinity; null where there are none.
-  AffinityRouter* keys() { return keys_.get(); }
+  // Null where there are no affinity rules.
+  AffinityRouter* affinity_router() { return affinity_router_.get(); }
   const std::string& plan_of(std::string_view tenant) const {
     return order_.plans()[static_cast<std::size_t>(order_.plan_of(tenant))].name;
   }
 
-  void room(double share) { port_.room(share); }  // of the backends' capacity, that is unused
-  bool told() const { return !keys_ || keys_->told(); }
-  bool bound() const { return keys_ && keys_->busy(); }  // requests have places, which end with it
-  // A node has one reserve, whichever of its fleet admissions, generations and processes alike, serves. A
-  // fleet admission begins without it. `before`: what another began with it is over after so long.
+  void report_spare_capacity(double share) { port_.room(share); }  // unused share of the backends' capacity
+  bool plan_settled() const { return !affinity_router_ || affinity_router_->plan_settled(); }
+  bool has_places() const { return affinity_router_ && affinity_router_->busy(); }  // held by requests
+  // A node has one reserve, used by one of its fleet admissions at a time, over all generations and
+  // processes. A new fleet admission does not have it. `before`: what the previous holder admitted with it
+  // has ended after so long.
   void begin_reserve(Millis before) { port_.begin_reserve(fleet::boot_now(), before); }
   void cease_reserve() { port_.cease_reserve(fleet::boot_now()); }
-  Millis longest_hold() const;  // of what is at once
+  Millis longest_hold() const;  // how long a request may use a concurrency budget at most
 
-  void leave();  // gives back all; what is in use goes on
+  void leave();  // returns all shares to the fleet; requests under way go on
   bool left() const { return !control_ || control_->left(); }
   void log_counters() const;
 
  private:
   void each_second();
-  void follow();  // the newest snapshot
+  void apply_snapshot();  // the newest, if it is not applied yet
   fleet::RankCells* cells_of(int rank) { return rank < 0 ? nullptr : port_.rank(rank); }
 
   Loop& loop_;
-  Millis wall_;  // the wall clock above the one of validity, as of the last second
+  Millis wall_offset_;  // of the wall clock to the boot clock, as of the last second
   const FleetConfig fleet_;
   const Names names_;
   const FleetRules rules_;
@@ -115,13 +116,13 @@
   plans::Admission admission_;
   plans::LocalShedder shedder_;
   fleet::CutOff cut_off_;
-  RankCounts counted_;  // at the last second
-  std::unique_ptr<AffinityRouter> keys_;
+  RankCounts rank_counts_;  // as of the last second
+  std::unique_ptr<AffinityRouter> affinity_router_;
   std::unique_ptr<fleet::Control> control_;
-  std::unique_ptr<net::Descriptor> bell_;
-  std::unique_ptr<net::Watch::Handler> on_bell_;
+  std::unique_ptr<net::Descriptor> wake_fd_;
+  std::unique_ptr<net::Watch::Handler> on_wake_;
   std::unique_ptr<net::Watch> watch_;
-  Loop::TimerId second_ = 0;
+  Loop::TimerId each_second_timer_ = 0;
   Loop::TimerId start_ = 0;
 };
 
--- a/src/node/fleet_admissions.cpp
+++ b/src/node/fleet_admissions.cpp
@@ -11,86 +11,88 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kSweepEvery = 50;
-constexpr Millis kMostPast = 30000;
+constexpr Millis kSweepInterval = 50;
+constexpr Millis kReplacedLifetime = 30000;  // for clients' repeats of keyed requests
 
-// What the fleet allows of further attempts is each pool's module's to keep to.
-void bound_attempts(const RoutingSnapshot& snapshot) {
+// The fleet's retry budgets are enforced by the decision module of each pool.
+void set_retry_allowances(const RoutingSnapshot& snapshot) {
   for (std::size_t n = 0; n < snapshot.pools.size(); ++n) {
     const int pool = static_cast<int>(n);
-    if (!snapshot.admission || !snapshot.admission->bounds_attempts(pool)) {
-      snapshot.pools[n]->bound_attempts({});
+    if (!snapshot.admission || !snapshot.admission->bounds_retries(pool)) {
+      snapshot.pools[n]->set_retry_allowance({});
       continue;
     }
     const std::shared_ptr<FleetAdmission> admission = snapshot.admission;
-    snapshot.pools[n]->bound_attempts({[admission, pool] { return admission->attempts_left(pool); },
-                                       [admission, pool] { admission->attempt_made(pool); }});
+    snapshot.pools[n]->set_retry_allowance({[admission, pool] { return admission->retries_left(pool); },
+                                            [admission, pool] { admission->count_retry(pool); }});
   }
 }
 
 }  // namespace
 
-// One that shares the same as before goes on with what it has; another joins under another name, as the one
-// before it lives until it has given all back.
+// A generation that shares the same as before keeps the fleet admission. Another one joins under another
+// name, as the one before it stays a member until it has returned its shares.
 std::shared_ptr<FleetAdmission> FleetAdmissions::make(const Config& config, const RoutingSnapshot* now) {
   if (!config.shared) return nullptr;
   FleetAdmission::Names names = FleetAdmission::names_of(config);
   if (now != nullptr && now->admission && now->admission->serves(*config.shared, names))
     return now->admission;
   std::string name = config.name;
-  if (beside_) name.append("~").append(std::to_string(::getpid()));
-  // By how many were made: of two reloads close together both may join.
+  if (successor_) name.append("~").append(std::to_string(::getpid()));
+  // Numbered, as of two reloads close together both may join.
   if (++made_ > 1) name.append(".").append(std::to_string(made_));
   std::random_device entropy;
   return std::make_shared<FleetAdmission>(loop_, *config.shared, config, name,
-                                          (std::uint64_t{entropy()} << 32) ^ entropy(), again_);
+                                          (std::uint64_t{entropy()} << 32) ^ entropy(), reconsider_);
 }
 
-// What the one before has under way in slots keeps its epoch, so it goes on as it is until that is over; and
-// for a while for clients' repeats, which still go by it.
-void FleetAdmissions::go_by(const RoutingSnapshot& before, const RoutingSnapshot& next) {
+// Requests that are in flight in slots of the previous fleet admission depend on its epoch, so it stays a
+// member until they have ended; and for a while longer for clients' repeats, which still use it.
+void FleetAdmissions::switch_to(const RoutingSnapshot& before, const RoutingSnapshot& next) {
   if (before.admission && before.admission != next.admission) {
     before.admission->cease_reserve();
-    left_.push_back({before.admission, loop_.now() + kMostPast});
+    replaced_.push_back({before.admission, loop_.now() + kReplacedLifetime});
     sweep();
   }
   if (in_force_ != next.admission) {
     in_force_ = next.admission;
     if (in_force_ && has_reserve_) in_force_->begin_reserve(longest_hold());
   }
-  bound_attempts(next);
-  if (next.admission && next.admission->keys() != nullptr) next.admission->keys()->watch(next.pools);
+  set_retry_allowances(next);
+  if (next.admission && next.admission->affinity_router() != nullptr)
+    next.admission->affinity_router()->watch(next.pools);
 }
 
 void FleetAdmissions::sweep() {
-  loop_.cancel(sweep_);
-  for (const Left& left : left_) {
-    FleetAdmission& admission = *left.admission;
-    const bool met =
-        admission.keys() != nullptr && left.admission.use_count() > 1 && loop_.now() < left.until;
-    if (met || admission.bound()) continue;
-    if (admission.keys() != nullptr) admission.keys()->watch({});
+  loop_.cancel(sweep_timer_);
+  for (const Replaced& replaced : replaced_) {
+    FleetAdmission& admission = *replaced.admission;
+    const bool in_use = admission.affinity_router() != nullptr && replaced.admission.use_count() > 1 &&
+                        loop_.now() < replaced.until;
+    if (in_use || admission.has_places()) continue;
+    if (admission.affinity_router() != nullptr) admission.affinity_router()->watch({});
     admission.leave();
   }
-  std::erase_if(left_,
-                [](const Left& left) { return left.admission->left() && left.admission.use_count() == 1; });
-  if (!left_.empty()) sweep_ = loop_.after(kSweepEvery, [this] { sweep(); });
+  std::erase_if(replaced_, [](const Replaced& replaced) {
+    return replaced.admission->left() && replaced.admission.use_count() == 1;
+  });
+  if (!replaced_.empty()) sweep_timer_ = loop_.after(kSweepInterval, [this] { sweep(); });
 }
 
 bool FleetAdmissions::give_back(const RoutingSnapshot& now) {
   bool all = true;
-  const auto ask = [&all](FleetAdmission& admission) {
-    if (!admission.bound()) admission.leave();
+  const auto leave = [&all](FleetAdmission& admission) {
+    if (!admission.has_places()) admission.leave();
     all = all && admission.left();
   };
-  if (now.admission) ask(*now.admission);
-  for (const Left& left : left_) ask(*left.admission);
+  if (now.admission) leave(*now.admission);
+  for (const Replaced& replaced : replaced_) leave(*replaced.admission);
   return all;
 }
 
 Millis FleetAdmissions::longest_hold() const {
   Millis longest = 0;
-  for (const Left& left : left_) longest = std::max(longest, left.admission->longest_hold());
+  for (const Replaced& replaced : replaced_) longest = std::max(longest, replaced.admission->longest_hold());
   return longest;
 }
 
--- a/src/node/fleet_admissions.h
+++ b/src/node/fleet_admissions.h
@@ -1,6 +1,7 @@
-// The fleet admissions of a process, one for each generation that shares something else than the one before.
-// Owns those that are left until the store has all of theirs back, and whether the node's reserve is with
-// this process. It must never end one that a request still counts with, nor let two have the reserve.
+// The fleet admissions of a process: a reload that changes what is shared makes a new one. Keeps replaced
+// ones until the store has all their shares back, and tracks whether this process has the node's reserve. A
+// fleet admission is not ended while a request counts against it, and only one at a time has the reserve:
+// otherwise the limit that all processes share would be exceeded.
 #pragma once
 
 #include <functional>
@@ -17,25 +18,26 @@
 
 class FleetAdmissions {
  public:
-  // `beside`: another process of the same node lives, which has its name in the fleet, and the reserve.
-  // `again`: called for requests that wait for their keys' backends, when it may be time to ask again.
-  FleetAdmissions(Loop& loop, bool beside, std::function<void(RequestId)> again)
-      : loop_(loop), beside_(beside), again_(std::move(again)), has_reserve_(!beside) {}
-  ~FleetAdmissions() { loop_.cancel(sweep_); }
+  // `successor`: an older process of the same node is still running, which has the node's name in the fleet
+  // and the reserve. `reconsider` is called for requests that wait for an affinity slot when they may go on.
+  FleetAdmissions(Loop& loop, bool successor, std::function<void(RequestId)> reconsider)
+      : loop_(loop), successor_(successor), reconsider_(std::move(reconsider)), has_reserve_(!successor) {}
+  ~FleetAdmissions() { loop_.cancel(sweep_timer_); }
   FleetAdmissions(const FleetAdmissions&) = delete;
   FleetAdmissions& operator=(const FleetAdmissions&) = delete;
 
-  // For a generation by `config`, the one in force being `now` (or none); null where nothing is shared.
+  // For a generation by `config`, while `now` is in force (null: none is). Null where nothing is shared.
   std::shared_ptr<FleetAdmission> make(const Config& config, const RoutingSnapshot* now);
-  // Requests go by `next` from now on, and no longer by `before`.
-  void go_by(const RoutingSnapshot& before, const RoutingSnapshot& next);
-  // This process ends: gives back all of what is in force; whether that is done, as for those left before.
+  // Requests use `next` in place of `before` from now on.
+  void switch_to(const RoutingSnapshot& before, const RoutingSnapshot& next);
+  // At the end of the process: returns all shares to the fleet. True once that is done for all fleet
+  // admissions.
   bool give_back(const RoutingSnapshot& now);
 
-  // The node's reserve, between the processes of it: another has it from now on, and what was begun with it
-  // here is over after the time that is given back; or it is this one's, where that of the other's is over
-  // after `before`.
+  // Hands the node's reserve to another process of the node. Returns after how long all that was admitted
+  // with it here has ended.
   Millis give_reserve();
+  // Takes the reserve; all that the other process admitted with it has ended after `before`.
   void take_reserve(Millis before);
 
  private:
@@ -43,17 +45,17 @@
   Millis longest_hold() const;
 
   Loop& loop_;
-  const bool beside_;
-  const std::function<void(RequestId)> again_;
-  int made_ = 0;  // so far: no two have one name
-  struct Left {
+  const bool successor_;
+  const std::function<void(RequestId)> reconsider_;
+  int made_ = 0;  // so far; part of the name, so that no two share one
+  struct Replaced {
     std::shared_ptr<FleetAdmission> admission;
-    Millis until = 0;  // then it gives back all, though a request may still come by it
+    Millis until = 0;  // then it returns its shares, even if repeats of requests may still use it
   };
   bool has_reserve_;
   std::shared_ptr<FleetAdmission> in_force_;
-  std::vector<Left> left_;
-  Loop::TimerId sweep_ = 0;
+  std::vector<Replaced> replaced_;
+  Loop::TimerId sweep_timer_ = 0;
 };
 
 }  // namespace shorelead::node
--- a/src/node/fleet_rules.cpp
+++ b/src/node/fleet_rules.cpp
@@ -5,7 +5,7 @@
 namespace shorelead::node {
 namespace {
 
-// By the number of each name: the budgets whose scope names it, or nothing.
+// For each name, the budgets whose scope is this name or is not restricted.
 std::vector<std::uint64_t> masks_of(const FleetConfig& fleet, const std::vector<std::string>& names,
                                     std::string fleet::BudgetScope::*scope) {
   std::vector<std::uint64_t> masks(names.size(), 0);
@@ -51,8 +51,9 @@
 
 std::uint64_t FleetRules::budgets_of(int pool, int route, int request_class, std::string_view tenant) const {
   std::uint64_t mask = any_tenant_;
-  const auto it = std::lower_bound(tenants_.begin(), tenants_.end(), tenant,
-                                   [](const auto& one, std::string_view name) { return one.first < name; });
+  const auto it =
+      std::lower_bound(tenants_.begin(), tenants_.end(), tenant,
+                       [](const auto& entry, std::string_view name) { return entry.first < name; });
   if (it != tenants_.end() && it->first == tenant) mask |= it->second;
   mask &= route < 0 ? any_route_ : at(routes_, route);
   return mask & at(pools_, pool) & at(classes_, request_class);
--- a/src/node/fleet_rules.h
+++ b/src/node/fleet_rules.h
@@ -1,5 +1,5 @@
-// Which budgets of the fleet a request spends of, by where it goes and whose it is. Pure, immutable once
-// made, no allocation when asked. It must never know how much is left.
+// Which of the fleet's budgets apply to a request, by its pool, route, class and tenant. Pure, immutable, and
+// allocates nothing per request.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,14 @@
 
 class FleetRules {
  public:
-  static constexpr std::size_t kMostBudgets = 64;
+  static constexpr std::size_t kMaxBudgets = 64;  // one bit each
 
-  // Scopes are names in `config`; budgets by their place in `fleet`.
+  // Scopes refer to names in `config`; a budget's bit is its index in `fleet`.
   FleetRules(const FleetConfig& fleet, const Config& config);
 
-  // A bit for each budget that counts for the request. `route` is -1 where there are none.
+  // A bit for each budget that applies to the request. `route` is -1 where there are no routes.
   std::uint64_t budgets_of(int pool, int route, int request_class, std::string_view tenant) const;
-  // Of kind kAttempts, for a pool.
+  // The retry budgets (kind kAttempts) of a pool.
   std::uint64_t attempts_of(int pool) const { return attempts_ & at(pools_, pool); }
 
  private:
@@ -30,7 +30,7 @@
                                                         : masks[static_cast<std::size_t>(n)];
   }
 
-  std::vector<std::uint64_t> pools_, routes_, classes_;  // by number: budgets that are not for another
+  std::vector<std::uint64_t> pools_, routes_, classes_;  // by number: the budgets whose scope includes it
   std::uint64_t any_tenant_ = 0;
   std::uint64_t any_route_ = 0;
   std::uint64_t attempts_ = 0;
--- a/src/node/front.h
+++ b/src/node/front.h
@@ -1,7 +1,6 @@
-// The clients' side: the listening socket, clients' connections, their requests and the answers to them. It
-// owns the words of every answer, the order of requests on a connection and the request counters of how each
-// ended. It must never answer a request twice or, while it stands, not at all; and it must never ask who will
-// serve it.
+// The client side of the proxy: accepts connections, reads requests, passes them to the listener and sends
+// the responses. Owns the client connections, the text of all generated responses, and the counters of how
+// requests ended. Answers each request exactly once, also when it shuts down. Knows nothing about backends.
 #pragma once
 
 #include <cstdint>
@@ -26,11 +25,11 @@
 namespace shorelead::node {
 
 struct FrontCounters {
-  std::uint64_t left_early = 0;  // clients that were gone when their request was read; not taken
+  std::uint64_t left_early = 0;  // clients that had gone when their request was read; not counted as requests
   std::uint64_t malformed = 0;   // answered with 400, 404, 408, 409, 413 or 431
-  std::uint64_t silent = 0;      // connections closed that had never asked for anything
-  std::uint64_t idle = 0;        // and that had not for long
-  std::uint64_t evicted = 0;
+  std::uint64_t silent = 0;      // connections closed that never carried a request
+  std::uint64_t idle = 0;        // connections closed after a request, for being idle
+  std::uint64_t evicted = 0;     // connections closed for their descriptors
   std::map<int, std::uint64_t> by_status;
 };
 
@@ -39,57 +38,57 @@
   struct Listener {
     std::function<void(RequestId, const RequestInfo&, const RequestRoute&, std::shared_ptr<const Message>)>
         request;
-    std::function<void(RequestId)> gone;
+    std::function<void(RequestId)> client_gone;
     std::function<bool()> ready;
-    std::function<bool()> crowded;                 // whether room is short
-    std::function<bool(std::size_t)> many_unused;  // whether so many unused connections of clients are many
-    std::function<bool()> roomy;                   // whether there is plenty of room
-    std::function<bool()> make_room;               // whether one more client may be taken in
-    // A request that was handed over with its body still coming is whole; its client waits until `due`.
-    std::function<void(RequestId, Millis due)> body_whole = [](RequestId, Millis) {};
-    std::shared_ptr<net::FlowBudget> flows = nullptr;  // for bodies not kept whole; none: those are refused
-    Recorder* recorder = nullptr;                      // outlives the front; none: nothing is written down
+    std::function<bool()> crowded;                 // whether free descriptors are few
+    std::function<bool(std::size_t)> many_unused;  // whether so many idle client connections are many
+    std::function<bool()> roomy;                   // whether free descriptors are plentiful
+    std::function<bool()> make_room;  // frees descriptors; whether one more client may be accepted
+    // The streamed body of a request has been received whole; its client waits until `due`.
+    std::function<void(RequestId, Millis due)> body_complete = [](RequestId, Millis) {};
+    std::shared_ptr<net::FlowBudget> flows = nullptr;  // for streamed bodies; null: large bodies are refused
+    Recorder* recorder = nullptr;                      // outlives the front; null: nothing is recorded
   };
 
-  using Waits = ClientTimeouts;
-  using Entry = node::Entry;
+  using Timeouts = ClientTimeouts;
+  using ListenSpec = node::ListenSpec;
 
-  // Throws Poco::Exception where the address cannot be had.
-  Front(Loop& loop, const Entry& entry, std::shared_ptr<const RoutingSnapshot> snapshot, Listener listener)
-      : Front(loop, entry, std::move(snapshot), std::move(listener), Waits()) {}
-  Front(Loop& loop, const Entry& entry, std::shared_ptr<const RoutingSnapshot> snapshot, Listener listener,
-        const Waits& waits);
+  // Throws Poco::Exception if the address cannot be bound.
+  Front(Loop& loop, const ListenSpec& spec, std::shared_ptr<const RoutingSnapshot> snapshot,
+        Listener listener)
+      : Front(loop, spec, std::move(snapshot), std::move(listener), Timeouts()) {}
+  Front(Loop& loop, const ListenSpec& spec, std::shared_ptr<const RoutingSnapshot> snapshot,
+        Listener listener, const Timeouts& timeouts);
   ~Front() override;
 
-  // Whether its client is still there: looked at just before anything of it is sent on.
+  // Whether the client still waits for its response. Checked just before an attempt is written.
   bool still_waits(RequestId request);
-  // Final answers. To a client that is gone they are nothing.
-  void serve(RequestId request, const Message& answer, std::shared_ptr<net::Flow> flow);  // flow: of its body
-  void refuse(RequestId request, const Refusal& words);
+  // Final responses; without effect if the client has gone. `flow`: of a body that is still being received.
+  void serve(RequestId request, const Message& response, std::shared_ptr<net::Flow> flow);
+  void refuse(RequestId request, const Refusal& refusal);
   void fail(RequestId request, int status);
 
-  // Requests read from now on go by this generation; but a client's repeat of a keyed one, for the class's
-  // window, by the one before: there its key is known, and elsewhere it would run again.
-  void go_by(std::shared_ptr<const RoutingSnapshot> snapshot);
+  // Requests read from now on use this generation, but a client's repeat of a keyed request uses the previous
+  // one for the class's window: that is where its key is known, and elsewhere it would run again.
+  void use(std::shared_ptr<const RoutingSnapshot> snapshot);
 
   // Clients can connect from now on; see Acceptor::open().
   void open() { acceptor_.open(); }
-  // Whether to take in who connects: while held, whoever comes is left to the other process.
+  // While held, new connections are left to the other process of the node.
   void hold(bool held) { acceptor_.hold(held); }
   bool held() const { return acceptor_.held(); }
   int listening() const { return acceptor_.listening(); }
 
-  bool evict_idle();  // closes the connection that was unused for longest
-  // Lets go of clients, or takes them again, as the drain's state says: from draining on it is not ready and
-  // every answer is the last on its connection; once drained, unused connections are closed.
-  void follow(manage::DrainState state);
+  bool evict_idle();  // closes the connection that has been idle for longest; false if none is
+  // Applies the drain state: from draining on, each response is the last on its connection; once drained,
+  // idle connections are closed.
+  void set_drain_state(manage::DrainState state);
   void close_listener() { acceptor_.close(); }
-  // Ends connections that have no request under way; true when none is left, or
-  // waits to be taken in.
-  bool empty();
-  // This process ends now: answers as failed whatever is under way, and has it given up. Whatever else was
-  // sent by then, or comes from now on, is refused.
-  void give_up();
+  // Closes connections without a request under way. True when no connection is left or waits to be accepted.
+  bool close_idle();
+  // At the end of the process: answers all open requests as failed and has their attempts cancelled. Requests
+  // that have been received but not started, or are received from now on, are refused.
+  void fail_all();
 
   unsigned short port() const { return acceptor_.port(); }
   const Acceptor& acceptor() const { return acceptor_; }
@@ -99,43 +98,43 @@
 
  private:
   void begin(Client& client) override;
-  void whole(Client& client) override;
-  void break_off(Client& client, int status, const char* cause, manage::RequestEnd end) override;
+  void body_complete(Client& client) override;
+  void abort(Client& client, int status, const char* cause, manage::RequestEnd end) override;
   void release(Client& client, manage::RequestEnd end) override;
   void forget(Client& client, Ending why) override;
-  void gone(RequestId request) override { listener_.gone(request); }
-  bool ends_with(const Client& client) const override;
+  void client_gone(RequestId request) override { listener_.client_gone(request); }
+  bool is_last(const Client& client) const override;
   void answered(int status) override;
   void left_early() override { ++counters_.left_early; }
   void left_unanswered(const Client& client, Ending why) override {
-    recorder_->client_left(client.request, why, loop_.now() - (client.input_at + client.wait));
+    recorder_->client_left(client.request, why, loop_.now() - (client.last_input_at + client.timeout));
   }
-  void unused(bool stands) override { stands ? ++unused_ : --unused_; }
-  void free_again() override;
+  void count_unused(bool unused) override { unused ? ++unused_ : --unused_; }
+  void became_idle() override;
   const std::shared_ptr<net::FlowBudget>& flows() const override { return listener_.flows; }
 
-  void take(Client& client);  // into the request counters, once its last byte has come
+  void count(Client& client);  // in the request counters, once the request is complete
   Client* waiting(RequestId request) const {
     const auto it = waiting_.find(request);
     return it == waiting_.end() ? nullptr : it->second;
   }
-  void part_idle(bool only_used);
+  void close_idle_clients(bool only_used);
   void sweep();
 
   Loop& loop_;
   RequestClassifier classifier_;
   Listener listener_;
   const RecorderHandle recorder_;
-  const Waits waits_;
+  const Timeouts timeouts_;
   std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
   std::unordered_map<RequestId, Client*> waiting_;
-  std::unordered_set<std::string> open_ids_;  // X-Request-ID of those that wait
-  std::size_t unused_ = 0;                    // clients that have asked and now stand unused
+  std::unordered_set<std::string> open_ids_;  // the X-Request-ID of each waiting request
+  std::size_t unused_ = 0;                    // connections that are idle after their first request
   RequestId last_request_ = 0;
   manage::DrainState drain_ = manage::DrainState::kServing;
-  bool giving_up_ = false;
+  bool failing_all_ = false;
   manage::RequestCounters request_counters_;
-  Loop::TimerId sweep_ = 0;
+  Loop::TimerId sweep_timer_ = 0;
   FrontCounters counters_;
   Acceptor acceptor_;
 };
--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -115,7 +115,7 @@
   const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->told(); };
   const auto late = std::find_if(next->pools.begin(), next->pools.end(), waits);
   // Keys have no backend by a fleet admission that has no plan yet.
-  const bool planless = next->admission && !next->admission->told();
+  const bool planless = next->admission && !next->admission->plan_settled();
   if ((late != next->pools.end() || planless) && loop_.now() < pending_->until) {
     look_ = loop_.after(kLookEvery, [this] { put_in_force(); });
     return;
@@ -128,7 +128,7 @@
     next->pools[n]->follow(told[n]);
     next->pools[n]->rejoin();
   }
-  admissions_.go_by(*snapshot_, *next);
+  admissions_.switch_to(*snapshot_, *next);
   snapshot_ = next;
   host_.in_force(next);
   for (const auto& pool : pools_) {
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -51,7 +51,7 @@
 void GracefulShutdown::let_go() {
   loop_.cancel(drain_at_);
   const manage::DrainState state = drain_.state(loop_.now());
-  host_.front().follow(state);
+  host_.front().set_drain_state(state);
   spdlog::info("{}, {} requests under way, {} connections", manage::name_of(state), host_.open_requests(),
                host_.front().clients());
   if (state == manage::DrainState::kDraining && drain_.until() < manage::Drain::kNever)
@@ -59,16 +59,16 @@
 }
 
 void GracefulShutdown::leave_when_empty(Millis until) {
-  if (host_.front().empty()) return end(loop_.now() + kGiveBack);
+  if (host_.front().close_idle()) return end(loop_.now() + kGiveBack);
   if (loop_.now() < until) {
     loop_.after(kLeaveEvery, [this, until] { leave_when_empty(until); });
     return;
   }
   // Guards against ending without an answer to what came at the very end, or has longer than any class of
   // now.
-  host_.front().give_up();
+  host_.front().fail_all();
   loop_.after(kLeaveEvery, [this] {
-    host_.front().give_up();  // what came meanwhile
+    host_.front().fail_all();  // what came meanwhile
     end(loop_.now() + kGiveBack);
   });
 }
@@ -78,7 +78,7 @@
     loop_.after(kLeaveEvery, [this, until] { end(until); });
     return;
   }
-  host_.front().give_up();
+  host_.front().fail_all();
   spdlog::info("shut down, {} connections left", host_.front().clients());
   loop_.stop();
 }
--- a/src/node/guarded.h
+++ b/src/node/guarded.h
@@ -1,5 +1,5 @@
-// A step on a request's way that may throw, as for want of memory. Owns no state: what is thrown is told in
-// the log, and then whoever has the request is told that the step broke off, so that it still gets an answer.
+// Runs a step of a request's handling that may throw, for example for lack of memory. An exception is logged,
+// and then the owner of the request is told, so that the client still gets a response.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -10,13 +10,13 @@
 
 namespace shorelead::node {
 
-template <typename Step, typename BrokeOff>
-void guarded(RequestId request, Step step, BrokeOff broke_off) {
+template <typename Step, typename OnFailure>
+void guarded(RequestId request, Step step, OnFailure on_failure) {
   try {
     step();
   } catch (const std::exception& error) {
     spdlog::error("request {} failed within this node: {}", request, error.what());
-    broke_off();
+    on_failure();
   }
 }
 
--- a/src/node/lingering_close.h
+++ b/src/node/lingering_close.h
@@ -1,6 +1,6 @@
-// A client's connection after this side has sent its end: bytes that still come are dropped, never read as a
-// request. Owns for how long and how many: a close over unread bytes would reset the connection, and an
-// answer on its way with it. It must never close anything itself.
+// The state of a client connection after this side has closed its sending half: bytes that still arrive are
+// dropped and not read as a request. Bounds for how long and how many. Without this, closing with unread
+// bytes would reset the connection, and the client could lose the response.
 #pragma once
 
 #include <cstddef>
@@ -12,26 +12,26 @@
 
 class LingeringClose {
  public:
-  // `cut_short`: answered in the middle of a body, so it may have to send for a while before it reads.
-  void begin(Millis now, bool cut_short) {
+  // `mid_body`: answered before its body was received whole; the client may send for a while before it reads.
+  void begin(Millis now, bool mid_body) {
     since_ = now;
-    cut_short_ = cut_short;
+    mid_body_ = mid_body;
   }
-  // Whether so many more may still come.
+  // Counts dropped bytes. Whether the connection may stay open.
   bool drop(std::size_t bytes, Millis now) {
     dropped_ += bytes;
-    if (cut_short_) since_ = now;
-    return dropped_ <= (cut_short_ ? net::kMostLength : kMostDropped);
+    if (mid_body_) since_ = now;
+    return dropped_ <= (mid_body_ ? net::kMostLength : kMaxDropped);
   }
   bool over(Millis now) const { return now - since_ >= kLinger; }
 
  private:
-  static constexpr std::size_t kMostDropped = 1048576;
-  static constexpr Millis kLinger = 1000;  // for a client to close after its last answer
+  static constexpr std::size_t kMaxDropped = 1048576;  // bytes
+  static constexpr Millis kLinger = 1000;              // for a client to close after its last response
 
   std::size_t dropped_ = 0;
   Millis since_ = 0;
-  bool cut_short_ = false;
+  bool mid_body_ = false;
 };
 
 }  // namespace shorelead::node
--- a/src/node/open_requests.cpp
+++ b/src/node/open_requests.cpp
@@ -3,47 +3,47 @@
 namespace shorelead::node {
 namespace {
 
-// A request that got no answer in its time is given up by the host, this long after, so that the time-out of
-// its last attempt, which falls on the same moment, is told to the module first.
-constexpr Millis kAfterDue = 1;
+// The host fails an unanswered request this long after its due time, so that the time-out of its last
+// attempt, which falls on the due time, is reported to the module first.
+constexpr Millis kExpiryDelay = 1;
 
 }  // namespace
 
-void OpenRequests::begin(RequestId request, Open open) {
-  deadlines_.emplace(open.due + kAfterDue, request);
-  if (open.home.kind == Unit::Kind::kBackend) endpoints_.use(open.home.backend);
-  requests_[request] = std::move(open);
+void OpenRequests::begin(RequestId request, Entry entry) {
+  deadlines_.emplace(entry.due + kExpiryDelay, request);
+  if (entry.home.kind == Unit::Kind::kBackend) endpoints_.use(entry.home.backend);
+  requests_[request] = std::move(entry);
 }
 
-OpenRequests::Open* OpenRequests::find(RequestId request) {
+OpenRequests::Entry* OpenRequests::find(RequestId request) {
   const auto it = requests_.find(request);
   return it == requests_.end() ? nullptr : &it->second;
 }
 
-void OpenRequests::answered(RequestId request, Open& open) {
-  open.over = true;
-  if (open.out == 0) forget(request, open);
+void OpenRequests::mark_ended(RequestId request, Entry& entry) {
+  entry.ended = true;
+  if (entry.in_flight == 0) forget(request, entry);
 }
 
-void OpenRequests::ended(RequestId request, Open& open) {
-  open.out -= 1;
-  if (open.over && open.out == 0) forget(request, open);
+void OpenRequests::attempt_ended(RequestId request, Entry& entry) {
+  entry.in_flight -= 1;
+  if (entry.ended && entry.in_flight == 0) forget(request, entry);
 }
 
-void OpenRequests::due(RequestId request, Millis due) {
-  Open* const open = find(request);
-  if (open == nullptr) return;
-  deadlines_.erase({open->due + kAfterDue, request});
-  open->due = due;
-  if (!open->over) deadlines_.emplace(due + kAfterDue, request);
+void OpenRequests::set_due(RequestId request, Millis due) {
+  Entry* const entry = find(request);
+  if (entry == nullptr) return;
+  deadlines_.erase({entry->due + kExpiryDelay, request});
+  entry->due = due;
+  if (!entry->ended) deadlines_.emplace(due + kExpiryDelay, request);
 }
 
-std::optional<RequestId> OpenRequests::overdue(Millis now) {
+std::optional<RequestId> OpenRequests::take_overdue(Millis now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     const RequestId request = deadlines_.begin()->second;
     deadlines_.erase(deadlines_.begin());
-    const Open* const open = find(request);
-    if (open != nullptr && !open->over) return request;
+    const Entry* const entry = find(request);
+    if (entry != nullptr && !entry->ended) return request;
   }
   return std::nullopt;
 }
@@ -54,24 +54,24 @@
     state.answered = true;
     return;
   }
-  // Of those that are out the connections know which were written.
-  const Open& open = it->second;
-  const guard::RequestState here = open.state();
+  // Which of the attempts in flight were written is known to their connections, which fill in state.out.
+  const Entry& entry = it->second;
+  const guard::RequestState here = entry.state();
   state.run_once = here.run_once;
   state.parallel = here.parallel;
   state.most_attempts = here.most_attempts;
   state.answered = here.answered;
   state.slot_open = here.slot_open;
-  state.may_have_run = open.may_have_run || state.out > 0;
+  state.may_have_run = entry.may_have_run || state.out > 0;
 }
 
-void OpenRequests::forget(RequestId request, Open& open) {
-  deadlines_.erase({open.due + kAfterDue, request});
-  for (const BackendId backend : open.attempts) endpoints_.release(backend);
-  if (open.home.kind == Unit::Kind::kBackend) endpoints_.release(open.home.backend);
-  const AffinityHold affinity_hold = std::move(open.affinity_hold);
+void OpenRequests::forget(RequestId request, Entry& entry) {
+  deadlines_.erase({entry.due + kExpiryDelay, request});
+  for (const BackendId backend : entry.attempts) endpoints_.release(backend);
+  if (entry.home.kind == Unit::Kind::kBackend) endpoints_.release(entry.home.backend);
+  const AffinityHold affinity_hold = std::move(entry.affinity_hold);
   requests_.erase(request);
-  affinity_hold.over();
+  affinity_hold.release();
 }
 
 }  // namespace shorelead::node
--- a/src/node/open_requests.h
+++ b/src/node/open_requests.h
@@ -1,6 +1,6 @@
-// The requests that the module has, until nothing of them is out: their attempts, and when the host gives
-// each up. Owns these and what they name (backends' numbers, places of affinity); it must never decide about
-// one.
+// The requests that the decision module handles, each until its last attempt has ended: their attempts and
+// their deadlines. Holds a reference on the backend numbers and affinity places that a request names, and
+// releases them with it. Decides nothing.
 #pragma once
 
 #include <optional>
@@ -17,21 +17,21 @@
 
 class OpenRequests {
  public:
-  struct Open {
+  struct Entry {
     Millis due = 0;
     std::vector<BackendId> attempts{};
-    int out = 0;
-    guard::RequestState rules{};  // as the settings said when it came
-    bool may_have_run = false;    // an attempt that has ended
+    int in_flight = 0;            // attempts that have not ended
+    guard::RequestState rules{};  // by the settings under which it arrived
+    bool may_have_run = false;    // in an attempt that has ended
     Unit home{};
     AffinityHold affinity_hold{};
-    bool over = false;
+    bool ended = false;  // has its final answer, or its client has gone
 
-    // As the guard is to know it.
+    // The state that the guard checks.
     guard::RequestState state() const {
       guard::RequestState state = rules;
-      state.answered = over;
-      state.may_have_run = may_have_run || out > 0;
+      state.answered = ended;
+      state.may_have_run = may_have_run || in_flight > 0;
       state.slot_open = affinity_hold.may_send();
       return state;
     }
@@ -39,23 +39,25 @@
 
   explicit OpenRequests(EndpointList& endpoints) : endpoints_(endpoints) {}
 
-  void begin(RequestId request, Open open);
-  Open* find(RequestId request);
-  // It has had its final answer; once nothing of it is out it is forgotten, at the latest with `ended`.
-  void answered(RequestId request, Open& open);
-  void ended(RequestId request, Open& open);  // an attempt of it has
-  void due(RequestId request, Millis due);    // from now on
-  std::optional<RequestId> overdue(Millis now);
-  // Adds what is known of it here to what the guard is asked with.
+  void begin(RequestId request, Entry entry);
+  Entry* find(RequestId request);
+  // The request has its final answer or its client has gone. The entry is removed once no attempt is in
+  // flight: now, or in attempt_ended().
+  void mark_ended(RequestId request, Entry& entry);
+  void attempt_ended(RequestId request, Entry& entry);
+  void set_due(RequestId request, Millis due);
+  // Removes the next deadline that has passed and returns its request, if that is still unanswered.
+  std::optional<RequestId> take_overdue(Millis now);
+  // Fills in the part of the guard's state that is known here.
   void describe(RequestId request, guard::RequestState& state) const;
-  Millis next() const { return deadlines_.empty() ? 0 : deadlines_.begin()->first; }
+  Millis next_deadline() const { return deadlines_.empty() ? 0 : deadlines_.begin()->first; }
   std::size_t size() const { return requests_.size(); }
 
  private:
-  void forget(RequestId request, Open& open);
+  void forget(RequestId request, Entry& entry);
 
   EndpointList& endpoints_;
-  std::unordered_map<RequestId, Open> requests_;
+  std::unordered_map<RequestId, Entry> requests_;
   std::set<std::pair<Millis, RequestId>> deadlines_;
 };
 
--- a/src/node/outcome.cpp
+++ b/src/node/outcome.cpp
@@ -24,12 +24,12 @@
     case Ending::kCalledOff:
     case Ending::kEvicted:
       return Outcome::kCalledOff;
-    // Nor was it here, but for this node's own sake: nothing speaks against the backend.
+    // Not written either, but for a reason of this node's own: it says nothing about the backend.
     case Ending::kNoDescriptor:
     case Ending::kLocalFailure:
     case Ending::kNotSent:
       return Outcome::kNotSent;
-    // It was written, and then the connection ended in whatever way: it may have run.
+    // The request was written before the connection ended: it may have run.
     case Ending::kBroken:
     case Ending::kMalformed:
     case Ending::kPeerClosed:
@@ -45,7 +45,7 @@
 BackendState state_of(const std::string& health) {
   if (health == "ready") return BackendState::kReady;
   if (health == "draining") return BackendState::kDraining;
-  // Also what this node has no word for: nothing new is sent there.
+  // Also any unknown health, so that nothing new is sent there.
   return BackendState::kGone;
 }
 
--- a/src/node/outcome.h
+++ b/src/node/outcome.h
@@ -1,5 +1,5 @@
-// How an attempt's connection ended, as the module counts it, and a backend's health as lists word it. The
-// one place where either is mapped.
+// Maps the way a connection ended to the decision module's outcome of the attempt, and the health text of
+// endpoint lists to a backend's state.
 #pragma once
 
 #include <string>
@@ -11,14 +11,14 @@
 
 Outcome outcome_of(net::Ending ending);
 
-// Whether an attempt that ended so cannot have run, nor will.
+// Whether it is certain that the request was not and will not be executed by this attempt.
 inline bool never_ran(Outcome outcome) {
   return outcome == Outcome::kTurnedAway || outcome == Outcome::kNoConnection || outcome == Outcome::kNotSent;
 }
 inline bool never_ran(net::Ending ending) { return never_ran(outcome_of(ending)); }
 BackendState state_of(const std::string& health);
 
-// Puts what an answer reported, if it did, into the module's event of its end.
+// Puts the load report of a response, if it had one, into the module's event.
 template <typename Ended>
 void take_report(const LoadReport* load, Ended& event) {
   event.has_report = load != nullptr;
--- a/src/node/policy_host.cpp
+++ b/src/node/policy_host.cpp
@@ -11,7 +11,7 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kNotDue = 1e15;  // of a request whose body is still coming
+constexpr Millis kNoDeadline = 1e15;  // of a request whose body has not been received whole
 
 }  // namespace
 
@@ -34,38 +34,38 @@
 }
 
 Choice PolicyHost::pick(RequestId request, const RequestInfo& info, Millis now) {
-  requests_.begin(request, {.due = info.body_comes ? kNotDue : info.due,
+  requests_.begin(request, {.due = info.body_pending ? kNoDeadline : info.due,
                             .rules = guarded_rules(classes_.settings(), info.request_class),
                             .home = info.home,
                             .affinity_hold = info.affinity_hold});
   feed(RequestArrived{request, info.request_class, info.tenant, info.due, info.expected_work,
                       info.client_retry, 0, info.home, info.worth},
        now);
-  return deferred_actions_.take(request, Choice::Kind::kHold);
+  return deferred_.take(request, Choice::Kind::kPending);
 }
 
 Choice PolicyHost::report(RequestId request, int attempt, Ending ending, Millis elapsed,
                           const LoadReport* load, Millis now) {
-  OpenRequests::Open* const found = requests_.find(request);
-  if (found == nullptr) return {Choice::Kind::kOver, request};
-  OpenRequests::Open& open = *found;
+  OpenRequests::Entry* const found = requests_.find(request);
+  if (found == nullptr) return {Choice::Kind::kEnded, request};
+  OpenRequests::Entry& entry = *found;
   AttemptEnded event;
   event.request = request;
-  event.backend = open.attempts.at(static_cast<std::size_t>(attempt));
+  event.backend = entry.attempts.at(static_cast<std::size_t>(attempt));
   event.attempt = attempt;
   event.outcome = outcome_of(ending);
   event.elapsed = elapsed;
   take_report(load, event);
-  open.may_have_run = open.may_have_run || !never_ran(event.outcome);
-  const bool pass = event.outcome == Outcome::kServed && guard::may_forward({.answered = open.over});
-  open.over = open.over || pass;
-  event.request_over = open.over;
+  entry.may_have_run = entry.may_have_run || !never_ran(event.outcome);
+  const bool forward = event.outcome == Outcome::kServed && guard::may_forward({.answered = entry.ended});
+  entry.ended = entry.ended || forward;
+  event.request_over = entry.ended;
   endpoints_.heard(event.backend, event.outcome);
   room_.ended(event.outcome == Outcome::kTurnedAway);
   if (load != nullptr) room_.reported(load->busy);
-  requests_.ended(request, open);
+  requests_.attempt_ended(request, entry);
   feed(event, now);
-  return pass ? Choice{Choice::Kind::kPass, request} : deferred_actions_.take(request, Choice::Kind::kHold);
+  return forward ? Choice{Choice::Kind::kForward, request} : deferred_.take(request, Choice::Kind::kPending);
 }
 
 void PolicyHost::report_probe(BackendId backend, Ending ending, Millis elapsed, const LoadReport* load,
@@ -84,41 +84,41 @@
   const ListKind kind = source == ListSource::kStored ? ListKind::kStored
                         : list.whole                  ? ListKind::kFull
                                                       : ListKind::kDelta;
-  const auto told = endpoints_.take(list, kind, now);
-  if (told) feed(told->update, now);
-  if (wake_) wake_();  // a part may have to be drawn
-  return told ? told->unwanted : std::vector<BackendId>();
+  const auto change = endpoints_.take(list, kind, now);
+  if (change) feed(change->update, now);
+  if (wake_) wake_();  // the subset may have to be drawn anew
+  return change ? change->unwanted : std::vector<BackendId>();
 }
 
 std::vector<BackendId> PolicyHost::report_bans(const manage::BanSet& bans, Millis now) {
-  const auto told = endpoints_.take(bans);
-  if (told) feed(told->update, now);
-  return told ? told->unwanted : std::vector<BackendId>();
+  const auto change = endpoints_.take(bans);
+  if (change) feed(change->update, now);
+  return change ? change->unwanted : std::vector<BackendId>();
 }
 
 void PolicyHost::report_watch_ended(Millis now) {
-  // Where lists come by themselves the module never asked, and the host alone sees to the watch.
+  // Where lists are pushed, the module did not subscribe, and the host alone reopens the watch.
   if (!classes_.settings().list_on_request) return;
   feed(ListUpdate{ListKind::kFailed, {}}, now);
 }
 
-void PolicyHost::body_whole(RequestId request, Millis due) {
-  requests_.due(request, due);
+void PolicyHost::body_complete(RequestId request, Millis due) {
+  requests_.set_due(request, due);
   if (wake_) wake_();
 }
 
 void PolicyHost::report_client_gone(RequestId request, Millis now) {
-  OpenRequests::Open* const open = requests_.find(request);
-  if (open == nullptr || open->over) return;
-  requests_.answered(request, *open);
+  OpenRequests::Entry* const entry = requests_.find(request);
+  if (entry == nullptr || entry->ended) return;
+  requests_.mark_ended(request, *entry);
   feed(RequestGone{request}, now);
 }
 
-void PolicyHost::call_off(RequestId request, Millis now) {
-  const OpenRequests::Open* const open = requests_.find(request);
-  if (open == nullptr) return;
-  for (std::size_t n = 0; n < open->attempts.size(); ++n) {
-    deferred_actions_.call_off.emplace_back(request, static_cast<int>(n));
+void PolicyHost::cancel(RequestId request, Millis now) {
+  const OpenRequests::Entry* const entry = requests_.find(request);
+  if (entry == nullptr) return;
+  for (std::size_t n = 0; n < entry->attempts.size(); ++n) {
+    deferred_.cancellations.emplace_back(request, static_cast<int>(n));
   }
   report_client_gone(request, now);
   if (wake_) wake_();
@@ -130,43 +130,43 @@
     timers_.erase(timers_.begin());
     feed(TimerFired{cookie}, now);
   }
-  while (const auto request = requests_.overdue(now)) {
+  while (const auto request = requests_.take_overdue(now)) {
     spdlog::warn("request {} had no answer by its due time", *request);
     answer(*request, {Choice::Kind::kFail, *request});
     feed(RequestGone{*request}, now);
   }
   if (endpoints_.draw_at() > 0 && now >= endpoints_.draw_at()) {
-    if (const auto told = endpoints_.draw(now)) {
-      feed(told->update, now);
-      deferred_actions_.unwanted.insert(deferred_actions_.unwanted.end(), told->unwanted.begin(),
-                                        told->unwanted.end());
+    if (const auto change = endpoints_.draw(now)) {
+      feed(change->update, now);
+      deferred_.unwanted.insert(deferred_.unwanted.end(), change->unwanted.begin(), change->unwanted.end());
     }
   }
   drop_unwanted(now);
-  DeferredActions due = std::exchange(deferred_actions_, {});
+  DeferredActions due = std::exchange(deferred_, {});
   Millis timer = timers_.empty() ? 0 : timers_.begin()->first;
-  for (const Millis other : {endpoints_.draw_at(), requests_.next()}) {
+  for (const Millis other : {endpoints_.draw_at(), requests_.next_deadline()}) {
     if (other > 0) timer = timer > 0 ? std::min(timer, other) : other;
   }
   due.next = timer;
   return due;
 }
 
-// A connection that comes up late would carry it long after the list said otherwise: the module decides anew.
+// Drops attempts and probes that were decided before a list made their backend unavailable: a connection that
+// is established late would carry them long after. The module is told that they were not sent, and decides
+// anew.
 void PolicyHost::drop_unwanted(Millis now) {
-  const auto [sends, probes] =
-      deferred_actions_.take_unwanted([this](BackendId i) { return endpoints_.wanted(i); });
+  const auto [sends, probes] = deferred_.take_unwanted([this](BackendId i) { return endpoints_.wanted(i); });
   for (const Choice& send : sends) {
     const Choice next = report(send.request, send.attempt, Ending::kNotSent, 0, nullptr, now);
-    if (next.kind != Choice::Kind::kHold && next.kind != Choice::Kind::kOver)
-      deferred_actions_.choices.push_back(next);
+    if (next.kind != Choice::Kind::kPending && next.kind != Choice::Kind::kEnded)
+      deferred_.choices.push_back(next);
   }
   for (const BackendId probe : probes) report_probe(probe, Ending::kNotSent, 0, nullptr, now);
 }
 
 void PolicyHost::feed(const Event& event, Millis now) {
   handle(event, now);
-  // What could not be sent is told once the actions before it are done, as it would be by a network.
+  // An attempt that could not be sent is reported after the actions before it, as a network would report it.
   while (!unsent_.empty()) {
     for (const Event& unsent : std::exchange(unsent_, {})) handle(unsent, now);
   }
@@ -175,13 +175,13 @@
 
 void PolicyHost::handle(const Event& event, Millis now) {
   std::vector<Action> actions;
-  if (const auto left = retry_allowance_.news()) policy_.handle(*left, now, actions);
+  if (const auto left = retry_allowance_.update()) policy_.handle(*left, now, actions);
   policy_.handle(event, now, actions);
-  retry_allowance_.after(event, actions);
+  retry_allowance_.count_unmet_demand(event, actions);
   for (const Action& action : actions) perform(action, now);
 }
 
-void PolicyHost::bound_attempts(RetryAllowance retry_allowance, Millis now) {
+void PolicyHost::set_retry_allowance(RetryAllowance retry_allowance, Millis now) {
   std::vector<Action> none;
   if (const auto left = retry_allowance_.set(std::move(retry_allowance))) policy_.handle(*left, now, none);
 }
@@ -190,20 +190,20 @@
   if (const auto* send = std::get_if<SendAttempt>(&action)) {
     start_attempt(*send, now);
   } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
-    deferred_actions_.call_off.emplace_back(cancel->request, cancel->attempt);
+    deferred_.cancellations.emplace_back(cancel->request, cancel->attempt);
   } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
     Choice choice{Choice::Kind::kRefuse, refuse->request};
-    choice.wait = refuse->wait;
+    choice.retry_after = refuse->wait;
     answer(refuse->request, choice);
   } else if (const auto* fail = std::get_if<Fail>(&action)) {
     answer(fail->request, {Choice::Kind::kFail, fail->request});
   } else if (const auto* probe = std::get_if<SendProbe>(&action)) {
     endpoints_.use(probe->backend);
-    deferred_actions_.probes.push_back(probe->backend);
+    deferred_.probes.push_back(probe->backend);
   } else if (std::holds_alternative<SubscribeList>(action)) {
-    deferred_actions_.watch = true;
+    deferred_.start_watch = true;
   } else if (const auto* idle = std::get_if<CloseIdle>(&action)) {
-    deferred_actions_.crowded.push_back(idle->backend);
+    deferred_.close_idle.push_back(idle->backend);
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
     timers_.emplace(timer->at, timer->cookie);
   } else if (const auto* note = std::get_if<Note>(&action)) {
@@ -212,39 +212,39 @@
 }
 
 void PolicyHost::start_attempt(const SendAttempt& send, Millis now) {
-  OpenRequests::Open* const found = requests_.find(send.request);
+  OpenRequests::Entry* const found = requests_.find(send.request);
   if (found == nullptr) {
     spdlog::error("attempt for unknown request {}", send.request);
     return;
   }
-  OpenRequests::Open& open = *found;
+  OpenRequests::Entry& entry = *found;
   Choice choice{Choice::Kind::kSend, send.request};
   choice.backend = send.backend;
-  choice.attempt = static_cast<int>(open.attempts.size());
-  choice.until = send.stop_at > 0 ? std::min(send.stop_at, open.due) : open.due;
+  choice.attempt = static_cast<int>(entry.attempts.size());
+  choice.deadline = send.stop_at > 0 ? std::min(send.stop_at, entry.due) : entry.due;
   choice.begin_by = send.begin_by;
-  open.attempts.push_back(send.backend);
+  entry.attempts.push_back(send.backend);
   endpoints_.use(send.backend);
-  if (open.over || choice.until <= now || choice.attempt >= open.rules.most_attempts ||
-      !open.affinity_hold.may_send()) {
+  if (entry.ended || choice.deadline <= now || choice.attempt >= entry.rules.most_attempts ||
+      !entry.affinity_hold.may_send()) {
     unsent_.emplace_back(AttemptEnded{
-        send.request, send.backend, choice.attempt, outcome_of(Ending::kNotSent), 0, open.over, false, {}});
+        send.request, send.backend, choice.attempt, outcome_of(Ending::kNotSent), 0, entry.ended, false, {}});
     return;
   }
-  open.out += 1;
-  if (choice.attempt > 0) retry_allowance_.made();
-  deferred_actions_.choices.push_back(choice);
+  entry.in_flight += 1;
+  if (choice.attempt > 0) retry_allowance_.count_retry();
+  deferred_.choices.push_back(choice);
 }
 
-// A final answer by this node. Attempts still out are reported later, to a request that is over.
+// Ends the request with an answer of this node's own; attempts in flight are still reported later.
 void PolicyHost::answer(RequestId request, Choice choice) {
-  OpenRequests::Open* const open = requests_.find(request);
-  if (open == nullptr) return;
-  const guard::RequestState state = open->state();
+  OpenRequests::Entry* const entry = requests_.find(request);
+  if (entry == nullptr) return;
+  const guard::RequestState state = entry->state();
   if (!guard::may_fail(state)) return;
   if (choice.kind == Choice::Kind::kRefuse && !guard::may_refuse(state)) choice.kind = Choice::Kind::kFail;
-  deferred_actions_.choices.push_back(choice);
-  requests_.answered(request, *open);
+  deferred_.choices.push_back(choice);
+  requests_.mark_ended(request, *entry);
 }
 
 }  // namespace shorelead::node
--- a/src/node/policy_host.h
+++ b/src/node/policy_host.h
@@ -1,6 +1,7 @@
-// The decision module as the network code sees it: one asks for a pick, reports how things ended and calls
-// tick() when it is time. It owns the module, its timers, the endpoint list and the requests that are open.
-// It must never do I/O, read a clock or decide; and the module's events and actions stay behind it.
+// Adapter between the network code and the decision module (Policy): the caller asks for a backend with
+// pick(), reports the outcome of attempts and probes, and calls tick() when due. Owns the module, its timers,
+// the endpoint list and the open requests, and hides the module's events and actions. Does no I/O, reads no
+// clock and makes no decision of its own.
 #pragma once
 
 #include <functional>
@@ -27,10 +28,9 @@
   Millis due = 0;
   double expected_work = -1;
   bool client_retry = false;
-  double worth = -1;  // beside the dearest, by the fleet's order; negative = its class's
-  bool body_comes =
-      false;    // by parts: its time counts from body_whole(), and until then there is no due time
-  Unit home{};  // where a rule of affinity keeps it
+  double worth = -1;          // 0 to 1 by the fleet's order of ranks; negative = the worth of its class
+  bool body_pending = false;  // the body is streamed: `due` applies only from body_complete() on
+  Unit home{};                // the unit that an affinity rule keeps it at
   AffinityHold affinity_hold{};
 };
 
@@ -43,27 +43,28 @@
   PolicyHost(const Settings& settings, const HostSettings& host, std::uint64_t seed,
              const FleetOptions& fleet);
 
-  // Call first, with the list that the node had before; empty where it had none.
+  // Called once, before anything else, with the stored endpoint list; empty where there is none.
   void start(const List& known, Millis now);
 
-  // New settings count from now on; says the number that each of their classes has here.
+  // Applies new settings to requests that arrive from now on. Returns the number that each of their classes
+  // has in this pool.
   std::vector<int> adopt(const Settings& settings, const HostSettings& host, Millis now);
 
   Choice pick(RequestId request, const RequestInfo& info, Millis now);
   Choice report(RequestId request, int attempt, Ending ending, Millis elapsed, const LoadReport* load,
                 Millis now);
   void report_probe(BackendId backend, Ending ending, Millis elapsed, const LoadReport* load, Millis now);
-  // Says which backends nothing new may go to from now on that it might have gone to before.
+  // Returns the backends that have just become unavailable for new attempts.
   std::vector<BackendId> report_list(const List& list, ListSource source, Millis now);
-  // What is out by hand counts from now on, whatever the list says. Says who is unwanted, as report_list()
-  // does.
+  // Applies the operator's bans, which override the list. Returns the backends that have just become
+  // unavailable.
   std::vector<BackendId> report_bans(const manage::BanSet& bans, Millis now);
   std::vector<EndpointList::Restarted> take_restarted() { return endpoints_.take_restarted(); }
   void report_watch_ended(Millis now);
-  // For how long the list may be acted on.
+  // How long the list may be used.
   void report_validity(const ListValidity& validity, Millis now) { feed(validity, now); }
-  void body_whole(RequestId request, Millis due);
-  // What the guard is to know of an attempt that is about to be written.
+  void body_complete(RequestId request, Millis due);
+  // Fills in what the guard checks before an attempt is written.
   void describe(RequestId request, BackendId backend, Millis now, guard::RequestState& state,
                 guard::BackendState& there) const {
     requests_.describe(request, state);
@@ -71,29 +72,31 @@
     there.confirmed = policy_.confirmed(backend, now);
   }
   void report_client_gone(RequestId request, Millis now);
-  // All that is out of it, whether the settings allow that or not; its answer, if it has none, is the
-  // caller's.
-  void call_off(RequestId request, Millis now);
+  // Cancels all of its attempts, even where the settings allow no cancellation. The caller answers the
+  // request if it has no answer yet.
+  void cancel(RequestId request, Millis now);
   DeferredActions tick(Millis now);
 
   using RetryAllowance = node::RetryAllowance;
-  // From now on; with empty functions only the module's own bound counts.
-  void bound_attempts(RetryAllowance retry_allowance, Millis now);
+  // Bounds retries by the fleet's allowance; with empty functions only the module's own bound applies.
+  void set_retry_allowance(RetryAllowance retry_allowance, Millis now);
   double room() const { return room_.value(); }  // share of the backends' capacity that is unused
 
-  // Set by the host: called when something for tick() came up outside of it.
+  // `wake` is called when work for tick() comes up outside of tick().
   void on_deferred_action(std::function<void()> wake) { wake_ = std::move(wake); }
 
-  std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return endpoints_.see(kind, unit); }
+  std::optional<UnitState> find_unit(Unit::Kind kind, const std::string& unit) {
+    return endpoints_.find_unit(kind, unit);
+  }
   const EndpointList& endpoints() const { return endpoints_; }
-  const Settings& settings() const { return classes_.settings(); }  // with the numbers of classes here
+  const Settings& settings() const { return classes_.settings(); }  // classes numbered as in this pool
   const std::string& dial(BackendId backend) const { return endpoints_.dial(backend); }
   const std::string& host(BackendId backend) const { return endpoints_.host(backend); }
   bool wanted(BackendId backend) const { return endpoints_.wanted(backend); }
   std::size_t ready() const { return endpoints_.ready(); }
   std::size_t backends() const { return endpoints_.backends(); }
   std::optional<SubsetCounters> subset_counters() const { return endpoints_.subset_counters(); }
-  // Of those listed, how many are avoided now: out by hand, draining, or passed over by the module's choice.
+  // Number of listed backends that are avoided now: banned, draining, or avoided by the module.
   std::size_t skipped(Millis now) const { return policy_.avoided(now) + endpoints_.out(); }
   std::size_t open_requests() const { return requests_.size(); }
 
@@ -112,8 +115,8 @@
   std::multimap<Millis, std::uint64_t> timers_;
   RetryAllowanceBound retry_allowance_;
   estimate::Room room_;
-  std::vector<Event> unsent_;  // attempts that could not be begun, to be told to the module
-  DeferredActions deferred_actions_;
+  std::vector<Event> unsent_;  // attempts that could not be started, still to be reported to the module
+  DeferredActions deferred_;
   std::function<void()> wake_;
 };
 
--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -94,9 +94,9 @@
   upstream_->withdraw(policy_host_.report_bans(bans, loop_.now()));
 }
 
-void Pool::body_whole(RequestId request, Millis due) {
-  record_.body_whole(request, due);
-  policy_host_.body_whole(request, due);
+void Pool::body_complete(RequestId request, Millis due) {
+  record_.body_complete(request, due);
+  policy_host_.body_complete(request, due);
 }
 
 bool Pool::serves_as(const PoolConfig& config) const { return same_making(config_, config); }
@@ -130,8 +130,8 @@
   close(request);
 }
 
-void Pool::call_off(RequestId request) {
-  policy_host_.call_off(request, loop_.now());
+void Pool::cancel(RequestId request) {
+  policy_host_.cancel(request, loop_.now());
   if (open_.count(request) == 0) return;
   host_.fail(request, 502);
   close(request);
@@ -145,7 +145,7 @@
 // Its way broke off within this node: nothing more of it is sent, and it is answered as failed.
 void Pool::abandon(RequestId request) {
   record_.threw(request);
-  policy_host_.call_off(request, loop_.now());
+  policy_host_.cancel(request, loop_.now());
   host_.fail(request, 500);
   close(request);
 }
@@ -162,10 +162,10 @@
       counters_.attempt_sent();
       record_.decided(choice, policy_host_.host(choice.backend));
       upstream_->send(choice.request, choice.attempt, choice.backend, policy_host_.dial(choice.backend),
-                      choice.until, it->second.message, choice.begin_by);
+                      choice.deadline, it->second.message, choice.begin_by);
       break;
     case Choice::Kind::kRefuse:
-      host_.refuse(choice.request, choice.wait);
+      host_.refuse(choice.request, choice.retry_after);
       close(choice.request);
       break;
     case Choice::Kind::kFail: {
@@ -174,9 +174,9 @@
       close(choice.request);
       break;
     }
-    case Choice::Kind::kHold:
-    case Choice::Kind::kPass:
-    case Choice::Kind::kOver:
+    case Choice::Kind::kPending:
+    case Choice::Kind::kForward:
+    case Choice::Kind::kEnded:
       break;
   }
 }
@@ -192,11 +192,11 @@
   settling_ = false;
   const DeferredActions due = policy_host_.tick(loop_.now());
   upstream_->withdraw(due.unwanted);
-  upstream_->close_unused(due.crowded);
+  upstream_->close_unused(due.close_idle);
   for (const Choice& choice : due.choices) carry_out(choice);
-  for (const auto& [request, attempt] : due.call_off) upstream_->call_off(request, attempt);
+  for (const auto& [request, attempt] : due.cancellations) upstream_->call_off(request, attempt);
   for (const BackendId backend : due.probes) probe(backend);
-  if (due.watch) source_->watch();
+  if (due.start_watch) source_->watch();
   if (due.next == wake_at_ && wake_ != 0) return;
   loop_.cancel(wake_);
   wake_at_ = due.next;
@@ -230,7 +230,7 @@
   if (it != open_.end()) it->second.last = result.ending;
   const Choice choice = policy_host_.report(request, attempt, result.ending, result.elapsed,
                                             result.load ? &*result.load : nullptr, loop_.now());
-  if (choice.kind == Choice::Kind::kPass) {
+  if (choice.kind == Choice::Kind::kForward) {
     host_.serve(request, *result.answer, result.flow);
     close(request);
     return;
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -45,13 +45,15 @@
   void request(RequestId request, const RequestInfo& info, std::shared_ptr<const Message> message);
   void gone(RequestId request);  // its client is
   // All of it that is out; where it has no answer yet it is answered as failed.
-  void call_off(RequestId request);
+  void cancel(RequestId request);
   // A backend, cell or zone of this pool, as it stands now.
-  std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return policy_host_.see(kind, unit); }
+  std::optional<UnitState> find_unit(Unit::Kind kind, const std::string& unit) {
+    return policy_host_.find_unit(kind, unit);
+  }
   std::uint64_t list_changes() const { return policy_host_.endpoints().changes(); }
   std::vector<ListedBackend> listed_backends() const { return policy_host_.endpoints().all(); }
   // The body of one that came by parts is whole now; its client waits until `due`.
-  void body_whole(RequestId request, Millis due);
+  void body_complete(RequestId request, Millis due);
 
   // Whether a pool that is told so may go on as it is, with what it has learnt; then follow() brings it
   // there.
@@ -64,8 +66,8 @@
   void leave() { left_ = true; }
   void rejoin() { left_ = false; }
   // What a fleet allows of further attempts from now on.
-  void bound_attempts(PolicyHost::RetryAllowance further) {
-    policy_host_.bound_attempts(std::move(further), loop_.now());
+  void set_retry_allowance(PolicyHost::RetryAllowance retry_allowance) {
+    policy_host_.set_retry_allowance(std::move(retry_allowance), loop_.now());
   }
   double room() const { return policy_host_.room(); }
   // That a refusal may say to wait; 0 = it may say nothing.
--- a/src/node/pool_record.h
+++ b/src/node/pool_record.h
@@ -42,10 +42,10 @@
   bool withdrawn(const std::string& host, Millis now) const { return listed_.withdrawn(host, now); }
 
   void request(RequestId request, const Settings& settings, const RequestInfo& info) {
-    const Millis due = info.body_comes ? guard::kNever : info.due;
+    const Millis due = info.body_pending ? guard::kNever : info.due;
     recorder_->ruled(request, checked_rules(settings, info.request_class, due));
   }
-  void body_whole(RequestId request, Millis due) { recorder_->due(request, due); }
+  void body_complete(RequestId request, Millis due) { recorder_->due(request, due); }
   void threw(RequestId request) { recorder_->handler_threw(request); }
   void decided(const Choice& choice, const std::string& host) {
     recorder_->attempt_decided(choice.request, choice.attempt, host, choice.backend);
--- a/src/node/rank_counts.h
+++ b/src/node/rank_counts.h
@@ -1,5 +1,4 @@
-// What the traffic's counters of each rank say of the time since the last look. Owns the figures of that
-// look; it must never write a counter.
+// Difference of the traffic thread's counters of each rank since the last reading. Writes no counter.
 #pragma once
 
 #include <cstddef>
@@ -13,34 +12,34 @@
 
 class RankCounts {
  public:
-  explicit RankCounts(int ranks) : before_(static_cast<std::size_t>(ranks)) {}
+  explicit RankCounts(int ranks) : previous_(static_cast<std::size_t>(ranks)) {}
 
-  // `cells_of`: the counters of a rank, or null.
+  // `cells_of` returns the counters of a rank, or null.
   template <typename CellsOf>
   std::map<int, fleet::RankLoad> since_last(const CellsOf& cells_of) {
     std::map<int, fleet::RankLoad> loads;
-    for (std::size_t rank = 0; rank < before_.size(); ++rank) {
+    for (std::size_t rank = 0; rank < previous_.size(); ++rank) {
       const fleet::RankCells* const cells = cells_of(static_cast<int>(rank));
       if (cells == nullptr) continue;
-      const fleet::RankLoad count = now_of(*cells);
-      loads[static_cast<int>(rank)] = less(count, before_[rank]);
-      before_[rank] = count;
+      const fleet::RankLoad count = read(*cells);
+      loads[static_cast<int>(rank)] = difference(count, previous_[rank]);
+      previous_[rank] = count;
     }
     return loads;
   }
 
  private:
-  static fleet::RankLoad now_of(const fleet::RankCells& cells) {
-    const auto figure = [](const auto& cell) { return static_cast<double>(cell.get()); };
-    return {figure(cells.offered), figure(cells.taken), figure(cells.in_time), figure(cells.refused),
-            figure(cells.failed)};
+  static fleet::RankLoad read(const fleet::RankCells& cells) {
+    const auto value = [](const auto& cell) { return static_cast<double>(cell.get()); };
+    return {value(cells.offered), value(cells.taken), value(cells.in_time), value(cells.refused),
+            value(cells.failed)};
   }
-  static fleet::RankLoad less(const fleet::RankLoad& a, const fleet::RankLoad& b) {
+  static fleet::RankLoad difference(const fleet::RankLoad& a, const fleet::RankLoad& b) {
     return {a.offered - b.offered, a.taken - b.taken, a.in_time - b.in_time, a.refused - b.refused,
             a.failed - b.failed};
   }
 
-  std::vector<fleet::RankLoad> before_;
+  std::vector<fleet::RankLoad> previous_;
 };
 
 }  // namespace shorelead::node
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -10,7 +10,7 @@
 namespace shorelead::node {
 
 bool Readiness::admission_suffices(const RoutingSnapshot& snapshot) const {
-  return snapshot.number != 1 || !snapshot.admission || snapshot.admission->told();
+  return snapshot.number != 1 || !snapshot.admission || snapshot.admission->plan_settled();
 }
 
 // Lists of earlier will do if discovery takes its time.
--- a/src/node/request_body_forwarder.cpp
+++ b/src/node/request_body_forwarder.cpp
@@ -8,17 +8,17 @@
     : loop_(loop), stream_(stream), flow_(std::move(flow)) {
   flow_->set_source({[this] {
                        resumed_at_ = loop_.now();
-                       if (held_at_ > 0) held_ += resumed_at_ - std::exchange(held_at_, 0);
+                       if (paused_at_ > 0) paused_total_ += resumed_at_ - std::exchange(paused_at_, 0);
                        stream_.want_input(true);
                      },
                      {}});
 }
 
-// What takes the part may end the request, and this with it; whoever calls holds it.
+// The sink that takes the part may end the request, which drops this object: the caller keeps it alive.
 void RequestBodyForwarder::put(std::string part) {
   flow_->put(std::move(part));
   if (!flow_->full() || flow_->ended() || left_) return;
-  held_at_ = loop_.now();
+  paused_at_ = loop_.now();
   stream_.want_input(false);
 }
 
--- a/src/node/request_body_forwarder.h
+++ b/src/node/request_body_forwarder.h
@@ -1,5 +1,6 @@
-// A request's body that is passed on while it comes. Owns the client's end of its flow, and for how long this
-// node held the client back because nobody took it; it must never parse, nor end the request.
+// Forwards a request body while it is received. Owns the client's end of the body's flow and the time for
+// which this node stopped reading from the client because the backend took nothing. Does not parse the body
+// or end the request.
 #pragma once
 
 #include <cstdint>
@@ -17,22 +18,24 @@
 
   void put(std::string part);
   void end(std::string last);
-  void cut() { flow_->cut(); }  // the rest will not come
-  void leave();                 // and nobody brings any more of it
+  void cut() { flow_->cut(); }  // the body stays incomplete
+  void leave();                 // the same, and the client's stream is used no more
 
   bool ended() const { return flow_->ended(); }
-  std::uint64_t passed() const { return flow_->passed(); }
-  bool holds_back() const { return held_at_ > 0; }
-  Millis held() const { return held_; }
-  Millis resumed_at() const { return resumed_at_; }  // when it was last let go on; 0 = it never was held back
+  std::uint64_t received() const { return flow_->passed(); }  // bytes
+  bool paused() const { return paused_at_ > 0; }              // reading from the client is stopped
+  Millis paused_total() const { return paused_total_; }
+  Millis resumed_at() const {
+    return resumed_at_;
+  }  // when reading was last resumed; 0 = it was never stopped
 
  private:
   Loop& loop_;
   Stream& stream_;
   const std::shared_ptr<net::Flow> flow_;
   bool left_ = false;
-  Millis held_ = 0;
-  Millis held_at_ = 0;  // since then; 0 = not now
+  Millis paused_total_ = 0;
+  Millis paused_at_ = 0;  // 0 = not paused
   Millis resumed_at_ = 0;
 };
 
--- a/src/node/request_classifier.cpp
+++ b/src/node/request_classifier.cpp
@@ -7,8 +7,8 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kMostWait = 3600000;  // that a client may name
-constexpr std::size_t kMostPast = 16;  // generations kept for repeats; beyond, the oldest is forgotten
+constexpr Millis kMaxClientTimeout = 3600000;
+constexpr std::size_t kMaxPrevious = 16;  // generations kept for repeats; beyond that the oldest is dropped
 
 std::optional<RequestRoute> request_route_by(const Message& message,
                                              const std::shared_ptr<const RoutingSnapshot>& snapshot) {
@@ -36,27 +36,27 @@
 
 }  // namespace
 
-void RequestClassifier::go_by(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now) {
+void RequestClassifier::use(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now) {
   Millis window = 0;
   for (const RequestClass& one : snapshot_->classes) {
     if (one.effect == Effect::kKeyed) window = std::max(window, one.dedup_window);
   }
-  forget_past(now);
-  if (window > 0) past_.push_back({snapshot_, now + window});
-  if (past_.size() > kMostPast) past_.erase(past_.begin());
+  drop_expired(now);
+  if (window > 0) previous_.push_back({snapshot_, now + window});
+  if (previous_.size() > kMaxPrevious) previous_.erase(previous_.begin());
   snapshot_ = std::move(snapshot);
 }
 
-void RequestClassifier::forget_past(Millis now) {
-  std::erase_if(past_, [now](const Past& past) { return past.until <= now; });
+void RequestClassifier::drop_expired(Millis now) {
+  std::erase_if(previous_, [now](const Previous& previous) { return previous.until <= now; });
 }
 
-// A client's repeat goes where its first try may have gone.
+// A client's repeat of a keyed request is routed as its first try may have been, where its key is known.
 std::optional<RequestRoute> RequestClassifier::request_route_of(const Message& message, Millis now) const {
-  if (!past_.empty() && message.value("x-retried") == "1" && !message.value("idempotency-key").empty()) {
-    for (const Past& past : past_) {
-      if (past.until <= now) continue;
-      auto request_route = request_route_by(message, past.snapshot);
+  if (!previous_.empty() && message.value("x-retried") == "1" && !message.value("idempotency-key").empty()) {
+    for (const Previous& previous : previous_) {
+      if (previous.until <= now) continue;
+      auto request_route = request_route_by(message, previous.snapshot);
       if (request_route &&
           request_route->snapshot->classes[static_cast<std::size_t>(request_route->request_class)].effect ==
               Effect::kKeyed)
@@ -86,7 +86,7 @@
     return cause = "a body does not fit the class", 400;
   }
   if (message.value("x-request-id").empty()) return cause = "X-Request-ID is missing", 400;
-  // Guards against a backend that reads the other one of two.
+  // A field given twice is refused: the backend might read the other one.
   for (const char* const once : {"x-request-id", "x-timeout-ms", "idempotency-key"}) {
     const auto same = [&](const Field& field) { return same_name(field.name.in(raw), once); };
     if (std::count_if(head.fields.begin(), head.fields.end(), same) > 1) return cause = "field twice", 400;
@@ -94,7 +94,7 @@
   info.due = request_class.deadline;
   if (const Field* wait = head.find(raw, "x-timeout-ms")) {
     const auto value = parse_whole(wait->value.in(raw));
-    if (!value || *value == 0 || static_cast<double>(*value) > kMostWait)
+    if (!value || *value == 0 || static_cast<double>(*value) > kMaxClientTimeout)
       return cause = "bad X-Timeout-Ms", 400;
     info.due = static_cast<Millis>(*value);
   }
--- a/src/node/request_classifier.h
+++ b/src/node/request_classifier.h
@@ -1,6 +1,6 @@
-// Requests as the generations of the configuration read them: route, class and what the module is told. Owns
-// the generation in force and those before it, by which repeats of keyed requests still go. Pure: the time
-// in. It must never answer.
+// Classifies requests by the configuration: route, class, and what the decision module is given. Owns the
+// generation in force and the previous ones that repeats of keyed requests still use. Takes the time as an
+// argument and answers no request.
 #pragma once
 
 #include <memory>
@@ -19,16 +19,16 @@
       : snapshot_(std::move(snapshot)) {}
 
   const RoutingSnapshot& in_force() const { return *snapshot_; }
-  void go_by(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now);
-  void forget_past(Millis now);
+  void use(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now);
+  void drop_expired(Millis now);
 
-  // Reads of a request what the module is told of it; `ask.due` holds the client's whole wait until the
-  // caller knows better. Returns 0, or the status that it is refused with and its cause.
+  // Fills in `info` and `request_route`. `info.due` is set to the client's time-out, for the caller to turn
+  // into a deadline. Returns 0, or the status of the refusal and its cause.
   int read(const Message& message, Millis now, RequestInfo& info, RequestRoute& request_route,
            const char*& cause) const;
 
  private:
-  struct Past {
+  struct Previous {
     std::shared_ptr<const RoutingSnapshot> snapshot;
     Millis until = 0;
   };
@@ -36,7 +36,7 @@
   std::optional<RequestRoute> request_route_of(const Message& message, Millis now) const;
 
   std::shared_ptr<const RoutingSnapshot> snapshot_;
-  std::vector<Past> past_;  // the oldest first
+  std::vector<Previous> previous_;  // the oldest first
 };
 
 }  // namespace shorelead::node
--- a/src/node/request_head.h
+++ b/src/node/request_head.h
@@ -1,5 +1,5 @@
-// What of a client's request goes to a backend: its start line, the fields that go on, and lines of our own.
-// Owns the words of these; it must never copy what the client sent.
+// The head of a request as it is sent to a backend: the client's start line, the fields that are forwarded,
+// and those that this node adds. Refers to the client's bytes without copying them.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 
 namespace shorelead::node {
 
-// Appends to `pieces` what is to be written before the body. `own` holds what is not the client's, and has to
-// live as long as they; `left`: the backend has so long for it.
+// Appends the head to `pieces`. `own` is set to the added fields and has to live as long as `pieces`. `left`
+// is the time that the backend has for its response.
 void request_head(const Message& message, Millis left, std::string& own,
                   std::vector<std::string_view>& pieces);
 
--- a/src/node/request_rules.h
+++ b/src/node/request_rules.h
@@ -1,6 +1,6 @@
-// What the settings say of a request that comes now, for the guard, which is asked before anything is done,
-// and for the checker, which counts what was done. Pure: read once when a request comes, so that a reload
-// changes neither.
+// A request's rules by the settings in force: for the guard, which checks before each step, and for the
+// checker, which checks what was done. Read once when the request arrives, so that a reload does not change
+// them.
 #pragma once
 
 #include "guard/checker.h"
@@ -9,7 +9,7 @@
 
 namespace shorelead::node {
 
-// Whether a client that repeats it after a refusal does no harm, whatever ran before.
+// Whether a client may repeat the request after a refusal without harm, whatever ran before.
 inline bool refusal_repeats(const RequestClass& of) {
   return of.effect == Effect::kSafe || (of.effect == Effect::kKeyed && of.group == DedupGroup::kAll);
 }
@@ -24,7 +24,7 @@
   return rules;
 }
 
-// `due`: when its client stops waiting; unknown (never) while its body comes.
+// `due`: when its client stops waiting; never, while the body is being received.
 inline guard::RequestRules checked_rules(const Settings& settings, int request_class, Millis due) {
   const RequestClass& of = settings.classes.at(static_cast<std::size_t>(request_class));
   guard::RequestRules rules;
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -6,7 +6,7 @@
 namespace shorelead::node {
 namespace {
 
-std::optional<affinity::Found> rule_of(const FleetAdmission& admission, const AffinityRouter& keys,
+std::optional<affinity::Found> rule_of(const FleetAdmission& admission, const AffinityRouter& affinity_router,
                                        const RequestRoute& request_route, const Message& message) {
   const Head& head = message.head();
   const std::function<std::string_view(std::string_view)> field = [&message](std::string_view name) {
@@ -25,108 +25,114 @@
   request.method = head.method.in(message.raw);
   request.path = head.target.in(message.raw);
   request.field = &field;
-  return keys.find(request);
+  return affinity_router.find(request);
 }
 
 }  // namespace
 
-void RequestTable::take(RequestId request, RequestInfo info, const RequestRoute& request_route,
-                        std::shared_ptr<const Message> message) {
+void RequestTable::accept(RequestId request, RequestInfo info, const RequestRoute& request_route,
+                          std::shared_ptr<const Message> message) {
   const RoutingSnapshot& snapshot = *request_route.snapshot;
   FleetAdmission* const admission = snapshot.admission.get();
-  AffinityRouter* const keys = admission == nullptr ? nullptr : admission->keys();
-  const auto found = keys == nullptr ? std::nullopt : rule_of(*admission, *keys, request_route, *message);
-  // A client's repeat of a keyed request stays where its key may be known; and what has a backend of its own
-  // has none in another pool.
+  AffinityRouter* const affinity_router = admission == nullptr ? nullptr : admission->affinity_router();
+  const auto found = affinity_router == nullptr
+                         ? std::nullopt
+                         : rule_of(*admission, *affinity_router, request_route, *message);
+  // A client's repeat of a keyed request stays in its pool, where its idempotency key may be known. So does a
+  // request that an affinity rule binds to a unit: no other pool has that unit.
   const auto& request_class = snapshot.classes[static_cast<std::size_t>(request_route.request_class)];
   const bool bound = (info.client_retry && request_class.effect == Effect::kKeyed) ||
-                     (found && found->keyed && keys->must(*found));
-  const int to = bound ? request_route.pool
-                       : routing::standing_in(snapshot.fallbacks, request_route.pool, [&snapshot](int n) {
-                           return snapshot.pools[static_cast<std::size_t>(n)]->anybody_ready();
-                         });
-  if (to != request_route.pool) ++stood_in_;
-  const auto n = static_cast<std::size_t>(to);
+                     (found && found->keyed && affinity_router->must(*found));
+  const int target = bound ? request_route.pool
+                           : routing::standing_in(snapshot.fallbacks, request_route.pool, [&snapshot](int n) {
+                               return snapshot.pools[static_cast<std::size_t>(n)]->anybody_ready();
+                             });
+  if (target != request_route.pool) ++stood_in_;
+  const auto n = static_cast<std::size_t>(target);
   FleetAdmission::Ticket ticket;
   if (admission != nullptr) {
-    admission->room(snapshot.pools[n]->room());
-    const auto said =
-        admission->admit({to, request_route.route, request_route.request_class, message->value("x-tenant-id"),
-                          admission->client_of(*message), snapshot.pools[n]->most_advice()},
-                         request_class.aim);
-    if (said.refused != 0) {
-      return refuse_(request, {said.refused, said.cause, said.why, said.come_back});
+    admission->report_spare_capacity(snapshot.pools[n]->room());
+    const auto verdict = admission->admit(
+        {target, request_route.route, request_route.request_class, message->value("x-tenant-id"),
+         admission->client_of(*message), snapshot.pools[n]->most_advice()},
+        request_class.aim);
+    if (verdict.refused != 0) {
+      return refuse_(request, {verdict.refused, verdict.cause, verdict.proxy_status, verdict.retry_after});
     }
-    ticket = said.ticket, info.worth = said.worth;
+    ticket = verdict.ticket, info.worth = verdict.worth;
   }
   info.request_class = snapshot.class_in_pool[n][static_cast<std::size_t>(request_route.request_class)];
   const std::shared_ptr<Pool> pool = snapshot.pools[n];
-  with_[request] = {pool, snapshot.admission, ticket};
+  entries_[request] = {pool, snapshot.admission, ticket};
   if (!found) return pool->request(request, info, std::move(message));
-  go(request, keys->arrive(request, *found, pool, info.due), info, std::move(message));
+  apply(request, affinity_router->route(request, *found, pool, info.due), info, std::move(message));
 }
 
-void RequestTable::go(RequestId request, const AffinityRouter::Said& said, RequestInfo info,
-                      std::shared_ptr<const Message> message) {
-  With& with = with_.at(request);
-  switch (said.go) {
+void RequestTable::apply(RequestId request, const AffinityRouter::Decision& decision, RequestInfo info,
+                         std::shared_ptr<const Message> message) {
+  Entry& entry = entries_.at(request);
+  switch (decision.go) {
     case affinity::Go::kWait:
-      if (!with.waits) with.waits = std::make_unique<Waits>();
-      *with.waits = {std::move(info), std::move(message), said.place};
+      if (!entry.waiting) entry.waiting = std::make_unique<Waiting>();
+      *entry.waiting = {std::move(info), std::move(message), decision.place};
       return;
     case affinity::Go::kRefuse: {
-      const Millis come_back = with.pool->most_advice();
+      const Millis retry_after = entry.pool->most_advice();
       close(request, FleetAdmission::End::kFailed);
-      return refuse_(request, {503, cause_of(said.why), kWhyKey, come_back});
+      return refuse_(request, {503, cause_of(decision.why), kProxyStatusAffinity, retry_after});
     }
     case affinity::Go::kOnly:
-      // Both live for as long as anything of it is out.
-      info.affinity_hold = {std::shared_ptr<Holder>(with.admission, with.admission->keys()), said.place};
+      // The hold keeps the fleet admission, which owns the router, alive until the last attempt has ended.
+      info.affinity_hold = {
+          std::shared_ptr<AffinityPlaces>(entry.admission, entry.admission->affinity_router()),
+          decision.place};
       [[fallthrough]];
     case affinity::Go::kPrefer:
-      info.home = said.home;
+      info.home = decision.home;
       [[fallthrough]];
     case affinity::Go::kFree:
       break;
   }
-  with.waits.reset();
-  const std::shared_ptr<Pool> pool = with.pool;
+  entry.waiting.reset();
+  const std::shared_ptr<Pool> pool = entry.pool;
   pool->request(request, info, std::move(message));
 }
 
-void RequestTable::again(RequestId request) {
-  const auto it = with_.find(request);
-  if (it == with_.end() || !it->second.waits) return;
-  Waits& waits = *it->second.waits;
-  const AffinityRouter::Said said = it->second.admission->keys()->again(waits.place);
-  if (said.go == affinity::Go::kWait) return;
-  waits.place = -1;
-  go(request, said, std::move(waits.info), std::move(waits.message));
+void RequestTable::reconsider(RequestId request) {
+  const auto it = entries_.find(request);
+  if (it == entries_.end() || !it->second.waiting) return;
+  Waiting& waiting = *it->second.waiting;
+  const AffinityRouter::Decision decision =
+      it->second.admission->affinity_router()->reconsider(waiting.place);
+  if (decision.go == affinity::Go::kWait) return;
+  waiting.place = -1;
+  apply(request, decision, std::move(waiting.info), std::move(waiting.message));
 }
 
-void RequestTable::body_whole(RequestId request, Millis due) {
-  const auto it = with_.find(request);
-  if (it == with_.end()) return;
-  if (!it->second.waits) return it->second.pool->body_whole(request, due);
-  it->second.waits->info.due = due;
-  it->second.waits->info.body_comes = false;
+void RequestTable::body_complete(RequestId request, Millis due) {
+  const auto it = entries_.find(request);
+  if (it == entries_.end()) return;
+  if (!it->second.waiting) return it->second.pool->body_complete(request, due);
+  it->second.waiting->info.due = due;
+  it->second.waiting->info.body_pending = false;
 }
 
-void RequestTable::gone(RequestId request) {
-  const auto it = with_.find(request);
-  if (it == with_.end()) return;
-  const std::shared_ptr<Pool> pool = it->second.waits ? nullptr : it->second.pool;
-  close(request, FleetAdmission::End::kGone);
+void RequestTable::client_gone(RequestId request) {
+  const auto it = entries_.find(request);
+  if (it == entries_.end()) return;
+  const std::shared_ptr<Pool> pool = it->second.waiting ? nullptr : it->second.pool;
+  close(request, FleetAdmission::End::kClientGone);
   if (pool) pool->gone(request);
 }
 
 void RequestTable::close(RequestId request, FleetAdmission::End end) {
-  const auto it = with_.find(request);
-  if (it == with_.end()) return;
-  const With with = std::move(it->second);
-  with_.erase(it);
-  if (with.waits && with.waits->place >= 0) with.admission->keys()->leave(with.waits->place);
-  if (with.admission) with.admission->ended(with.ticket, end);
+  const auto it = entries_.find(request);
+  if (it == entries_.end()) return;
+  const Entry entry = std::move(it->second);
+  entries_.erase(it);
+  if (entry.waiting && entry.waiting->place >= 0)
+    entry.admission->affinity_router()->leave(entry.waiting->place);
+  if (entry.admission) entry.admission->ended(entry.ticket, end);
 }
 
 }  // namespace shorelead::node
--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -1,6 +1,7 @@
-// Where each open request is: with a pool, or waiting for its key's backend; and what it has of the fleet.
-// Owns that book, and the order in which a request meets stand-ins, the fleet admission and rules of
-// affinity. It must never choose a backend, nor let go of what a request has of the fleet before it is over.
+// The open requests of the node: which pool handles each, or that it waits for an affinity slot, and what it
+// uses of the fleet's shared limits. Passes a new request through fallback pools, fleet admission and
+// affinity rules, in this order. Chooses no backend. A request's shared limits are released when it ends, and
+// not before.
 #pragma once
 
 #include <cstdint>
@@ -22,35 +23,34 @@
 
   explicit RequestTable(Refuse refuse) : refuse_(std::move(refuse)) {}
 
-  void take(RequestId request, RequestInfo info, const RequestRoute& request_route,
-            std::shared_ptr<const Message> message);
-  // One that waits for its key's backend: asks again.
-  void again(RequestId request);
-  void body_whole(RequestId request, Millis due);
-  void gone(RequestId request);  // its client is
-  // It has its answer; what it has of the fleet is given back.
+  void accept(RequestId request, RequestInfo info, const RequestRoute& request_route,
+              std::shared_ptr<const Message> message);
+  // Lets a request that waits for an affinity slot go on, if it may by now.
+  void reconsider(RequestId request);
+  void body_complete(RequestId request, Millis due);
+  void client_gone(RequestId request);
+  // The request has its answer: releases what it uses of the shared limits.
   void close(RequestId request, FleetAdmission::End end);
-  std::uint64_t stood_in() const { return stood_in_; }  // requests taken by a pool that stands in for another
+  std::uint64_t stood_in() const { return stood_in_; }  // requests sent to a fallback pool
 
  private:
-  struct Waits {
+  struct Waiting {
     RequestInfo info;
     std::shared_ptr<const Message> message;
     int place = -1;
   };
-  struct With {
+  struct Entry {
     std::shared_ptr<Pool> pool;
     std::shared_ptr<FleetAdmission> admission;
     FleetAdmission::Ticket ticket;
-    std::unique_ptr<Waits> waits{};
+    std::unique_ptr<Waiting> waiting{};  // for an affinity slot; null: the pool has the request
   };
 
-  // As a rule of affinity says.
-  void go(RequestId request, const AffinityRouter::Said& said, RequestInfo info,
-          std::shared_ptr<const Message> message);
+  void apply(RequestId request, const AffinityRouter::Decision& decision, RequestInfo info,
+             std::shared_ptr<const Message> message);
 
   const Refuse refuse_;
-  std::unordered_map<RequestId, With> with_;
+  std::unordered_map<RequestId, Entry> entries_;
   std::uint64_t stood_in_ = 0;
 };
 
--- a/src/node/retry_allowance.h
+++ b/src/node/retry_allowance.h
@@ -1,5 +1,5 @@
-// What a fleet allows of further attempts, where the module meets it: what it was last told, and what it used
-// or wanted. Owns that one figure; it must never say whether an attempt is made.
+// Passes the fleet's retry budget on to the decision module: tells it how many retries are left and counts
+// those that were made or that the budget prevented. Does not decide whether a retry is made.
 #pragma once
 
 #include <algorithm>
@@ -13,44 +13,44 @@
 
 namespace shorelead::node {
 
-// How many are left now, and that one was made, or wanted and not left. Empty: only the module's own bound
-// counts.
+// `left` returns how many retries are left; `count` is called for each that was made, or wanted with none
+// left. Empty functions: only the module's own bound applies.
 struct RetryAllowance {
   std::function<double()> left;
-  std::function<void()> made;
+  std::function<void()> count;
 };
 
 class RetryAllowanceBound {
  public:
-  // From now on. What the module is to be told at once, if anything.
+  // Replaces the allowance. Returns the event that the module has to be given at once, if any.
   std::optional<FurtherAllowed> set(RetryAllowance retry_allowance) {
     retry_allowance_ = std::move(retry_allowance);
     if (retry_allowance_.left) return std::nullopt;
-    return FurtherAllowed{told_ = std::numeric_limits<double>::infinity()};
+    return FurtherAllowed{reported_ = std::numeric_limits<double>::infinity()};
   }
-  // Before each event: what the module does not know yet.
-  std::optional<FurtherAllowed> news() {
+  // Called before each event. Returns the event that brings the module up to date, if the number has changed.
+  std::optional<FurtherAllowed> update() {
     if (!retry_allowance_.left) return std::nullopt;
     const double left = retry_allowance_.left();
-    if (left == told_) return std::nullopt;
-    return FurtherAllowed{told_ = left};
+    if (left == reported_) return std::nullopt;
+    return FurtherAllowed{reported_ = left};
   }
-  void made() {
-    if (retry_allowance_.made) retry_allowance_.made();
+  void count_retry() {
+    if (retry_allowance_.count) retry_allowance_.count();
   }
-  // After it: an attempt that ended without being served, nothing left, and none sent is one that was wanted.
-  void after(const Event& event, const std::vector<Action>& actions) {
+  // Called after each event: where an attempt failed, no retries were left and none was sent, one was wanted.
+  void count_unmet_demand(const Event& event, const std::vector<Action>& actions) {
     const auto* const ended = std::get_if<AttemptEnded>(&event);
-    if (!retry_allowance_.made || ended == nullptr || ended->outcome == Outcome::kServed ||
+    if (!retry_allowance_.count || ended == nullptr || ended->outcome == Outcome::kServed ||
         ended->request_over)
       return;
     const auto sends = [](const Action& action) { return std::holds_alternative<SendAttempt>(action); };
-    if (told_ < 1 && std::none_of(actions.begin(), actions.end(), sends)) retry_allowance_.made();
+    if (reported_ < 1 && std::none_of(actions.begin(), actions.end(), sends)) retry_allowance_.count();
   }
 
  private:
   RetryAllowance retry_allowance_;
-  double told_ = std::numeric_limits<double>::infinity();
+  double reported_ = std::numeric_limits<double>::infinity();
 };
 
 }  // namespace shorelead::node
--- a/src/node/routing_snapshot.h
+++ b/src/node/routing_snapshot.h
@@ -1,6 +1,6 @@
-// One generation of the configuration as traffic meets it: classes, routes, and the pools behind them. Owns
-// its share of the pools, so that one lives for as long as any generation can send to it. It must never
-// change once requests are read by it: a reload makes another.
+// One generation of the configuration as used to route requests: classes, routes and pools. Shares ownership
+// of the pools, so that a pool lives for as long as any generation can send to it. Immutable once requests
+// are classified by it: a reload makes another.
 #pragma once
 
 #include <algorithm>
@@ -21,11 +21,11 @@
   std::vector<RequestClass> classes;
   std::vector<std::string> names;  // of the classes
   std::vector<std::string> tenants;
-  std::shared_ptr<const Routes> routes;  // none: the first part of the path is the class, all go to pool 0
+  std::shared_ptr<const Routes> routes;  // null: the first path segment is the class, and all go to pool 0
   std::vector<std::shared_ptr<Pool>> pools;
-  std::vector<std::vector<int>> class_in_pool;  // by pool and class; -1 = it never comes there
+  std::vector<std::vector<int>> class_in_pool;  // by pool and class; -1 = never sent to that pool
   std::vector<int> fallbacks;                   // by pool; -1 = none
-  std::shared_ptr<FleetAdmission> admission;    // none: nothing is shared with other processes
+  std::shared_ptr<FleetAdmission> admission;    // null: nothing is shared with other processes
 
   Millis longest_deadline() const {
     Millis longest = 0;
@@ -34,12 +34,12 @@
   }
 };
 
-// Where a request goes by the generation that read it.
+// Where a request goes, by the generation that classified it.
 struct RequestRoute {
   std::shared_ptr<const RoutingSnapshot> snapshot;
   int request_class = 0;
   int pool = 0;
-  int route = -1;  // none where the first part of the path is the class
+  int route = -1;  // -1 where there are no routes
 };
 
 }  // namespace shorelead::node
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -28,7 +28,7 @@
       reloader_(loop, {[this]() -> const Shape& { return shape_; },
                        [this](Config fresh) { take_up(std::move(fresh)); }}),
       admissions_(loop, place.inherited.has_value(),
-                  [this](RequestId request) { request_table_.again(request); }),
+                  [this](RequestId request) { request_table_.reconsider(request); }),
       generations_(loop, admissions_,
                    {[this](const PoolConfig& one, const Config& whole) { return make_pool(one, whole); },
                     [this](Pool& pool) {
@@ -37,7 +37,7 @@
                     },
                     [this](std::shared_ptr<const RoutingSnapshot> next) {
                       recorder_.generation(next->number);
-                      front_->go_by(std::move(next));
+                      front_->use(std::move(next));
                     }}),
       room_(generations_.pools(), [this] { return most_streams(); }),
       request_table_([this](RequestId request, const Refusal& words) { front_->refuse(request, words); }),
@@ -63,17 +63,17 @@
     for (const auto& pool : generations_.pools()) pool->ban(bans_->bans());
   });
   generations_.begin(config);
-  Front::Entry entry(config.listen);
-  entry.shared = !hot_restart_.alone();
-  if (place.inherited) entry.listening = place.inherited->listener;
+  Front::ListenSpec listen(config.listen);
+  listen.shared = !hot_restart_.alone();
+  if (place.inherited) listen.listening = place.inherited->listener;
   front_ = std::make_unique<Front>(
-      loop_, entry, generations_.snapshot(),
+      loop_, listen, generations_.snapshot(),
       Front::Listener{
           [this](RequestId request, const RequestInfo& info, const RequestRoute& request_route,
                  std::shared_ptr<const Message> message) {
-            request_table_.take(request, info, request_route, std::move(message));
+            request_table_.accept(request, info, request_route, std::move(message));
           },
-          [this](RequestId request) { request_table_.gone(request); },
+          [this](RequestId request) { request_table_.client_gone(request); },
           [this] {
             const bool is_ready = ready();
             if (is_ready) readiness_.log_first(snapshot());
@@ -83,10 +83,10 @@
           [this](std::size_t unused) { return static_cast<int>(unused) * kManyUnused > most_streams(); },
           [this] { return Stream::open_count() * kRoomy < most_streams(); },
           [this] { return room_.make(limits::Purpose::kClient, *front_); },
-          [this](RequestId request, Millis due) { request_table_.body_whole(request, due); }, flows_,
+          [this](RequestId request, Millis due) { request_table_.body_complete(request, due); }, flows_,
           &recorder_});
   if (!hot_restart_.alone()) bans_->share(place.bans());
-  admissions_.go_by(snapshot(), snapshot());
+  admissions_.switch_to(snapshot(), snapshot());
   for (const auto& pool : generations_.pools()) pool->start();
   hot_restart_.begin();
   if (config.admin) {
@@ -103,7 +103,8 @@
   };
   host.refuse = [this](RequestId request, Millis wait) {
     request_table_.close(request, FleetAdmission::End::kFailed);
-    front_->refuse(request, {.why = snapshot().admission ? kWhyNoRoom : "", .wait = wait});
+    front_->refuse(
+        request, {.proxy_status = snapshot().admission ? kProxyStatusUnavailable : "", .retry_after = wait});
   };
   host.fail = [this](RequestId request, int status) {
     request_table_.close(request, FleetAdmission::End::kFailed);
--- a/src/node/streamed_responses.cpp
+++ b/src/node/streamed_responses.cpp
@@ -5,7 +5,7 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kStandstill = 30000;  // of an answer that has begun: then its backend will not go on
+constexpr Millis kStallTimeout = 30000;  // without a byte of the body from the backend
 
 }  // namespace
 
@@ -29,13 +29,13 @@
 
 void Upstream::StreamedResponses::sweep() {
   const Millis now = loop_.now();
-  std::vector<std::shared_ptr<Connection>> still;
+  std::vector<std::shared_ptr<Connection>> stalled;
   for (Connection* const connection : connections_) {
-    // One that is held back for its client's sake is not its backend's fault.
-    if (!connection->answer_flow->full() && now - connection->moved_at >= kStandstill)
-      still.push_back(connection->shared_from_this());
+    // A full flow waits for its client and not for the backend.
+    if (!connection->answer_flow->full() && now - connection->moved_at >= kStallTimeout)
+      stalled.push_back(connection->shared_from_this());
   }
-  for (const auto& connection : still) {
+  for (const auto& connection : stalled) {
     if (connection->answer_flow) connection->end_flow(false);
   }
 }
--- a/src/node/streamed_responses.h
+++ b/src/node/streamed_responses.h
@@ -1,5 +1,5 @@
-// Answers that are passed on while they come: the connections that carry one, and the memory that all share.
-// It must never hold more of one than its flow may, nor wait for good for one that stands still.
+// Responses that are forwarded while they are received: the backend connections that carry one, and the
+// memory that all of them share. Ends a response whose backend has stalled.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
   StreamedResponses(Loop& loop, std::shared_ptr<net::FlowBudget> flows)
       : loop_(loop), flows_(std::move(flows)) {}
 
-  // The answer that has begun on this connection; false: there is no memory for one more.
+  // Starts forwarding the response of this connection. False: there is no memory for one more.
   bool begin(Connection& connection);
   void ended(Connection& connection) { connections_.erase(&connection); }
   void sweep();
--- a/src/node/units.h
+++ b/src/node/units.h
@@ -1,5 +1,5 @@
-// Cells and zones as one process sees them: by name, who is there and whether anybody is ready. Owns the two
-// tables, made anew with each list; it must never hold a backend's name, nor be asked while it is made.
+// Cells and zones by name, and whether any backend in each is ready. Rebuilt with each change of the endpoint
+// list; holds no names of backends.
 #pragma once
 
 #include <string>
@@ -11,26 +11,26 @@
 
 namespace shorelead::node {
 
-// A unit as this process sees it: what the module knows it by, and how it stands.
-struct Seen {
+// A backend, cell or zone: its number in the decision module, and its standing in this process's list.
+struct UnitState {
   Unit unit;
   affinity::Standing standing = affinity::Standing::kGone;
 };
 
-// Of all processes alike.
+// The same in all processes.
 inline std::string cell_name(const std::string& zone, int cell) { return zone + "/" + std::to_string(cell); }
 
 class Units {
  public:
   void clear();
-  // A backend of the list.
+  // Adds a listed backend to its zone and cell.
   void put(const std::string& zone_name, int zone, int cell, bool ready);
-  const Seen* find(Unit::Kind kind, const std::string& name) const;
+  const UnitState* find(Unit::Kind kind, const std::string& name) const;
 
  private:
-  static void join(Seen& seen, const Unit& unit, bool ready);
+  static void merge(UnitState& state, const Unit& unit, bool ready);
 
-  std::unordered_map<std::string, Seen> cells_, zones_;
+  std::unordered_map<std::string, UnitState> cells_, zones_;
 };
 
 }  // namespace shorelead::node
--- a/tests/crossings/endings_test.cpp
+++ b/tests/crossings/endings_test.cpp
@@ -101,7 +101,7 @@
       }
     }
     if (runs.empty() || effect != Effect::kKeyed) {
-      EXPECT_GT(choice.begin_by, choice.until);
+      EXPECT_GT(choice.begin_by, choice.deadline);
     }
     if (!cannot_have_run(ending)) runs.push_back({a.now, zone});
     const int attempt = choice.attempt;
--- a/tests/crossings/settings_order_test.cpp
+++ b/tests/crossings/settings_order_test.cpp
@@ -108,7 +108,7 @@
 TEST(Settings, WhatWasDecidedBeforeAListSaidOtherwiseIsNotDone) {
   Held f(Held::settings(false));
   f.pass(f.now + 2000);
-  EXPECT_EQ(f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now).kind, Choice::Kind::kHold);
+  EXPECT_EQ(f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now).kind, Choice::Kind::kPending);
   f.policy_host.report_list(f.list("draining"), ListSource::kWatch, f.now);
   const DeferredActions due = f.policy_host.tick(f.now);
   EXPECT_TRUE(due.probes.empty()) << "of backends that drain by now";
@@ -119,7 +119,7 @@
 TEST(Settings, AnAttemptDecidedBeforeAListSaidOtherwiseIsNotSent) {
   Held f(Held::settings(false));
   f.pass(f.now + 2000);
-  EXPECT_EQ(f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now).kind, Choice::Kind::kHold);
+  EXPECT_EQ(f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now).kind, Choice::Kind::kPending);
   const std::vector<BackendId> asked = f.policy_host.tick(f.now).probes;
   ASSERT_FALSE(asked.empty());
   LoadReport idle;
--- a/tests/crossings/settings_world.h
+++ b/tests/crossings/settings_world.h
@@ -72,10 +72,10 @@
       const DeferredActions due = policy_host_->tick(now_);
       next_ = due.next > 0 ? std::max(due.next, now_ + 0.01) : 0;
       for (const Choice& choice : due.choices) carry_out(choice);
-      for (const auto& [id, attempt] : due.call_off) call_off(id, attempt);
+      for (const auto& [id, attempt] : due.cancellations) call_off(id, attempt);
       for (const BackendId backend : due.probes) probe(backend);
-      if (due.watch && !ever_.ask) judge_.broken("a list is asked for where it comes by itself");
-      if (due.watch) chance_.yes(0.7) ? tell(whole()) : policy_host_->report_watch_ended(now_);
+      if (due.start_watch && !ever_.ask) judge_.broken("a list is asked for where it comes by itself");
+      if (due.start_watch) chance_.yes(0.7) ? tell(whole()) : policy_host_->report_watch_ended(now_);
     } while (wake_);
   }
 
@@ -105,23 +105,23 @@
       case Choice::Kind::kSend:
         return send(choice);
       case Choice::Kind::kRefuse:
-        return judge_.refused(choice.request, choice.wait, made_.retry_after, now_);
+        return judge_.refused(choice.request, choice.retry_after, made_.retry_after, now_);
       case Choice::Kind::kFail:
         return judge_.failed(choice.request, now_);
-      case Choice::Kind::kPass:
+      case Choice::Kind::kForward:
         return judge_.served(choice.request, now_);
-      case Choice::Kind::kHold:
-      case Choice::Kind::kOver:
+      case Choice::Kind::kPending:
+      case Choice::Kind::kEnded:
         return;
     }
   }
 
   void send(const Choice& choice) {
-    judge_.sent(choice.request, choice.attempt, spots_.at(policy_host_->host(choice.backend)), choice.until,
-                now_);
+    judge_.sent(choice.request, choice.attempt, spots_.at(policy_host_->host(choice.backend)),
+                choice.deadline, now_);
     End end{choice.request, choice.attempt, choice.backend, now_, chance_.one_of(kEndings)};
     const bool at_its_end = end.ending == Ending::kTimeout || end.ending == Ending::kStoppedUnsent;
-    ends_.emplace(at_its_end ? choice.until : chance_.real(now_, choice.until), end);
+    ends_.emplace(at_its_end ? choice.deadline : chance_.real(now_, choice.deadline), end);
   }
 
   void call_off(RequestId id, int attempt) {
--- a/tests/crossings/stopped_clients_test.cpp
+++ b/tests/crossings/stopped_clients_test.cpp
@@ -27,10 +27,10 @@
 
 // Whoever connects behind it and says nothing is ended by the same wait, so it has to be over by then.
 TEST(StoppedClients, OneThatStopsInALongRequestIsAnsweredAsSoonAsOneThatSaysNothing) {
-  Front::Waits waits;
-  waits.request = kRequestWait;
-  waits.sweep = kSweep;
-  Clients c(waits);
+  Front::Timeouts timeouts;
+  timeouts.request = kRequestWait;
+  timeouts.sweep = kSweep;
+  Clients c(timeouts);
   Line stopped = Line::connect(c.front.port());
   bool answered = false;
   std::thread clients([&] {
--- a/tests/fleet_admissions_test.cpp
+++ b/tests/fleet_admissions_test.cpp
@@ -36,7 +36,7 @@
     auto next = std::make_shared<RoutingSnapshot>();
     const Config config = config_of(burst);
     next->admission = admissions.make(config, snapshot.get());
-    admissions.go_by(snapshot ? *snapshot : *next, *next);
+    admissions.switch_to(snapshot ? *snapshot : *next, *next);
     snapshot = next;
     return next->admission;
   }
--- a/tests/fleet_node_test.cpp
+++ b/tests/fleet_node_test.cpp
@@ -85,12 +85,12 @@
     double left = most;
     int made = 0;
     int wanted = 0;
-    policy_host.bound_attempts({[&] { return left; },
-                                [&] {
-                                  ++(left >= 1 ? made : wanted);
-                                  left -= left >= 1 ? 1 : 0;
-                                }},
-                               now);
+    policy_host.set_retry_allowance({[&] { return left; },
+                                     [&] {
+                                       ++(left >= 1 ? made : wanted);
+                                       left -= left >= 1 ? 1 : 0;
+                                     }},
+                                    now);
     int sent_again = 0;
     for (RequestId id = 1; id <= 4; ++id) {
       now += 50;
@@ -104,7 +104,7 @@
     EXPECT_EQ(made, most < 4 ? most : 8) << "two further for each of four";
     EXPECT_EQ(wanted > 0, most < 4);
     // Without it only the module's own bound counts.
-    policy_host.bound_attempts({}, now);
+    policy_host.set_retry_allowance({}, now);
     Choice choice = policy_host.pick(9, {0, 0, now + 1000, -1, false}, now);
     choice = policy_host.report(9, choice.attempt, Ending::kRefused, 1, nullptr, now);
     EXPECT_EQ(choice.kind, Choice::Kind::kSend);
--- a/tests/front_case.h
+++ b/tests/front_case.h
@@ -13,7 +13,7 @@
 
 // A front for one class of requests; it keeps what it is asked and stops soon after the first.
 struct Clients {
-  explicit Clients(const Front::Waits& waits = {}) : waits(waits) { front.open(); }
+  explicit Clients(const Front::Timeouts& timeouts = {}) : timeouts(timeouts) { front.open(); }
 
   static std::shared_ptr<const RoutingSnapshot> one_safe_class() {
     auto snapshot = std::make_shared<RoutingSnapshot>();
@@ -30,7 +30,7 @@
   }
 
   Loop loop;
-  Front::Waits waits;
+  Front::Timeouts timeouts;
   std::vector<std::string> taken;
   std::vector<Millis> dues;
   std::function<void(RequestId)> after_each;  // in place of stopping
@@ -49,7 +49,7 @@
                },
                [](RequestId) {}, [] { return true; }, [] { return false; },
                [](std::size_t unused) { return unused >= 2; }, [this] { return roomy; }, [] { return true; }},
-              waits};
+              timeouts};
 };
 
 }  // namespace shorelead::node
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -39,10 +39,10 @@
 
 // Guards against clients that hold connections and never ask: an error for half a request, a close for none.
 TEST(Front, HalfARequestAndSilenceEndInTime) {
-  Front::Waits waits;
-  waits.request = kSoon;
-  waits.sweep = 5;
-  Clients c(waits);
+  Front::Timeouts timeouts;
+  timeouts.request = kSoon;
+  timeouts.sweep = 5;
+  Clients c(timeouts);
   Line half = Line::connect(c.front.port());
   half.write("POST /safe HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhal");
   Line silent = Line::connect(c.front.port());
@@ -92,10 +92,10 @@
 
 // Where few connections are open one that has asked may stay; it goes where many are.
 TEST(Front, UnusedConnectionsGoSoonerWhereManyAreOpen) {
-  Front::Waits waits;
-  waits.idle_crowded = kSoon;
-  waits.sweep = 5;
-  Clients c(waits);
+  Front::Timeouts timeouts;
+  timeouts.idle_crowded = kSoon;
+  timeouts.sweep = 5;
+  Clients c(timeouts);
   c.roomy = false;
   c.after_each = [&c](RequestId request) { c.front.refuse(request, {}); };
   Line client = c.ask("/safe");
--- a/tests/full_tables_test.cpp
+++ b/tests/full_tables_test.cpp
@@ -44,7 +44,7 @@
       for (; choice.kind == Choice::Kind::kSend; ++sent) {
         const Ending ending = sent % 2 == 0 ? Ending::kRefused : Ending::kConnectTimeout;
         choice = policy_host.report(request, choice.attempt, ending, 1, nullptr, now);
-        EXPECT_TRUE(policy_host.tick(now).crowded.empty()) << name_of(ending);
+        EXPECT_TRUE(policy_host.tick(now).close_idle.empty()) << name_of(ending);
       }
     }
     EXPECT_GT(sent, 3U);
--- a/tests/home_test.cpp
+++ b/tests/home_test.cpp
@@ -63,7 +63,7 @@
     return policy_host->host(choice.backend);
   }
   Unit unit(Unit::Kind kind, const std::string& name, bool only) {
-    Unit unit = policy_host->see(kind, name)->unit;
+    Unit unit = policy_host->find_unit(kind, name)->unit;
     unit.only = only;
     return unit;
   }
@@ -99,7 +99,7 @@
     // Nothing new goes to who drains, and to nobody else in its place.
     for (const std::string& backend : row.all) c.health(backend, "draining");
     EXPECT_TRUE(c.tries(c.unit(row.kind, row.name, true)).empty());
-    EXPECT_EQ(c.policy_host->see(row.kind, row.name)->standing, affinity::Standing::kDraining);
+    EXPECT_EQ(c.policy_host->find_unit(row.kind, row.name)->standing, affinity::Standing::kDraining);
   }
 }
 
--- a/tests/policy_host_test.cpp
+++ b/tests/policy_host_test.cpp
@@ -178,8 +178,8 @@
 TEST(PolicyHost, TheFirstWholeAnswerIsPassedOnce) {
   Fixture f;
   ASSERT_EQ(f.pick(kSafe).kind, Choice::Kind::kSend);
-  EXPECT_EQ(f.report(0, Ending::kServed).kind, Choice::Kind::kPass);
-  EXPECT_EQ(f.report(0, Ending::kServed).kind, Choice::Kind::kOver);
+  EXPECT_EQ(f.report(0, Ending::kServed).kind, Choice::Kind::kForward);
+  EXPECT_EQ(f.report(0, Ending::kServed).kind, Choice::Kind::kEnded);
   EXPECT_EQ(f.policy_host.open_requests(), 0U);
 }
 
@@ -188,10 +188,10 @@
   ASSERT_EQ(f.pick(kSafe).kind, Choice::Kind::kSend);
   f.policy_host.report_client_gone(f.last, f.now);
   const DeferredActions deferred = f.policy_host.tick(f.now);
-  ASSERT_EQ(deferred.call_off.size(), settings().cancelling ? 1U : 0U);
+  ASSERT_EQ(deferred.cancellations.size(), settings().cancelling ? 1U : 0U);
   EXPECT_TRUE(deferred.choices.empty());
   const Choice after = f.report(0, Ending::kCalledOff);
-  EXPECT_TRUE(after.kind == Choice::Kind::kHold || after.kind == Choice::Kind::kOver);
+  EXPECT_TRUE(after.kind == Choice::Kind::kPending || after.kind == Choice::Kind::kEnded);
   EXPECT_EQ(f.policy_host.open_requests(), 0U);
 }
 
@@ -199,7 +199,7 @@
   Fixture f;
   const Choice choice = f.pick(kSafe, 100);
   ASSERT_EQ(choice.kind, Choice::Kind::kSend);
-  EXPECT_LE(choice.until, f.now + 100);
+  EXPECT_LE(choice.deadline, f.now + 100);
 }
 
 // Guards against a request that nobody answers: if no outcome came by its due time, the host gives it up.
@@ -213,7 +213,7 @@
   ASSERT_EQ(deferred.choices.size(), 1U);
   EXPECT_EQ(deferred.choices[0].kind, Choice::Kind::kFail);
   EXPECT_EQ(deferred.choices[0].request, f.last);
-  EXPECT_NE(f.report(0, Ending::kServed).kind, Choice::Kind::kPass);
+  EXPECT_NE(f.report(0, Ending::kServed).kind, Choice::Kind::kForward);
 }
 
 TEST(PolicyHost, TickSaysWhenItIsWantedNext) {
@@ -231,10 +231,10 @@
     bool asked = false;
     for (int i = 0; i < most && !asked; ++i) {
       f.now += 100;
-      asked = f.policy_host.tick(f.now).watch;
+      asked = f.policy_host.tick(f.now).start_watch;
     }
     EXPECT_TRUE(asked) << most;
-    EXPECT_FALSE(f.policy_host.tick(f.now).watch);
+    EXPECT_FALSE(f.policy_host.tick(f.now).start_watch);
     f.policy_host.report_watch_ended(f.now);
   }
 }
@@ -307,7 +307,7 @@
   EXPECT_EQ(met.count(held.backend), 0U);
   EXPECT_LE(met.size(), 5U);
   f.last = request;
-  EXPECT_EQ(f.report(0, Ending::kServed).kind, Choice::Kind::kPass);
+  EXPECT_EQ(f.report(0, Ending::kServed).kind, Choice::Kind::kForward);
   replace("n-198", "n-200");
   replace("n-199", "n-201");
   EXPECT_EQ(f.policy_host.backends(), 3U);
