--- a/tests/fleet_admissions_test.cpp
+++ b/tests/fleet_admissions_test.cpp
@@ -1,5 +1,5 @@
-// One node has one reserve: through reloads that make another fleet admission, and through processes that
-// replace one another, however these end. The store is away throughout, so that the reserve is all there is.
+// A node has one reserve, also over reloads that make another fleet admission and over processes that replace
+// one another. The store is unreachable throughout, so that requests are admitted by the reserve alone.
 #include "node/fleet_admissions.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace shorelead::node {
 namespace {
 
-// A rate whose reserve is full again within a millisecond: who has none is turned away each time.
+// A rate so high that its reserve refills within a millisecond: without the reserve each request is refused.
 Config config_of(int burst) {
   const std::string text =
       "node n { listen 127.0.0.1:8081; seed 1f }\n"
@@ -30,9 +30,9 @@
 }
 
 struct Process {
-  Process(Loop& loop, bool beside) : admissions(loop, beside, [](RequestId) {}) { follow(40); }
+  Process(Loop& loop, bool successor) : admissions(loop, successor, [](RequestId) {}) { reload(40); }
   // A reload, or the start.
-  std::shared_ptr<FleetAdmission> follow(int burst) {
+  std::shared_ptr<FleetAdmission> reload(int burst) {
     auto next = std::make_shared<RoutingSnapshot>();
     const Config config = config_of(burst);
     next->admission = admissions.make(config, snapshot.get());
@@ -45,47 +45,47 @@
   FleetAdmissions admissions;
 };
 
-bool lets_in(FleetAdmission& admission) { return admission.admit({}, 1000).refused == 0; }
+bool admits(FleetAdmission& admission) { return admission.admit({}, 1000).refused == 0; }
 
-// Some time is given, as a bucket that begins has nothing yet; the harness ends what never comes.
-void expect_one_has_it(FleetAdmission& has, const std::vector<FleetAdmission*>& others) {
-  while (!lets_in(has)) std::this_thread::yield();
+// Retries, as a new bucket starts empty; the test's time-out ends it if the reserve never comes.
+void expect_only_one_has_reserve(FleetAdmission& has, const std::vector<FleetAdmission*>& others) {
+  while (!admits(has)) std::this_thread::yield();
   for (int n = 0; n < 100; ++n) {
-    for (FleetAdmission* other : others) ASSERT_FALSE(lets_in(*other));
+    for (FleetAdmission* other : others) ASSERT_FALSE(admits(*other));
   }
 }
 
-TEST(FleetAdmissions, AReloadPassesTheReserveOn) {
+TEST(FleetAdmissions, AReloadMovesTheReserveToTheNewFleetAdmission) {
   Loop loop;
   Process process(loop, false);
   const auto first = process.snapshot->admission;
-  expect_one_has_it(*first, {});
-  EXPECT_EQ(process.follow(40), first) << "nothing of it changed";
-  // Made, and not yet in force.
-  const auto waits = process.admissions.make(config_of(60), process.snapshot.get());
-  expect_one_has_it(*first, {waits.get()});
-  const auto second = process.follow(80);
-  expect_one_has_it(*second, {first.get()});
+  expect_only_one_has_reserve(*first, {});
+  EXPECT_EQ(process.reload(40), first) << "nothing of it changed";
+  // Made but not in force.
+  const auto pending = process.admissions.make(config_of(60), process.snapshot.get());
+  expect_only_one_has_reserve(*first, {pending.get()});
+  const auto second = process.reload(80);
+  expect_only_one_has_reserve(*second, {first.get()});
 }
 
-TEST(FleetAdmissions, ASuccessorHasTheReserveOnceTheOneBeforeCededItOrEnded) {
+TEST(FleetAdmissions, TheReserveMovesToASuccessorOnHandoverAndBackWhenThatIsGone) {
   Loop loop;
   Process old(loop, false);
   Process next(loop, true);
-  expect_one_has_it(*old.snapshot->admission, {next.snapshot->admission.get()});
-  next.follow(60);  // a reload meanwhile
-  expect_one_has_it(*old.snapshot->admission, {next.snapshot->admission.get()});
+  expect_only_one_has_reserve(*old.snapshot->admission, {next.snapshot->admission.get()});
+  next.reload(60);  // a reload meanwhile
+  expect_only_one_has_reserve(*old.snapshot->admission, {next.snapshot->admission.get()});
   EXPECT_EQ(old.admissions.give_reserve(), 0) << "nothing at once";
-  EXPECT_FALSE(lets_in(*next.snapshot->admission)) << "not told yet";
+  EXPECT_FALSE(admits(*next.snapshot->admission)) << "not told yet";
   const auto before = old.snapshot->admission;
-  old.follow(60);
-  EXPECT_FALSE(lets_in(*old.snapshot->admission) || lets_in(*before));
+  old.reload(60);
+  EXPECT_FALSE(admits(*old.snapshot->admission) || admits(*before));
   next.admissions.take_reserve(0);
-  expect_one_has_it(*next.snapshot->admission, {old.snapshot->admission.get()});
-  // The successor is gone: the old one goes on with the fleet admission that it has.
+  expect_only_one_has_reserve(*next.snapshot->admission, {old.snapshot->admission.get()});
+  // The successor is gone: the old process goes on with the fleet admission that it has.
   const auto kept = old.snapshot->admission;
   old.admissions.take_reserve(0);
-  expect_one_has_it(*kept, {});
+  expect_only_one_has_reserve(*kept, {});
 }
 
 }  // namespace
--- a/tests/fleet_node_test.cpp
+++ b/tests/fleet_node_test.cpp
@@ -1,5 +1,5 @@
-// What a fleet shares, where the node meets it: which budgets a request spends of, and what the module does
-// with what is left of further attempts.
+// A fleet's shared limits as used by a node: which budgets apply to a request, and how the decision module
+// keeps within the retry budget.
 #include <gtest/gtest.h>
 
 #include "node/fleet_rules.h"
@@ -31,7 +31,7 @@
     "budget main_again { kind attempts; few 50; window 10 s; pool main }\n"
     "budget by_route { kind at_once; most 40; route r2 }\n";
 
-TEST(FleetRules, ARequestSpendsOfEveryBudgetItIsInAndTheNarrowestFirst) {
+TEST(FleetRules, EveryBudgetWhoseScopeIncludesTheRequestAppliesNarrowestFirst) {
   const Config config = config_of(kText);
   ASSERT_TRUE(config.shared);
   const FleetConfig& fleet = *config.shared;
@@ -64,9 +64,9 @@
   {"host":"s-3","dial":"127.0.0.1:9003","health":"ready","site":"a"},
   {"host":"s-4","dial":"127.0.0.1:9004","health":"ready","site":"a"}]})";
 
-// The module tries again as long as the fleet has something left, counts what it uses within one event, and
-// wants it known where there is nothing.
-TEST(FleetPolicyHost, FurtherAttemptsKeepWithinWhatTheFleetHasLeft) {
+// The module retries as long as the fleet's budget allows, also counting what it uses within one event, and
+// reports a retry that was wanted when nothing is left.
+TEST(FleetPolicyHost, RetriesKeepWithinTheFleetsBudget) {
   Settings s;
   RequestClass c;
   c.effect = Effect::kSafe;
@@ -103,7 +103,7 @@
     EXPECT_EQ(sent_again, made);
     EXPECT_EQ(made, most < 4 ? most : 8) << "two further for each of four";
     EXPECT_EQ(wanted > 0, most < 4);
-    // Without it only the module's own bound counts.
+    // Without an allowance only the module's own bound applies.
     policy_host.set_retry_allowance({}, now);
     Choice choice = policy_host.pick(9, {0, 0, now + 1000, -1, false}, now);
     choice = policy_host.report(9, choice.attempt, Ending::kRefused, 1, nullptr, now);
--- a/tests/front_case.h
+++ b/tests/front_case.h
@@ -1,4 +1,4 @@
-// A front alone on a loop, with clients that the test plays.
+// A Front alone on a loop, with clients that the test plays.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,8 @@
 
 namespace shorelead::node {
 
-// A front for one class of requests; it keeps what it is asked and stops soon after the first.
+// A Front for one class of requests. Records the requests that it receives, and stops the loop soon after the
+// first.
 struct Clients {
   explicit Clients(const Front::Timeouts& timeouts = {}) : timeouts(timeouts) { front.open(); }
 
@@ -33,9 +34,9 @@
   Front::Timeouts timeouts;
   std::vector<std::string> taken;
   std::vector<Millis> dues;
-  std::function<void(RequestId)> after_each;  // in place of stopping
+  std::function<void(RequestId)> after_each;  // called for each request in place of stopping
   bool roomy = true;
-  Millis left = 0;  // of the client's wait, when the last was taken
+  Millis left = 0;  // of the client's time-out, when the last request was received
   Front front{loop,
               Poco::Net::SocketAddress("127.0.0.1", 0),
               one_safe_class(),
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -1,4 +1,4 @@
-// Clients' connections, each front alone on a loop: waits, silence, and who gives way.
+// Client connections of a Front alone on a loop: deadlines, time-outs and eviction.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -11,9 +11,9 @@
 
 constexpr Millis kSoon = 30;
 
-// Guards against answers that the client no longer waits for: its wait runs while the request lies unread, in
-// the queue of connections or before a node that gets no processor.
-TEST(Front, TheClientsWaitRunsWhileItsRequestLiesUnread) {
+// A response after the client's time-out is of no use: the time-out runs while the request lies unread, in
+// the backlog or because the node gets no processor.
+TEST(Front, TheClientsTimeoutRunsWhileItsRequestLiesUnread) {
   Clients c;
   const Line client = c.ask("/safe");
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
@@ -22,8 +22,9 @@
   EXPECT_LT(c.left, 60000 - 80);
 }
 
-// A request that came in with the one before it waits from then on, and not twice as long.
-TEST(Front, RequestsThatCameTogetherAreDueTogether) {
+// The deadline of a pipelined request counts from when it was received, not from when the one before was
+// answered.
+TEST(Front, PipelinedRequestsHaveTheSameDeadline) {
   Clients c;
   c.after_each = [&c](RequestId request) {
     if (c.taken.size() == 2) return c.loop.stop();
@@ -37,8 +38,8 @@
   EXPECT_EQ(c.dues[0], c.dues[1]);
 }
 
-// Guards against clients that hold connections and never ask: an error for half a request, a close for none.
-TEST(Front, HalfARequestAndSilenceEndInTime) {
+// Clients must not hold connections without a request: half a request gets an error, none gets a close.
+TEST(Front, HalfARequestGets408AndASilentConnectionIsClosed) {
   Front::Timeouts timeouts;
   timeouts.request = kSoon;
   timeouts.sweep = 5;
@@ -62,9 +63,10 @@
   EXPECT_TRUE(c.taken.empty());
 }
 
-// Guards against clients that ask once and stay: where many stand unused already the first answer on a
-// connection is its last, while one that has been in use goes on.
-TEST(Front, WhereManyStandUnusedAFirstAnswerIsTheLast) {
+// Clients that send one request and stay connected must not take all descriptors: where many connections are
+// idle, the first response on a connection is its last, while a connection that carried more requests stays
+// open.
+TEST(Front, WhereManyConnectionsAreIdleTheFirstResponseClosesANewOne) {
   Clients c;
   c.after_each = [&c](RequestId request) { c.front.refuse(request, {}); };
   std::vector<std::string> answers;
@@ -90,8 +92,8 @@
   EXPECT_FALSE(last(answers[3]));
 }
 
-// Where few connections are open one that has asked may stay; it goes where many are.
-TEST(Front, UnusedConnectionsGoSoonerWhereManyAreOpen) {
+// Where few connections are open an idle one may stay; where many are, it is closed sooner.
+TEST(Front, IdleConnectionsAreClosedSoonerWhereManyAreOpen) {
   Front::Timeouts timeouts;
   timeouts.idle_crowded = kSoon;
   timeouts.sweep = 5;
@@ -113,8 +115,8 @@
   EXPECT_EQ(c.front.counters().idle, 1U);
 }
 
-// Guards against work for nobody: a client that left while its request lay unread is not served.
-TEST(Front, AClientThatLeftBeforeItWasReadIsNotServed) {
+// No attempt may be made for a client that left while its request lay unread.
+TEST(Front, ARequestWhoseClientLeftBeforeItWasReadIsDropped) {
   Clients c;
   c.ask("/safe/gone").close();
   const Line client = c.ask("/safe/here");
--- a/tests/full_tables_test.cpp
+++ b/tests/full_tables_test.cpp
@@ -1,4 +1,4 @@
-// Which connections are closed when one could not be had: on sockets none, as a full table answers.
+// Which idle connections are closed when a connection to a backend could not be established: none.
 #include <gtest/gtest.h>
 
 #include "node/policy_host.h"
@@ -17,9 +17,10 @@
   return settings;
 }
 
-// Guards against handshakes by the hundred after a process died or a way was cut: all idle connections were
-// closed, to all backends, though only those there were of no use.
-TEST(FullTables, AConnectionThatCouldNotBeHadClosesNoOthers) {
+// When a backend process had died or its network was cut, the idle connections to all backends used to be
+// closed, which caused hundreds of new handshakes although only the connections to that backend were of no
+// use.
+TEST(FullTables, AFailedConnectionClosesNoOthers) {
   for (const bool reloaded : {false, true}) {
     HostSettings host;
     host.classes = {"look"};
--- a/tests/home_test.cpp
+++ b/tests/home_test.cpp
@@ -1,5 +1,5 @@
-// A request's home, as a rule of affinity names it: the module chooses within it, for each attempt, and what
-// counts before affinity (drains, repeats) counts before it here as well.
+// A request with a home unit from an affinity rule: the module chooses within that unit for each attempt;
+// drains and retries take precedence.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -38,8 +38,7 @@
     }
     policy_host->report_list(list, ListSource::kWatch, now);
   }
-  // The backends that one request is sent to, where each turns it away; the last word is "" where nobody is
-  // left.
+  // The backends that one request is sent to, each of which rejects it.
   std::vector<std::string> tries(Unit home) {
     std::vector<std::string> all;
     now += 5;
@@ -75,7 +74,7 @@
   std::unique_ptr<PolicyHost> policy_host;
 };
 
-TEST(Home, WhatMayGoNowhereElseNeverDoesForAnyAttempt) {
+TEST(Home, ABoundRequestStaysInItsUnitForEveryAttempt) {
   struct Row {
     Unit::Kind kind;
     const char* name;
@@ -88,7 +87,7 @@
     Case c;
     std::set<std::string> met;
     for (int n = 0; n < 60; ++n) {
-      if (n % 3 == 0) c.served({});  // others go where they like meanwhile
+      if (n % 3 == 0) c.served({});  // other requests are not bound to a unit
       const std::vector<std::string> tries = c.tries(c.unit(row.kind, row.name, true));
       for (const std::string& backend : tries) {
         EXPECT_EQ(row.all.count(backend), 1U) << row.name << " " << backend;
@@ -96,20 +95,20 @@
       }
     }
     EXPECT_EQ(met, row.all);
-    // Nothing new goes to who drains, and to nobody else in its place.
+    // A draining unit gets no new requests, and no other unit gets them in its place.
     for (const std::string& backend : row.all) c.health(backend, "draining");
     EXPECT_TRUE(c.tries(c.unit(row.kind, row.name, true)).empty());
     EXPECT_EQ(c.policy_host->find_unit(row.kind, row.name)->standing, affinity::Standing::kDraining);
   }
 }
 
-TEST(Home, WhoRatherGoesThereDoesSoWhileThatIsFit) {
+TEST(Home, APreferredBackendIsUsedUnlessItDrainsOrRejects) {
   Case c;
   for (int n = 0; n < 40; ++n) {
     EXPECT_EQ(c.served(c.unit(Unit::Kind::kBackend, "s-6", false)), "s-6");
     c.served({});
   }
-  // A further attempt goes elsewhere, and so does all where it drains.
+  // A retry goes to another backend, and so do all requests while the preferred one drains.
   const std::vector<std::string> tries = c.tries(c.unit(Unit::Kind::kBackend, "s-6", false));
   ASSERT_GT(tries.size(), 1U);
   EXPECT_EQ(tries.front(), "s-6");
--- a/tests/keys_backends.h
+++ b/tests/keys_backends.h
@@ -1,4 +1,4 @@
-// Backends that answer with their names, and the book of which key met which of them. For tests only.
+// Backends that answer with their names, and a record of which backends received each key. For tests only.
 #pragma once
 
 #include <map>
@@ -13,26 +13,27 @@
 
 namespace shorelead::node {
 
-// What each key met, in the order in which backends had it; a backend that it meets again stands twice.
-class Book {
+// The backends that received each key, in order; a backend that gets a key back is listed again.
+class KeyRecord {
  public:
-  void met(const std::string& key, const std::string& backend) {
+  void received(const std::string& key, const std::string& backend) {
     const std::lock_guard lock(mutex_);
-    if (auto& all = met_[key]; all.empty() || all.back() != backend) all.push_back(backend);
+    if (auto& all = by_key_[key]; all.empty() || all.back() != backend) all.push_back(backend);
   }
   std::map<std::string, std::vector<std::string>> all() {
     const std::lock_guard lock(mutex_);
-    return met_;
+    return by_key_;
   }
 
  private:
   std::mutex mutex_;
-  std::map<std::string, std::vector<std::string>> met_;
+  std::map<std::string, std::vector<std::string>> by_key_;
 };
 
 class Backend {
  public:
-  Backend(std::string name, Book& book) : name(std::move(name)), book_(book), thread_([this] { serve(); }) {}
+  Backend(std::string name, KeyRecord& record)
+      : name(std::move(name)), record_(record), thread_([this] { serve(); }) {}
   ~Backend() {
     peer.stop();
     thread_.join();
@@ -48,14 +49,14 @@
       connections_.emplace_back([this, line = std::make_shared<Line>(std::move(*line))] {
         for (std::string asked = line->request(); !asked.empty(); asked = line->request()) {
           const std::size_t at = asked.find("X-Basket: ");
-          if (at != std::string::npos) book_.met(asked.substr(at + 10, 2), name);
+          if (at != std::string::npos) record_.received(asked.substr(at + 10, 2), name);
           line->write("HTTP/1.1 200 OK\r\nX-Box: " + name + "\r\nContent-Length: 0\r\n\r\n");
         }
       });
     }
   }
 
-  Book& book_;
+  KeyRecord& record_;
   std::vector<std::thread> connections_;
   std::thread thread_;
 };
--- a/tests/keys_node_test.cpp
+++ b/tests/keys_node_test.cpp
@@ -1,5 +1,5 @@
-// Whole nodes that keep keys at backends: two processes' servers before the stand-in registry and backends
-// that answer with their names. What is waited for is a state, never a time.
+// Nodes with affinity rules: two servers with a simulated registry and backends that answer with their names.
+// The test waits for states, never for a time.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -20,13 +20,13 @@
 struct Fleet {
   Fleet() {
     for (const char* const name : {"a", "b", "c", "d"})
-      backends.push_back(std::make_unique<Backend>(name, book));
+      backends.push_back(std::make_unique<Backend>(name, record));
   }
 
-  // What the next file says; read by nodes' threads.
-  void set(std::string Fleet::*word, const std::string& value) {
+  // Sets a value of the next configuration file, which the nodes' threads read.
+  void set(std::string Fleet::*setting, const std::string& value) {
     const std::lock_guard lock(mutex);
-    this->*word = value;
+    this->*setting = value;
   }
   Config config_of(const std::string& name) {
     const std::lock_guard lock(mutex);
@@ -65,7 +65,7 @@
     return config;
   }
 
-  Book book;
+  KeyRecord record;
   std::vector<std::unique_ptr<Backend>> backends;
   fleet::StandIn store;
   std::mutex mutex;
@@ -132,7 +132,7 @@
   return keys;
 }
 
-// Where every key of a rule is, once all of them are somewhere.
+// The backend of each key, once all keys have one.
 std::map<std::string, std::string> whole_map(const Node& node, const std::string& path = "/look/1") {
   std::map<std::string, std::string> map;
   while (map.size() < keys().size()) {
@@ -149,7 +149,7 @@
   while (!until()) std::this_thread::sleep_for(std::chrono::milliseconds(10));
 }
 
-TEST(KeysNode, AKeyHasOneBackendWhicheverProcessIsAskedThroughARestartADrainAndAStoreThatIsAway) {
+TEST(KeysNode, AKeyHasOneBackendInAllProcessesOverRestartDrainAndStoreOutage) {
   Fleet fleet;
   auto one = std::make_unique<Node>(fleet, "one");
   Node two(fleet, "two");
@@ -159,13 +159,13 @@
   for (const auto& [key, backend] : map) in_use.insert(backend);
   EXPECT_EQ(in_use.size(), fleet.backends.size());
 
-  // A process that comes anew moves no key.
+  // A process that restarts moves no key.
   one.reset();
   EXPECT_EQ(whole_map(two), map);
   one = std::make_unique<Node>(fleet, "one");
   EXPECT_EQ(whole_map(*one), map);
 
-  // One backend drains: its keys move, no other does, and none ever comes back.
+  // One backend drains: its keys move once, and no others move.
   fleet.set(&Fleet::draining, "b");
   one->reload();
   two.reload();
@@ -180,10 +180,11 @@
       EXPECT_EQ(moved[key], backend);
     }
   }
-  for (const auto& [key, met] : fleet.book.all()) EXPECT_LE(met.size(), map.at(key) == "b" ? 2U : 1U) << key;
+  for (const auto& [key, met] : fleet.record.all())
+    EXPECT_LE(met.size(), map.at(key) == "b" ? 2U : 1U) << key;
 
-  // Without the store a key has no backend once the lease has run out; who would only rather have one goes
-  // on.
+  // Without the store, keys have no backend once the lease has expired. Requests for which the affinity is
+  // only a preference go on.
   fleet.store.with([](lab::EtcdServer& server) { server.down(true); });
   wait_for([&] { return two.ask("/look/1", "10") == "503"; });
   for (const std::string& key : keys()) {
@@ -194,8 +195,9 @@
   EXPECT_EQ(whole_map(two), moved);
 }
 
-// The next fleet admission has its plan before requests go by it, and the one before keeps what is under way.
-TEST(KeysNode, AReloadOfWhatIsSharedRefusesNoKeyAndMovesNone) {
+// A new fleet admission has its plan before requests use it, and the previous one keeps the requests in
+// flight.
+TEST(KeysNode, AReloadOfSharedSettingsRefusesNoKeyAndMovesNone) {
   Fleet fleet;
   Node one(fleet, "one");
   const auto map = whole_map(one);
--- a/tests/policy_host_test.cpp
+++ b/tests/policy_host_test.cpp
@@ -1,4 +1,4 @@
-// The policy host: what each way to end means to the module shows in what the module does next.
+// PolicyHost: what each ending of an attempt means to the decision module, by what the module decides next.
 #include "node/policy_host.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 constexpr int kSafe = 0;
 constexpr int kUnsafe = 1;
-constexpr int kKeyed = 2;  // dropped by one zone only
+constexpr int kKeyed = 2;  // backends of one zone deduplicate each other's requests
 
 Settings settings() {
   Settings s;
@@ -71,8 +71,8 @@
   PolicyHost policy_host;
 };
 
-// Whatever the list says, until the call back: also where the id leaves the list and returns.
-TEST(PolicyHost, ABackendOutByHandIsNotSentToWhateverTheListSays) {
+// A ban lasts until it is lifted, also where the backend leaves the list and returns.
+TEST(PolicyHost, ABannedBackendGetsNoRequestsWhateverTheListSays) {
   Fixture f(2);
   manage::BanSet bans;
   bans.disable("s-0", f.now);
@@ -94,7 +94,7 @@
   EXPECT_EQ(sent_to(), other) << "listed as ready again";
   list.backends.erase(list.backends.begin());
   f.policy_host.report_list(list, ListSource::kWatch, f.now);
-  f.policy_host.report_list(list, ListSource::kWatch, f.now);  // its number is given back
+  f.policy_host.report_list(list, ListSource::kWatch, f.now);  // frees its number
   f.policy_host.report_list(list_of(2), ListSource::kWatch, f.now);
   EXPECT_EQ(sent_to(), other) << "gone and back";
   bans.enable("s-0", f.now);
@@ -103,7 +103,7 @@
 }
 
 // It may have restarted while it was out, and the list is seconds late: no more than a cold one's budget.
-TEST(PolicyHost, ABackendBackFromTheHandIsColdUntilTheListKnowsBetter) {
+TEST(PolicyHost, ABackendWhoseBanIsLiftedIsColdUntilTheListSaysOtherwise) {
   Settings s = settings();
   s.warm_up = 10000;
   s.cold_share = 0.5;
@@ -126,8 +126,8 @@
   EXPECT_LT(sent["s-0"], 30) << "warm, it would have half of 200";
 }
 
-// Open requests keep their class and number of attempts; a class with another effect has a new number.
-TEST(PolicyHost, NewSettingsCountForRequestsThatComeThen) {
+// Open requests keep their class and number of attempts; a class with another effect gets a new number.
+TEST(PolicyHost, NewSettingsApplyToLaterRequestsOnly) {
   Settings s = settings();
   s.fall_multiple = 1;
   HostSettings h = host();
@@ -152,8 +152,8 @@
   EXPECT_FALSE(sent_again(2));
 }
 
-// Rule "no effect twice": an unsafe request goes on only if its last byte was never written.
-TEST(PolicyHost, EveryEndingOfAnUnsafeRequest) {
+// Rule "no effect twice": an unsafe request is retried only if its last byte was never written.
+TEST(PolicyHost, AnUnsafeRequestIsRetriedOnlyIfItWasNeverWritten) {
   const std::vector<std::pair<Ending, bool>> endings = {
       {Ending::kTurnedAway, true},   {Ending::kRefused, true},      {Ending::kConnectTimeout, true},
       {Ending::kNoDescriptor, true}, {Ending::kBrokenUnsent, true}, {Ending::kStoppedUnsent, true},
@@ -175,7 +175,7 @@
   }
 }
 
-TEST(PolicyHost, TheFirstWholeAnswerIsPassedOnce) {
+TEST(PolicyHost, TheFirstCompleteResponseIsForwardedOnce) {
   Fixture f;
   ASSERT_EQ(f.pick(kSafe).kind, Choice::Kind::kSend);
   EXPECT_EQ(f.report(0, Ending::kServed).kind, Choice::Kind::kForward);
@@ -183,7 +183,7 @@
   EXPECT_EQ(f.policy_host.open_requests(), 0U);
 }
 
-TEST(PolicyHost, NothingIsAnsweredOnceTheClientIsGone) {
+TEST(PolicyHost, NothingIsAnsweredOnceTheClientHasGone) {
   Fixture f;
   ASSERT_EQ(f.pick(kSafe).kind, Choice::Kind::kSend);
   f.policy_host.report_client_gone(f.last, f.now);
@@ -195,14 +195,14 @@
   EXPECT_EQ(f.policy_host.open_requests(), 0U);
 }
 
-TEST(PolicyHost, AttemptsNeverOutlastTheClientsWait) {
+TEST(PolicyHost, AttemptsEndByTheClientsDeadline) {
   Fixture f;
   const Choice choice = f.pick(kSafe, 100);
   ASSERT_EQ(choice.kind, Choice::Kind::kSend);
   EXPECT_LE(choice.deadline, f.now + 100);
 }
 
-// Guards against a request that nobody answers: if no outcome came by its due time, the host gives it up.
+// A request for which no outcome was reported by its due time is failed by the host.
 TEST(PolicyHost, ARequestWithoutOutcomeFailsAtItsDueTime) {
   Fixture f;
   ASSERT_EQ(f.pick(kSafe, 100).kind, Choice::Kind::kSend);
@@ -216,7 +216,7 @@
   EXPECT_NE(f.report(0, Ending::kServed).kind, Choice::Kind::kForward);
 }
 
-TEST(PolicyHost, TickSaysWhenItIsWantedNext) {
+TEST(PolicyHost, TickReturnsWhenItIsDueNext) {
   Fixture f;
   DeferredActions deferred = f.policy_host.tick(f.now);
   ASSERT_GT(deferred.next, f.now);
@@ -225,7 +225,7 @@
   EXPECT_GT(deferred.next, f.now);
 }
 
-TEST(PolicyHost, TheListIsAskedForAtTheStartAndAfterABreak) {
+TEST(PolicyHost, TheListIsSubscribedToAtTheStartAndAfterTheWatchEnds) {
   Fixture f;
   for (const int most : {1, 60}) {  // tenths of a second
     bool asked = false;
@@ -239,7 +239,7 @@
   }
 }
 
-TEST(PolicyHost, NothingGoesToABackendThatDrainsOrIsGone) {
+TEST(PolicyHost, ADrainingOrGoneBackendGetsNoRequests) {
   Fixture f(2);
   List change;
   change.version = 1;
@@ -260,8 +260,8 @@
   }
 }
 
-// A backend missing from a whole list is gone, and its new address counts when it comes back.
-TEST(PolicyHost, WholeListsReplaceWhatWasKnown) {
+// A backend missing from a full list is gone; when it returns, its new address is used.
+TEST(PolicyHost, AFullListReplacesTheKnownOne) {
   Fixture f(2);
   List whole = list_of(2);
   whole.backends.erase(whole.backends.begin());
@@ -275,9 +275,9 @@
   EXPECT_EQ(f.policy_host.backends(), 2U);
 }
 
-// Guards against growing with every backend that ever was: numbers of those gone are given to others, but not
-// while a request or a probe still names them.
-TEST(PolicyHost, NumbersOfBackendsThatAreGoneAreGivenBack) {
+// The tables must not grow with every backend that ever was listed: numbers of gone backends are reused, but
+// not while a request or a probe refers to them.
+TEST(PolicyHost, NumbersOfGoneBackendsAreReusedOnceUnreferenced) {
   Fixture f(2);
   const Choice held = f.pick(kSafe);
   const RequestId request = f.last;
@@ -289,7 +289,7 @@
     change.backends.resize(2);
     change.backends[0].host = old_host;
     change.backends[0].health = "gone";
-    change.backends[1] = list_of(1).backends[0];  // at an address that another had before
+    change.backends[1] = list_of(1).backends[0];  // at an address that another backend had before
     change.backends[1].host = host;
     f.policy_host.report_list(change, ListSource::kWatch, f.now);
   };
@@ -311,12 +311,12 @@
   replace("n-198", "n-200");
   replace("n-199", "n-201");
   EXPECT_EQ(f.policy_host.backends(), 3U);
-  // Of a backend never heard of there is nothing to remember once it is gone.
+  // A backend that is first listed as gone gets no number.
   replace("never", "n-202");
   EXPECT_EQ(f.policy_host.backends(), 3U);
 }
 
-TEST(PolicyHost, KeyedRequestsStayInTheirZone) {
+TEST(PolicyHost, KeyedRequestsAreRetriedInTheirZoneOnly) {
   Fixture f(1);
   List other;
   other.backends = list_of(1).backends;
@@ -327,7 +327,7 @@
   EXPECT_EQ(f.report(0, Ending::kBroken).kind, Choice::Kind::kFail);
 }
 
-TEST(PolicyHost, TellsTheHostThatSomethingCameUp) {
+TEST(PolicyHost, WakesTheHostWhenTickHasWork) {
   Fixture f;
   int woken = 0;
   f.policy_host.on_deferred_action([&woken] { ++woken; });
@@ -337,8 +337,9 @@
 
 // ---- subsets ----
 
-struct Part {
-  explicit Part(int backends = 400, int size = 20) : policy_host(settings(), host(), 1, fleet(size)) {
+struct SubsetFixture {
+  explicit SubsetFixture(int backends = 400, int size = 20)
+      : policy_host(settings(), host(), 1, fleet(size)) {
     policy_host.start(list_of(backends), now);
   }
   static FleetOptions fleet(int size) {
@@ -349,7 +350,7 @@
     options.place.nodes = 100;
     return options;
   }
-  // Where one request after another goes; each is served at once.
+  // The backends that requests are sent to, one request after the other; each is served at once.
   std::set<BackendId> used(int requests = 400) {
     std::set<BackendId> all;
     for (int i = 0; i < requests; ++i) {
@@ -378,104 +379,103 @@
   PolicyHost policy_host;
 };
 
-TEST(PolicyHostSubset, WorksWithItsPartAndWithASmallFleetWhole) {
-  Part part;
-  const auto counters = part.policy_host.subset_counters();
+TEST(PolicyHostSubset, UsesItsSubsetAndAllOfASmallFleet) {
+  SubsetFixture f;
+  const auto counters = f.policy_host.subset_counters();
   ASSERT_TRUE(counters);
   EXPECT_EQ(counters->fleet, 400U);
   EXPECT_GE(counters->members, 10U);
   EXPECT_LE(counters->members, 36U);
-  EXPECT_EQ(part.used().size(), counters->members);
-  EXPECT_EQ(Part(8).used().size(), 8U);  // fewer backends than the subset's size
+  EXPECT_EQ(f.used().size(), counters->members);
+  EXPECT_EQ(SubsetFixture(8).used().size(), 8U);  // fewer backends than the subset's size
 }
 
-// Rule "drains are kept", on a part: a member that drains gets nothing new from that moment, without waiting
-// for a drawing, and another stands in before its grace ends.
-TEST(PolicyHostSubset, AMemberThatDrainsStopsAtOnceAndIsReplaced) {
-  Part part;
-  const std::set<BackendId> before = part.used();
+// Rule "drains are kept", on a subset: a draining member gets no new requests at once, without waiting for
+// the subset to be drawn anew, and another replaces it before its grace ends.
+TEST(PolicyHostSubset, ADrainingMemberGetsNoRequestsAtOnceAndIsReplaced) {
+  SubsetFixture f;
+  const std::set<BackendId> before = f.used();
   const BackendId drained = *before.begin();
-  part.change(part.host_of(drained), "draining");
-  EXPECT_EQ(part.unwanted, std::vector<BackendId>{drained});
-  EXPECT_EQ(part.used().count(drained), 0U);
-  part.now += 101;
-  part.policy_host.tick(part.now);
-  EXPECT_EQ(part.used().count(drained), 0U);
-  EXPECT_GE(part.policy_host.subset_counters()->members, before.size() * 7 / 10);
+  f.change(f.host_of(drained), "draining");
+  EXPECT_EQ(f.unwanted, std::vector<BackendId>{drained});
+  EXPECT_EQ(f.used().count(drained), 0U);
+  f.now += 101;
+  f.policy_host.tick(f.now);
+  EXPECT_EQ(f.used().count(drained), 0U);
+  EXPECT_GE(f.policy_host.subset_counters()->members, before.size() * 7 / 10);
 }
 
-// A change among backends of other nodes' parts leaves this one's as it is, or nearly.
-TEST(PolicyHostSubset, ABackendElsewhereMovesFew) {
-  Part part;
-  const std::set<BackendId> before = part.used();
+// A change among backends outside the subset leaves the subset as it is, or nearly.
+TEST(PolicyHostSubset, AChangeOutsideTheSubsetReplacesFewMembers) {
+  SubsetFixture f;
+  const std::set<BackendId> before = f.used();
   std::set<std::string> members;
-  for (const BackendId b : before) members.insert(part.host_of(b));
+  for (const BackendId b : before) members.insert(f.host_of(b));
   int host = 0;
   while (members.count("s-" + std::to_string(host)) > 0) ++host;
-  part.change("s-" + std::to_string(host), "gone");
-  EXPECT_TRUE(part.unwanted.empty());
-  part.now += 101;
-  part.policy_host.tick(part.now);
-  EXPECT_LE(part.policy_host.subset_counters()->changes, before.size() + 6);
+  f.change("s-" + std::to_string(host), "gone");
+  EXPECT_TRUE(f.unwanted.empty());
+  f.now += 101;
+  f.policy_host.tick(f.now);
+  EXPECT_LE(f.policy_host.subset_counters()->changes, before.size() + 6);
 }
 
-// The hard case: all of its members drain in one deploy. Others stand in; it is never without while anybody
-// is ready, and numbers of those gone are given back.
-TEST(PolicyHostSubset, ASubsetAllOfWhoseBackendsDrainIsDrawnAnew) {
-  Part part;
+// All members drain in one deploy: others replace them, and the subset is never empty while any backend is
+// ready.
+TEST(PolicyHostSubset, ASubsetWhoseMembersAllDrainIsDrawnAnew) {
+  SubsetFixture f;
   for (int round = 0; round < 15; ++round) {
-    for (const BackendId b : part.used()) {
-      part.change(part.host_of(b), "draining");
-      part.change(part.host_of(b), "gone");
+    for (const BackendId b : f.used()) {
+      f.change(f.host_of(b), "draining");
+      f.change(f.host_of(b), "gone");
     }
-    part.now += 101;
-    part.policy_host.tick(part.now);
-    EXPECT_FALSE(part.used().empty()) << round;
+    f.now += 101;
+    f.policy_host.tick(f.now);
+    EXPECT_FALSE(f.used().empty()) << round;
   }
 }
 
-// Members that are silent count as no capacity: others are borrowed, and given back when they answer again.
+// Silent members provide no capacity: others are borrowed, and returned when the members answer again.
 TEST(PolicyHostSubset, BorrowsWhileMembersAreSilent) {
-  Part part;
-  const std::set<BackendId> before = part.used();
+  SubsetFixture f;
+  const std::set<BackendId> before = f.used();
   const auto probe_all = [&](Ending ending) {
     for (const BackendId b : before) {
-      for (int n = 0; n < 3; ++n) part.policy_host.report_probe(b, ending, 250, nullptr, part.now);
+      for (int n = 0; n < 3; ++n) f.policy_host.report_probe(b, ending, 250, nullptr, f.now);
     }
-    part.now += 101;
-    part.policy_host.tick(part.now);
+    f.now += 101;
+    f.policy_host.tick(f.now);
   };
   probe_all(Ending::kTimeout);
-  EXPECT_GT(part.policy_host.subset_counters()->borrowed, 0U);
-  EXPECT_GT(part.policy_host.subset_counters()->members, before.size());
+  EXPECT_GT(f.policy_host.subset_counters()->borrowed, 0U);
+  EXPECT_GT(f.policy_host.subset_counters()->members, before.size());
   probe_all(Ending::kServed);
-  EXPECT_EQ(part.policy_host.subset_counters()->borrowed, 0U);
-  EXPECT_EQ(part.policy_host.subset_counters()->members, before.size());
+  EXPECT_EQ(f.policy_host.subset_counters()->borrowed, 0U);
+  EXPECT_EQ(f.policy_host.subset_counters()->members, before.size());
 }
 
-// Guards against counting silences on over a backend's absence: one that was silent, went and came back is
-// judged anew.
-TEST(PolicyHostSubset, AMemberThatCameBackIsJudgedAnew) {
-  Part part;
-  const std::set<BackendId> before = part.used();
+// Silences must not add up over a backend's absence: after a return they are counted from zero.
+TEST(PolicyHostSubset, SilencesBeforeAMembersAbsenceDoNotCount) {
+  SubsetFixture f;
+  const std::set<BackendId> before = f.used();
   const auto silent = [&] {
     for (const BackendId b : before) {
-      for (int n = 0; n < 3; ++n) part.policy_host.report_probe(b, Ending::kTimeout, 250, nullptr, part.now);
+      for (int n = 0; n < 3; ++n) f.policy_host.report_probe(b, Ending::kTimeout, 250, nullptr, f.now);
     }
   };
   const auto all = [&](const std::string& health) {
-    for (const BackendId b : before) part.change(part.host_of(b), health);
-    part.now += 101;
-    part.policy_host.tick(part.now);
+    for (const BackendId b : before) f.change(f.host_of(b), health);
+    f.now += 101;
+    f.policy_host.tick(f.now);
   };
   silent();
   all("draining");
   all("ready");
-  EXPECT_EQ(part.policy_host.subset_counters()->borrowed, 0U);
+  EXPECT_EQ(f.policy_host.subset_counters()->borrowed, 0U);
   silent();
-  part.now += 101;
-  part.policy_host.tick(part.now);
-  EXPECT_GT(part.policy_host.subset_counters()->borrowed, 0U);
+  f.now += 101;
+  f.policy_host.tick(f.now);
+  EXPECT_GT(f.policy_host.subset_counters()->borrowed, 0U);
 }
 
 }  // namespace
