--- a/tests/crossings/answering_peer.h
+++ b/tests/crossings/answering_peer.h
@@ -1,5 +1,5 @@
-// A server that answers each request at once, as a test says by its path, in a thread of its own, and keeps
-// the paths that were asked for.
+// A server in a thread of its own that answers each request at once by a function of its path, and records
+// the paths.
 #pragma once
 
 #include <poll.h>
@@ -27,8 +27,8 @@
  public:
   using Answer = std::function<std::string(const std::string& path)>;
 
-  // Its thread stands in poll() behind this and allocates nothing before somebody connects: a test may fork
-  // then, and the child of a sanitized build must not inherit the allocator's lock.
+  // Returns once the thread is about to call poll(); it allocates nothing before a connection arrives. A test
+  // may fork then, and the child of a sanitized build must not inherit a locked allocator.
   explicit AnsweringPeer(Answer answer) : answer_(std::move(answer)), thread_([this] { run(); }) {
     waits_.acquire();
   }
@@ -41,7 +41,7 @@
   AnsweringPeer& operator=(const AnsweringPeer&) = delete;
 
   std::string dial() const { return peer_.dial(); }
-  // So many requests for paths that begin so have come.
+  // The number of requests so far for paths with this prefix.
   std::size_t count(const std::string& prefix) {
     const std::lock_guard lock(mutex_);
     return static_cast<std::size_t>(std::count_if(
@@ -52,7 +52,7 @@
   void run() {
     sigset_t all_signals;
     sigfillset(&all_signals);
-    ::pthread_sigmask(SIG_BLOCK, &all_signals, nullptr);  // they are the node's
+    ::pthread_sigmask(SIG_BLOCK, &all_signals, nullptr);  // the node handles them
     for (bool first = true;; first = false) {
       std::vector<pollfd> all = {{peer_.fd(), POLLIN, 0}};
       for (const auto& [fd, text] : texts_) all.push_back({fd, POLLIN, 0});
@@ -92,14 +92,14 @@
 
   const Answer answer_;
   Peer peer_;
-  std::map<int, std::string> texts_;  // what has come on each connection
+  std::map<int, std::string> texts_;  // input of each connection, by descriptor
   std::mutex mutex_;
   std::vector<std::string> paths_;
   std::binary_semaphore waits_{0};
   std::thread thread_;
 };
 
-// A backend that serves all that it is sent. Its health check fails once it drains.
+// A backend that serves every request. Its health check fails while `drains` is set.
 inline AnsweringPeer::Answer backend_that(const std::atomic<bool>& drains) {
   return [&drains](const std::string& path) {
     const bool probed = path.rfind("/-/", 0) == 0;
--- a/tests/crossings/answers_test.cpp
+++ b/tests/crossings/answers_test.cpp
@@ -1,4 +1,4 @@
-// Answers that are spoilt: half, early, without end, or none; what the attempt then is, and that it ends.
+// Responses that are incomplete, early, endless or malformed: how the attempt ends, and that it does end.
 #include <gtest/gtest.h>
 
 #include "upstream_case.h"
@@ -6,7 +6,7 @@
 namespace shorelead::node {
 namespace {
 
-// Writes `part` for as long as the other side takes it.
+// Writes `part` once a millisecond.
 struct Trickle {
   Trickle(Loop& loop, Line& there, std::string part) : loop(loop), there(there), part(std::move(part)) {
     next();
@@ -20,8 +20,8 @@
   const std::string part;
 };
 
-// Answers that begin and never end: the attempt ends by its time, or when they exceed what an answer may be.
-TEST(Answers, OneThatNeverEndsIsOverByItsTime) {
+// Responses that never end: the attempt ends by its deadline, or when the response exceeds a limit.
+TEST(Answers, AnEndlessResponseEndsByTheAttemptsDeadline) {
   struct Case {
     std::string first;
     std::string part;
@@ -41,7 +41,7 @@
   for (const Case& one : cases) {
     Peer peer;
     Backends b;
-    // Nobody takes what is passed on, where it is.
+    // A response that is streamed ends the run; its body is not read.
     b.on_flow = [&b](net::Flow&) { b.loop.later([&b] { b.loop.stop(); }); };
     b.send(peer, one.ending == Ending::kTimeout ? 5 * kSoon : kLong);
     Line there = peer.accept();
@@ -52,13 +52,14 @@
       trickle = std::make_unique<Trickle>(b.loop, there, one.part);
     });
     const Ending ending = b.run();
-    // Of unknown length a 200 goes on after most of its time: that one is the client's to wait for.
+    // A 200 of unknown length is streamed after most of the attempt's time: it no longer ends by the
+    // deadline.
     if (b.flow) continue;
     EXPECT_EQ(ending, one.ending) << one.first << one.part;
   }
 }
 
-TEST(Answers, HalfAStatusLineIsNone) {
+TEST(Answers, AnIncompleteResponseIsNeverServed) {
   struct Case {
     std::string text;
     bool closes;
@@ -89,8 +90,9 @@
   }
 }
 
-// It counts for what it says, and its connection is not used again: the rest of the request was not written.
-TEST(Answers, OneBeforeTheRequestsEndCountsAndEndsItsConnection) {
+// A response that precedes the end of its request counts, but its connection is not reused, as the rest of
+// the request was not written.
+TEST(Answers, AResponseBeforeTheRequestsEndCountsAndEndsItsConnection) {
   const std::pair<std::string, Ending> cases[] = {
       {"200 OK\r\n", Ending::kServed},
       {"500 No\r\n", Ending::kErred},
@@ -111,8 +113,8 @@
   }
 }
 
-// A second answer, or its beginning, right behind the first.
-TEST(Answers, OneWithBytesBehindItEndsItsConnection) {
+// A second response, or its first byte, right after the first one.
+TEST(Answers, BytesAfterAResponseEndItsConnection) {
   for (const std::string& behind : {std::string("H"), kEmptyOk}) {
     Peer peer;
     Backends b;
@@ -128,8 +130,8 @@
   }
 }
 
-// Of an answer of unknown length no more is held than a flow may, however much comes and nobody takes it.
-TEST(Answers, OneWithoutEndThatNobodyTakesIsHeldBack) {
+// Of a response of unknown length that nobody reads, no more is buffered than a flow may hold.
+TEST(Answers, AnEndlessResponseThatNobodyReadsIsBufferedWithinBounds) {
   Peer peer;
   Backends b;
   std::size_t most = 0;
--- a/tests/crossings/endings_test.cpp
+++ b/tests/crossings/endings_test.cpp
@@ -1,5 +1,5 @@
-// No effect twice, whatever ends an attempt: every ending with every effect, by one attempt and by two, as
-// the policy host and the module behind it decide.
+// Rule "no effect twice", for PolicyHost with the decision module: every ending with every effect, for one
+// attempt and for two.
 #include <gtest/gtest.h>
 
 #include "node/policy_host.h"
@@ -40,8 +40,8 @@
   return list;
 }
 
-struct Asked {
-  explicit Asked(DedupGroup group) : policy_host(settings(group), host(), 1) {
+struct Fixture {
+  explicit Fixture(DedupGroup group) : policy_host(settings(group), host(), 1) {
     policy_host.start(two_zones(), now);
   }
   static HostSettings host() {
@@ -54,7 +54,7 @@
   PolicyHost policy_host;
 };
 
-// What the protocol says of each: these cannot have run.
+// By the protocol, a request whose attempt ended so cannot have run.
 bool cannot_have_run(Ending ending) {
   switch (ending) {
     case Ending::kTurnedAway:
@@ -77,16 +77,17 @@
                            Ending::kIdle,           Ending::kEvicted,      Ending::kSilent,
                            Ending::kDone,           Ending::kNotSent};
 
+// An attempt that may have run.
 struct Run {
   Millis at = 0;
   int zone = 0;
 };
 
-// One request, whose attempts end so one after the other, each this long after it was decided.
+// Plays one request whose attempts end with `first` and `second`, each `takes` ms after it was decided.
 void play(int request_class, DedupGroup group, Ending first, Ending second, Millis takes) {
-  Asked a(group);
+  Fixture a(group);
   const Effect effect = settings(group).classes[static_cast<std::size_t>(request_class)].effect;
-  std::vector<Run> runs;  // that may have been
+  std::vector<Run> runs;
   Choice choice = a.policy_host.pick(1, {request_class, 0, a.now + 3000, -1, false}, a.now);
   for (const Ending ending : {first, second, Ending::kBroken}) {
     if (choice.kind != Choice::Kind::kSend) break;
@@ -128,10 +129,10 @@
   }
 }
 
-// Attempts at most as the settings say: a request keeps the number under which it came, later ones have the
-// new.
-TEST(Endings, AttemptsAreAsManyAsTheSettingsSaidWhenItCame) {
-  Asked a(DedupGroup::kAll);
+// The number of attempts is bounded by the settings in force when the request arrived; later requests use the
+// new ones.
+TEST(Endings, ARequestKeepsTheMaximumOfAttemptsItArrivedWith) {
+  Fixture a(DedupGroup::kAll);
   const auto attempts = [&a](RequestId request) {
     int sent = 0;
     Choice choice = a.policy_host.pick(request, {0, 0, a.now + 3000, -1, false}, a.now);
@@ -139,7 +140,7 @@
       if (request == 1 && sent == 0) {
         Settings fewer = settings(DedupGroup::kAll);
         fewer.max_attempts = 1;
-        a.policy_host.adopt(fewer, Asked::host(), a.now);
+        a.policy_host.adopt(fewer, Fixture::host(), a.now);
       }
       choice = a.policy_host.report(request, choice.attempt, Ending::kErred, 1, nullptr, a.now);
     }
@@ -149,9 +150,10 @@
   EXPECT_EQ(attempts(2), 1);
 }
 
-// Two at once only where allowed: however long one is out, the next is sent when it has ended.
-TEST(Endings, NoSecondWhileOneIsOutWhereThatIsNotAllowed) {
-  Asked a(DedupGroup::kAll);
+// Without parallel attempts, the second attempt is sent only when the first has ended, however long that
+// takes.
+TEST(Endings, NoParallelAttemptWhereThatIsNotAllowed) {
+  Fixture a(DedupGroup::kAll);
   ASSERT_EQ(a.policy_host.pick(1, {0, 0, a.now + 3000, -1, false}, a.now).kind, Choice::Kind::kSend);
   for (const Millis end = a.now + 1000; a.now < end; a.now += 10) {
     for (const Choice& choice : a.policy_host.tick(a.now).choices)
--- a/tests/crossings/ends_test.cpp
+++ b/tests/crossings/ends_test.cpp
@@ -1,6 +1,6 @@
-// The end of a process, and of connections that stand unused, against requests that come at that moment: what
-// was taken is answered before the process ends, no answer goes with a reset, and nothing that is read behind
-// this side's end is sent on.
+// Shutdown of the process and close of idle connections, with requests that arrive at that moment: each
+// received request is answered before the process ends, no response is lost to a reset, and no request is
+// sent on that is read after this side has closed its sending half.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -17,7 +17,7 @@
     node.start();
   }
 
-  // A client that has asked, and stands unused.
+  // An idle client connection that has carried a request.
   Line unused() {
     Line client = node.client();
     client.write(get("/safe"));
@@ -31,8 +31,8 @@
   Standstill still{node};
 };
 
-// What comes behind the end that the node has sent is dropped: no reset, and no attempt.
-void crossing_is_dropped(Scene& s, Line& client) {
+// A request that crosses the node's half-close is dropped, without a reset and without an attempt.
+void expect_crossing_request_dropped(Scene& s, Line& client) {
   EXPECT_EQ(client.rest(), "");
   client.write(get("/safe/crossing"));
   Line behind = s.node.client();
@@ -42,23 +42,23 @@
   EXPECT_EQ(s.backends.count("crossing"), 0U);
 }
 
-TEST(Ends, ARequestCrossesTheEndOfAnUnusedConnectionAtShutdown) {
+TEST(Ends, ARequestThatCrossesTheCloseOfAnIdleConnectionAtShutdownIsDropped) {
   Scene s([](Node& node) { node.waits.accept_on = 1500; });
   Line client = s.unused();
   ::kill(::getpid(), SIGTERM);
-  crossing_is_dropped(s, client);
+  expect_crossing_request_dropped(s, client);
   client.close();
   s.node.thread.join();
 }
 
-TEST(Ends, ARequestCrossesTheEndOfAConnectionThatNeverAsked) {
+TEST(Ends, ARequestThatCrossesTheCloseOfASilentConnectionIsDropped) {
   Scene s;
   Line client = s.node.client();
-  crossing_is_dropped(s, client);
+  expect_crossing_request_dropped(s, client);
 }
 
-// Clients that rest, and do not close for their part, do not hold up the end of the process.
-TEST(Ends, WhoNeverClosesDoesNotHoldUpTheEnd) {
+// Idle clients that do not close their side do not delay the end of the process.
+TEST(Ends, ClientsThatNeverCloseDoNotDelayShutdown) {
   Scene s([](Node& node) { node.waits.accept_on = 0; });
   const Line client = s.unused();
   const double from = steady_ms();
@@ -67,8 +67,8 @@
   EXPECT_LT(steady_ms() - from, 3000);
 }
 
-// More than one request has come when the word to end does: each has its answer, and only the last is told to
-// be that.
+// Several pipelined requests have been received when SIGTERM arrives: each is answered, and only the last
+// response has `Connection: close`.
 TEST(Ends, PipelinedRequestsAreAllAnswered) {
   Scene s([](Node& node) { node.waits.accept_on = 5000; });
   Line client = s.node.client();
@@ -84,7 +84,7 @@
   EXPECT_EQ(client.rest(), "");
 }
 
-TEST(Ends, PipelinedRequestsAreAllAnsweredWhereRoomIsShort) {
+TEST(Ends, PipelinedRequestsAreAllAnsweredWhenDescriptorsAreShort) {
   Scene s([](Node& node) { node.config.limits.sockets = 48; });  // 16 connections beside the node's own
   std::vector<Line> busy;
   for (int n = 0; n < 5; ++n) {
@@ -101,8 +101,9 @@
   for (int n = 1; n <= 3; ++n) EXPECT_FALSE(client.answer().empty()) << n;
 }
 
-// Whoever has connected is answered, also where the node had no room for more when it closed its door.
-TEST(Ends, WhoWaitsToBeTakenInIsAnswered) {
+// All clients that have connected are answered, also those that waited in the backlog when the listener was
+// closed.
+TEST(Ends, ClientsInTheBacklogAreAnsweredAtShutdown) {
   Scene s([](Node& node) {
     node.config.limits.sockets = 48;
     node.waits.accept_on = 0;
@@ -125,8 +126,9 @@
   serving.join();
 }
 
-// A deadline beyond the three seconds that the kill waits for at most: answered before it comes.
-TEST(Ends, TheKillDoesNotWaitForTheLongestDeadline) {
+// A request whose deadline is later than the three seconds before the supervisor kills the process is
+// answered before that.
+TEST(Ends, OpenRequestsAreAnsweredBeforeTheKill) {
   EXPECT_EQ(Server::Waits().deadline, 3000);
   Scene s([](Node& node) {
     node.waits.accept_on = 0;
@@ -142,8 +144,9 @@
   s.node.thread.join();
 }
 
-// A request that lies unread when the process gives up what is under way, as its thread got no processor.
-TEST(Ends, WhatLiesUnreadAtTheVeryEndIsAnswered) {
+// A request that is received but not read when the process fails its open requests, as its thread got no
+// processor.
+TEST(Ends, AnUnreadRequestAtTheShutdownDeadlineIsRefused) {
   Scene s([](Node& node) {
     node.waits.accept_on = 0;
     node.waits.deadline = 50;
@@ -157,7 +160,7 @@
   s.end();
   const double from = steady_ms();
   s.still.begin();
-  while (steady_ms() - from < 800) std::this_thread::yield();  // its last moment passes meanwhile
+  while (steady_ms() - from < 800) std::this_thread::yield();  // the shutdown deadline passes meanwhile
   half.write(ask.substr(20));
   s.still.go();
   EXPECT_EQ(status_of(busy.answer()), "HTTP/1.1 504");
@@ -166,9 +169,9 @@
   EXPECT_EQ(s.backends.count("late"), 0U) << "refused, so it must not have been sent on";
 }
 
-// The word to end in the middle of a head, a body, or before the first byte; what is left of the request
-// comes after, and is served.
-TEST(Ends, TheWordToEndFindsARequestInParts) {
+// SIGTERM arrives before the first byte of a request, in its head or in its body; the rest is received
+// afterwards, and the request is served.
+TEST(Ends, ARequestInterruptedBySigtermIsServed) {
   const std::string ask = post("/unsafe", "0123456789");
   for (const std::size_t before : {std::size_t{0}, std::size_t{5}, ask.size() - 5}) {
     Scene s;
@@ -188,8 +191,8 @@
   }
 }
 
-// Told twice, and to read its configuration before, between and after.
-TEST(Ends, SignalsInAnyOrder) {
+// SIGTERM twice, and SIGHUP before and after it.
+TEST(Ends, RepeatedSigtermAndSighupLoseNoRequest) {
   for (const std::vector<int>& signals : {std::vector<int>{SIGTERM, SIGTERM}, {SIGHUP, SIGTERM, SIGHUP}}) {
     Scene s;
     Line client = s.node.client();
@@ -208,7 +211,7 @@
   }
 }
 
-TEST(Ends, TheWordToEndComesBeforeTheFirstList) {
+TEST(Ends, ARequestAfterSigtermBeforeTheFirstListIsRefused) {
   Node node;
   node.start();
   Line client = node.client();
--- a/tests/crossings/last_moment_test.cpp
+++ b/tests/crossings/last_moment_test.cpp
@@ -1,5 +1,5 @@
-// The last moment of a process: what its clients have sent by then was taken, however much it is, and each
-// request of it has its answer before the process ends.
+// The shutdown deadline of a process: every request that its clients have sent by then is answered before the
+// process ends, however much input that is.
 #include <gtest/gtest.h>
 
 #include "backends.h"
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr int kPipelined = 12;
-constexpr std::size_t kLongBody = 40000;  // several reads, kept whole, and more than one read takes
-constexpr double kPastTheEnd = 800;       // ms after the word to end: longest deadline, and what comes on top
+constexpr std::size_t kLongBody = 40000;  // bytes: takes several reads, and is buffered whole
+constexpr double kPastTheDeadline = 800;  // ms after SIGTERM
 
 struct Scene {
   Scene() {
@@ -19,19 +19,19 @@
     node.start();
   }
 
-  // A request that keeps the process from ending before its last moment.
+  // A request that keeps the process running until the shutdown deadline.
   Line busy() {
     Line client = node.client();
     client.write(ask("busy"));
     backends.await("busy", 1);
     return client;
   }
-  // Stands still until the last moment has passed.
-  void let_the_end_come() {
+  // Sends SIGTERM and stops the node's thread until the shutdown deadline has passed.
+  void pass_shutdown_deadline() {
     end_process(node, still);
     const double from = steady_ms();
     still.begin();
-    while (steady_ms() - from < kPastTheEnd) std::this_thread::yield();
+    while (steady_ms() - from < kPastTheDeadline) std::this_thread::yield();
   }
   static std::string ask(const std::string& name, const std::string& body = "x") {
     return post("/unsafe/hang/" + name, body, "X-Timeout-Ms: 20000\r\n");
@@ -50,7 +50,7 @@
   for (int n = 0; n < kPipelined; ++n) all += Scene::ask("many");
   many.write(all);
   s.backends.await("many", 1);
-  s.let_the_end_come();
+  s.pass_shutdown_deadline();
   s.still.go();
   for (int n = 0; n < kPipelined; ++n) {
     const std::string status = status_of(many.answer());
@@ -61,13 +61,13 @@
   EXPECT_EQ(s.backends.count("many"), 1U) << "what comes up at the last moment is not sent on";
 }
 
-TEST(LastMoment, ALongRequestThatLiesUnreadIsAnswered) {
+TEST(LastMoment, ALargeUnreadRequestIsAnswered) {
   Scene s;
   Line busy = s.busy();
   Line late = s.node.client();
   const std::string ask = Scene::ask("late", std::string(kLongBody, 'b'));
   late.write(ask.substr(0, 1));
-  s.let_the_end_come();
+  s.pass_shutdown_deadline();
   late.write(ask.substr(1));
   s.still.go();
   EXPECT_FALSE(late.answer().empty());
--- a/tests/crossings/leaving_test.cpp
+++ b/tests/crossings/leaving_test.cpp
@@ -1,6 +1,6 @@
-// Clients that leave: from the moment in which their end is there to be read, no attempt of theirs begins. In
-// each state the node's thread stands still until the end and what would begin an attempt both lie there; the
-// latter came first, so it is found first.
+// Clients that disconnect: from the moment when their end can be read, no attempt of theirs starts. In each
+// case the node's thread is stopped until both the end and the event that would start an attempt are there;
+// the latter came first, so it is found first.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
@@ -17,7 +17,7 @@
     warm();
   }
 
-  // Connections to all backends stand ready, so that an attempt can be written at once.
+  // Opens connections to all backends, so that an attempt can be written at once.
   void warm() {
     std::vector<Line> clients;
     for (std::size_t n = 0; n < hosts; ++n) {
@@ -29,9 +29,9 @@
     for (Line& client : clients) EXPECT_EQ(status_of(client.answer()), "HTTP/1.1 200");
   }
 
-  // One that asks behind all that happened: what the node had begun before has come by then, on connections
-  // that are read in their order.
-  void ask_behind() {
+  // Sends requests after all that happened: when they are answered, the attempts that the node started before
+  // have reached their backends, as connections are read in order.
+  void ask_afterwards() {
     for (int n = 0; n < 3; ++n) {
       Line behind = node.client();
       behind.write(get("/safe/behind"));
@@ -45,7 +45,7 @@
   Standstill still{node};
 };
 
-TEST(Leaving, ABackendsFailureIsFoundBeforeTheClientsEnd) {
+TEST(Leaving, NoRetryWhenTheClientLeftAsItsBackendFailed) {
   Scene s;
   Line client = s.node.client();
   client.write(get("/safe/hang/mine"));
@@ -54,12 +54,12 @@
   s.backends.break_held();
   client.close();
   s.still.go();
-  s.ask_behind();
+  s.ask_afterwards();
   EXPECT_EQ(s.backends.count("mine"), 1U);
 }
 
-// Its end lies behind more than this node reads ahead of the answer at hand, and would never be read.
-TEST(Leaving, TheEndLiesBehindInputThatIsHeldBack) {
+// The client's end follows more input than the node reads ahead, so it is not read while the request is open.
+TEST(Leaving, NoRetryWhenTheClientsEndFollowsUnreadInput) {
   Scene s;
   Line client = s.node.client();
   client.write(get("/safe/hang/mine"));
@@ -69,14 +69,14 @@
   client.write(more);
   client.close_sending();
   client.await_taken();
-  s.ask_behind();
+  s.ask_afterwards();
   s.backends.break_held();
-  s.ask_behind();
+  s.ask_afterwards();
   EXPECT_EQ(s.backends.count("mine"), 1U);
   EXPECT_EQ(s.backends.count("next"), 0U) << "nor what it had sent behind";
 }
 
-TEST(Leaving, PipelinedRequestsOfOneWhoLeftDuringTheFirst) {
+TEST(Leaving, PipelinedRequestsAreDroppedWhenTheClientLeavesDuringTheFirst) {
   Scene s;
   Line client = s.node.client();
   client.write(get("/safe/hang/mine"));
@@ -89,11 +89,11 @@
   client.close_sending();
   client.await_taken();
   s.still.go();
-  s.ask_behind();
+  s.ask_afterwards();
   EXPECT_EQ(s.backends.count("next"), 0U);
 }
 
-TEST(Leaving, AResetIsFoundBehindABackendsFailure) {
+TEST(Leaving, NoRetryWhenTheClientResetAsItsBackendFailed) {
   Scene s;
   Line client = s.node.client();
   client.write(get("/safe/hang/mine"));
@@ -102,13 +102,13 @@
   s.backends.break_held();
   client.reset();
   s.still.go();
-  s.ask_behind();
+  s.ask_afterwards();
   EXPECT_EQ(s.backends.count("mine"), 1U);
 }
 
-// The first attempt waits for a connection that comes up late: here for as long as the system takes to ask
-// a full queue again.
-TEST(Leaving, TheConnectionForTheFirstAttemptComesUpAfterTheEnd) {
+// The first attempt waits for a connection that is established late: here, until the kernel sends the SYN
+// again to a backlog that was full.
+TEST(Leaving, NoAttemptOnAConnectionEstablishedAfterTheClientLeft) {
   Peer late(0);
   const Line filler = Line::connect(late.port());
   Node node;
@@ -128,15 +128,15 @@
   EXPECT_EQ(second.rest(), "") << "closed, with nothing sent on it";
 }
 
-// A thousand leave in one moment, in which their backends fail as well; or those, while nothing stands still.
-// Prints how long after its client's close the last attempt came, as its backend saw it.
+// A thousand clients leave while their backends fail, with the node's thread stopped or running. Prints how
+// long after its client's close the last attempt arrived at a backend.
 void burst(bool stands_still) {
   constexpr std::size_t kLeavers = 1000;
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
   limit.rlim_cur = limit.rlim_max;
   ::setrlimit(RLIMIT_NOFILE, &limit);
-  Scene s(400);  // each has room for a few
+  Scene s(400);  // each backend takes a few connections
   std::vector<Line> clients;
   std::map<std::string, double> left;  // when each did, by its path
   std::vector<std::string> paths;
@@ -145,7 +145,7 @@
     clients.push_back(s.node.client());
     clients.back().write(get(paths.back()));
   }
-  s.ask_behind();
+  s.ask_afterwards();
   const std::size_t before = s.backends.count("burst");
   if (stands_still) s.still.begin();
   s.backends.break_held();
@@ -154,7 +154,7 @@
     clients[n].close();
   }
   if (stands_still) s.still.go();
-  s.ask_behind();
+  s.ask_afterwards();
   double last = -1;
   std::size_t late = 0;
   for (const Backends::Seen& one : s.backends.seen()) {
@@ -172,8 +172,8 @@
   EXPECT_LT(last, 100);
 }
 
-TEST(Leaving, ABurstIsFoundBehindItsBackendsFailures) { burst(true); }
-TEST(Leaving, ABurstWhileTheNodeGoesOn) { burst(false); }
+TEST(Leaving, NoRetryForABurstOfLeavingClientsFoundAfterTheFailures) { burst(true); }
+TEST(Leaving, RetriesEndSoonAfterABurstOfLeavingClients) { burst(false); }
 
 }  // namespace
 }  // namespace shorelead::node
--- a/tests/crossings/limits_test.cpp
+++ b/tests/crossings/limits_test.cpp
@@ -1,4 +1,5 @@
-// An attempt's limits: one at a time, whatever comes in the very turn in which one is reached.
+// Time limits of an attempt: one at a time, also when other events occur in the turn of the loop in which it
+// is reached.
 #include <gtest/gtest.h>
 
 #include <future>
@@ -24,7 +25,7 @@
                   },
                   [](BackendId, const Result&) {}, [](bool) { return true; }, [](bool) { return true; }}) {}
 
-  // A request whose body came by parts and is whole.
+  // A request with a streamed body that has been received whole.
   std::shared_ptr<Message> large() const {
     auto message = std::make_shared<Message>(Parser::Kind::kRequest);
     message->raw = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\n";
@@ -46,7 +47,7 @@
   Upstream upstream;
 };
 
-// A backend that answers on one connection: so many requests at once, the next one when it is told.
+// A backend that answers `at_once` requests on one connection at once, and the next when answer() is called.
 class Backend {
  public:
   explicit Backend(int at_once)
@@ -68,9 +69,9 @@
   std::thread thread_;
 };
 
-// A body that is whole when its attempt takes a kept connection brings a limit of its own. The one set before
-// must go: it would fire where the connection carries nothing, or end the attempt that it carries next.
-TEST(Limits, AWholeBodyOnAKeptConnectionLeavesNoLimitBehind) {
+// A body that is complete when its attempt reuses a connection sets a limit of its own. The limit set before
+// has to be cancelled: it would fire while the connection is idle, or end its next attempt.
+TEST(Limits, ACompleteBodyOnAReusedConnectionLeavesNoTimerBehind) {
   Backend backend(2);
   Attempts a(kLong);
   a.next = [&] {
@@ -78,7 +79,7 @@
     a.next = [&] {
       EXPECT_EQ(a.last, Ending::kServed);
       a.next = nullptr;
-      // Whatever is left of that attempt fires with this one under way.
+      // A limit left over from that attempt would fire while this one is in flight.
       a.send(backend.peer, kLong, a.large());
       a.loop.after(5 * kSoon, [&] { backend.answer(); });
     };
@@ -90,14 +91,14 @@
   EXPECT_EQ(a.upstream.opened(), 1U);
 }
 
-// The connection has come up, and nobody was told yet, when its wait is over: it is used, and what its body
-// brings is the only limit of the attempt.
-TEST(Limits, AConnectionThatCameUpAsItsWaitEndsHasOneLimit) {
+// A connection has been established, but the loop has not seen it, when its connect time-out passes: it is
+// used, and the limit set by the body is the attempt's only one.
+TEST(Limits, AConnectionEstablishedAtItsTimeoutHasOneTimer) {
   Backend backend(1);
   Attempts a(kSoon);
   a.send(backend.peer, 5 * kSoon, a.large());
   const Millis over = a.loop.now() + kSoon;
-  while (a.loop.now() <= over) continue;  // both lie there when the loop first looks
+  while (a.loop.now() <= over) continue;  // both events are due when the loop first runs
   a.next = [&] {
     EXPECT_EQ(a.last, Ending::kServed) << name_of(a.last);
     a.next = nullptr;
--- a/tests/crossings/silent_clients.h
+++ b/tests/crossings/silent_clients.h
@@ -1,5 +1,5 @@
-// Clients that connect and say nothing, and come again as soon as they are closed: there are always more of
-// them than the node has room for.
+// Clients that connect, send nothing, and connect again as soon as they are closed: always more than the node
+// has descriptors for.
 #pragma once
 
 #include <poll.h>
@@ -22,7 +22,7 @@
   SilentClients(const SilentClients&) = delete;
   SilentClients& operator=(const SilentClients&) = delete;
 
-  // Until so many have given way that the node must have been full.
+  // Waits until so many were closed that the node must have been out of descriptors.
   void wait_for_evictions() {
     while (closed_ < kEvicted) closed_.wait(closed_);
   }
@@ -30,7 +30,7 @@
  private:
   static constexpr int kClients = 120;
   static constexpr int kEvicted = 60;
-  static constexpr int kStopMillis = 50;  // it looks this often whether it is over
+  static constexpr int kPollMillis = 50;  // between checks for the end of the test
 
   int connect() const {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -46,7 +46,7 @@
     std::vector<pollfd> all;
     for (int n = 0; n < kClients; ++n) all.push_back({connect(), POLLIN, 0});
     while (!stop_) {
-      ::poll(all.data(), all.size(), kStopMillis);
+      ::poll(all.data(), all.size(), kPollMillis);
       for (pollfd& one : all) {
         if (one.revents == 0) continue;
         ::close(one.fd);
--- a/tests/crossings/stopped_clients_test.cpp
+++ b/tests/crossings/stopped_clients_test.cpp
@@ -1,5 +1,5 @@
-// Clients that stop in the middle of a request and stay: they are owed an error, or the end of their
-// connection, within 3 s of their last byte, however much came before it.
+// Clients that stop sending in the middle of a request and stay connected: they get an error, or the end of
+// their connection, within 3 s of their last byte, however much they sent before.
 #include <gtest/gtest.h>
 
 #include <thread>
@@ -19,14 +19,15 @@
          std::to_string(kAnnounced) + "\r\n\r\n" + std::string(kSent, 'b');
 }
 
-// An answer on the same loop: what the node found before it asked is done by then.
+// A request on the same loop: when it is answered, the node has handled everything that arrived before it.
 void ask_whether_ready(Line& client) {
   client.write("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
   EXPECT_EQ(client.answer().rfind("HTTP/1.1 200 ", 0), 0U);
 }
 
-// Whoever connects behind it and says nothing is ended by the same wait, so it has to be over by then.
-TEST(StoppedClients, OneThatStopsInALongRequestIsAnsweredAsSoonAsOneThatSaysNothing) {
+// A client that connects later and sends nothing is closed by the same time-out, so the stopped one has to be
+// answered by then.
+TEST(StoppedClients, AStoppedClientIsAnsweredAsSoonAsASilentOneIsClosed) {
   Front::Timeouts timeouts;
   timeouts.request = kRequestWait;
   timeouts.sweep = kSweep;
