--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -115,8 +115,8 @@
   const auto loads = rank_counts_.since_last([this](int rank) { return cells_of(rank); });
   const fleet::CutOff next = shedder_.in_force(loads, channel_->traffic.room.get(), now);
   if (next == cut_off_) return;
-  spdlog::info("fleet: in a shortage rank {} and {:.0f} % of it are turned away, by {}", next.rank + 1,
-               next.share * 100, shedder_.alone() ? "own figures" : "the plan");
+  spdlog::info("fleet: in a shortage rank {} and {:.0f} % of it are refused, by {}", next.rank + 1,
+               next.share * 100, shedder_.alone() ? "own counters" : "the plan");
   cut_off_ = next;
 }
 
@@ -146,10 +146,10 @@
     verdict.worth = 1 - rank / std::max(1.0, order_.ranks() - 1.0);
     verdict.ticket.aim_at = now + aim;
   }
-  const std::uint64_t all =
+  const std::uint64_t budgets =
       rules_.budgets_of(request.pool, request.route, request.request_class, request.tenant);
-  for (std::uint64_t left = all; left != 0; left &= left - 1) {
-    const auto budget = static_cast<std::size_t>(std::countr_zero(left));
+  for (std::uint64_t remaining = budgets; remaining != 0; remaining &= remaining - 1) {
+    const auto budget = static_cast<std::size_t>(std::countr_zero(remaining));
     const fleet::BudgetKind kind = fleet_.budgets[budget].kind;
     if (kind == fleet::BudgetKind::kAttempts) continue;  // counted once all others admit it
     if (port_.spend(budget, now) != fleet::Spent::kYes) {
@@ -163,8 +163,8 @@
     }
     if (kind == fleet::BudgetKind::kAtOnce) verdict.ticket.at_once |= std::uint64_t{1} << budget;
   }
-  for (std::uint64_t left = all; left != 0; left &= left - 1) {
-    const auto budget = static_cast<std::size_t>(std::countr_zero(left));
+  for (std::uint64_t remaining = budgets; remaining != 0; remaining &= remaining - 1) {
+    const auto budget = static_cast<std::size_t>(std::countr_zero(remaining));
     if (fleet_.budgets[budget].kind == fleet::BudgetKind::kAttempts) port_.taken(budget, now);
   }
   if (verdict.ticket.rank >= 0) cells_of(verdict.ticket.rank)->taken.add(1);
--- a/src/node/streamed_responses.cpp
+++ b/src/node/streamed_responses.cpp
@@ -11,7 +11,7 @@
 
 bool Upstream::StreamedResponses::begin(Connection& connection) {
   if (!flows_->room()) {
-    spdlog::warn("no memory for one more large answer, {} are under way", flows_->open());
+    spdlog::warn("no memory to stream one more response, {} in progress", flows_->open());
     return false;
   }
   const auto flow = std::make_shared<net::Flow>(flows_, connection.answer.parser.length());
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -9,7 +9,7 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kSoon = 30;
+constexpr Millis kShortTimeout = 30;
 
 // A response after the client's time-out is of no use: the time-out runs while the request lies unread, in
 // the backlog or because the node gets no processor.
@@ -41,7 +41,7 @@
 // Clients must not hold connections without a request: half a request gets an error, none gets a close.
 TEST(Front, HalfARequestGets408AndASilentConnectionIsClosed) {
   Front::Timeouts timeouts;
-  timeouts.request = kSoon;
+  timeouts.request = kShortTimeout;
   timeouts.sweep = 5;
   Clients c(timeouts);
   Line half = Line::connect(c.front.port());
@@ -95,7 +95,7 @@
 // Where few connections are open an idle one may stay; where many are, it is closed sooner.
 TEST(Front, IdleConnectionsAreClosedSoonerWhereManyAreOpen) {
   Front::Timeouts timeouts;
-  timeouts.idle_crowded = kSoon;
+  timeouts.idle_crowded = kShortTimeout;
   timeouts.sweep = 5;
   Clients c(timeouts);
   c.roomy = false;
