--- a/src/node/acceptor.cpp
+++ b/src/node/acceptor.cpp
@@ -16,7 +16,7 @@
 
 constexpr Millis kResumeInterval = 20;  // between attempts to accept again after a pause
 constexpr int kBacklog = 1024;
-constexpr int kMaxFailures = 64;  // of accept() in one turn of the loop
+constexpr int kMaxFailures = 64;  // of accept() in one turn of the loop, before other events are handled
 
 }  // namespace
 
--- a/src/node/affinity_router.h
+++ b/src/node/affinity_router.h
@@ -25,7 +25,7 @@
 
 class AffinityRouter : public AffinityPlaces {
  public:
-  // `reconsider` is called for each waiting request when it may be time to call reconsider().
+  // `reconsider` is called for each waiting request that may be able to go on; it calls reconsider().
   AffinityRouter(Loop& loop, const FleetConfig& fleet, fleet::Port& port,
                  std::function<void(RequestId)> reconsider);
   ~AffinityRouter() override;
--- a/src/node/client_timeouts.h
+++ b/src/node/client_timeouts.h
@@ -9,8 +9,8 @@
 
 struct ClientTimeouts {
   // For the first request on a connection, for a whole head, and between two reads of a request: a client
-  // that has stopped sending gets an error within 3 s. A body has the time in addition that it takes at the
-  // minimum rate.
+  // that has stopped sending gets an error within 3 s. The slowest live clients take two seconds for a head;
+  // any slower one is considered dead. A body has the time in addition that it takes at the minimum rate.
   Millis request = 2500;
   Millis idle = 300000;        // for the next request
   Millis idle_crowded = 2000;  // the same where many connections are open
--- a/src/node/fleet_admission.h
+++ b/src/node/fleet_admission.h
@@ -97,6 +97,7 @@
   Millis longest_hold() const;  // how long a request may use a concurrency budget at most
 
   void leave();  // returns all shares to the fleet; requests under way go on
+  // Whether all shares are returned.
   bool left() const { return !control_ || control_->left(); }
   void log_counters() const;
 
--- a/src/node/request_body_forwarder.h
+++ b/src/node/request_body_forwarder.h
@@ -25,9 +25,7 @@
   std::uint64_t received() const { return flow_->passed(); }  // bytes
   bool paused() const { return paused_at_ > 0; }              // reading from the client is stopped
   Millis paused_total() const { return paused_total_; }
-  Millis resumed_at() const {
-    return resumed_at_;
-  }  // when reading was last resumed; 0 = it was never stopped
+  Millis resumed_at() const { return resumed_at_; }  // when reading was last resumed; 0 = never
 
  private:
   Loop& loop_;
--- a/src/node/streamed_responses.h
+++ b/src/node/streamed_responses.h
@@ -1,5 +1,6 @@
 // Responses that are forwarded while they are received: the backend connections that carry one, and the
-// memory that all of them share. Ends a response whose backend has stalled.
+// memory that all of them share. Buffers no more of a response than its flow may hold, and ends one whose
+// backend has stalled.
 #pragma once
 
 #include <memory>
