--- a/src/node/backend_connection.cpp
+++ b/src/node/backend_connection.cpp
@@ -13,8 +13,9 @@
 namespace shorelead::node {
 namespace {
 
-constexpr double kHoldBegun = 0.7;   // of an attempt's time, for which an answer of unknown length is kept
-constexpr Millis kLookAtBody = 250;  // how often a request's body that goes out is looked after
+// Of an attempt's time, during which a response of unknown length is buffered.
+constexpr double kHoldBegun = 0.7;
+constexpr Millis kLookAtBody = 250;  // how often the progress of a request body is checked
 
 }  // namespace
 
@@ -26,8 +27,9 @@
       opened_at(owner.loop_.now()),
       stream(owner.loop_, *this, address) {}
 
-// What was decided in time may have waited for its connection since. The client is looked at last: between
-// that and the write no clock is read, behind which this process may be held up. So is the connection.
+// Checks again at the moment of writing, as the attempt may have waited for its connection since it was
+// decided. The client's state is read last: no clock is read between that and the write, where the process
+// may be paused.
 guard::Verdict Upstream::Connection::may_write(Millis now) const {
   if (job->probe) return {};
   guard::RequestState request;
@@ -36,16 +38,16 @@
   request.repeat_until = job->begin_by;
   request.attempts = job->attempt;
   request.most_attempts = job->attempt + 1;
-  request.parallel = true;  // as far as the connection knows
+  request.parallel = true;  // the connection cannot tell; the policy has checked it
   request.out = owner.others_out(*this);
-  // Of two attempts only one can have a body that comes by parts.
+  // A streamed body can be read only once, so only one attempt can have it.
   const auto& flow = job->message->flow;
   request.body_taken = flow && (flow->touched() || flow->has_sink());
   owner.listener_.describe(job->request, backend, now, request, there);
   return guard::may_write(request, there, now);
 }
 
-// Not from within the caller, who is still busy with what it had decided.
+// Deferred, as the caller may be in the middle of carrying out its own decision.
 void Upstream::Connection::end_unsent(Ending ending) {
   owner.loop_.later([hold = shared_from_this(), serial = job->serial, ending] {
     if (hold->job && hold->job->serial == serial) hold->owner.finish(*hold, ending, nullptr, false);
@@ -56,8 +58,8 @@
   if (!stream.connected()) return std::min({job->until, job->begin_by, job->connect_by, job->connect_again});
   if (sending_body()) return std::min(std::max(job->until, owner.loop_.now() + kLookAtBody), job->begin_by);
   if (!written()) return std::min(job->until, job->begin_by);
-  // Kept for most of the attempt's time, as a short answer is better whole: until then it can still be
-  // another's.
+  // A short response is better forwarded whole, and while it is buffered another attempt can still win; so it
+  // is buffered for most of the attempt's time.
   return job->begun ? job->started + kHoldBegun * (job->until - job->started) : job->until;
 }
 
@@ -81,8 +83,8 @@
     if (recorder != nullptr) recorder->attempt_denied(job->request, job->attempt, verdict.reason);
     return end_unsent(Ending::kStoppedUnsent);
   }
-  // An end, or bytes, that lie there already came before the request: so it cannot have run, and has no
-  // answer.
+  // Input or an end of stream that arrived before the request is no response to it, and proves that it did
+  // not run.
   if (!stream.quiet()) {
     if (recorder != nullptr && !job->probe)
       recorder->attempt_denied(job->request, job->attempt, guard::Reason::kInputUnread);
@@ -97,14 +99,15 @@
   note_written();
 }
 
-// ---- a request's body that comes by parts ----
+// ---- streamed request body ----
 
 void Upstream::Connection::begin_body() {
   body = job->message->flow;
   stream.bound_send_buffer();
   body->set_sink({[this] { send_body(); },
                   [this] {
-                    // Its client left, or spoilt it: what the backend has is not whole, so it cannot run.
+                    // The client closed or sent a malformed body: the backend has only part of the request
+                    // and cannot run it.
                     if (job) end_unsent(Ending::kStoppedUnsent);
                   }});
   body_moved = owner.loop_.now();
@@ -120,9 +123,9 @@
   if (last && body_moved >= job->begin_by) return end_unsent(Ending::kStoppedUnsent);
   body_sent = last;
   stream.send(net::FramedPart(part, !body->length(), last).pieces());
-  // While a request's body comes, its time stands: from the last byte on the attempt has as long as it was
-  // given. What is told of its length is the backend's time: were the client's with its body in it, every
-  // backend would look slow, and requests be refused for it.
+  // The attempt's time does not run while the body is being sent: it starts with the last byte. The elapsed
+  // time reported is therefore the backend's own; with the client's upload time in it every backend would
+  // look slow, and requests would be refused for it.
   if (last) job->until = body_moved + std::max(job->until - std::exchange(job->started, body_moved), 1.0);
   note_written();
   if (last) owner.watch(*this);
@@ -134,7 +137,7 @@
   body_sent = false;
 }
 
-// Counts the attempt at hand once its last byte is written.
+// Counts the attempt once its last byte is written.
 void Upstream::Connection::note_written() {
   if (!job || job->probe || job->counted || !written()) return;
   job->counted = true;
@@ -155,9 +158,9 @@
   owner.watch(*this);
 }
 
-// ---- an answer that goes on coming while it is passed on ----
+// ---- streamed response ----
 
-// Whether more is to come, or it has ended; tells the flow.
+// Forwards what has arrived of the response and ends the flow with it.
 void Upstream::Connection::flow_on() {
   const std::shared_ptr<Connection> hold = shared_from_this();
   moved_at = owner.loop_.now();
@@ -165,7 +168,7 @@
   const Parser::State state = answer.parser.advance(answer.raw);
   const std::shared_ptr<net::Flow> flow = answer_flow;
   if (state != Parser::State::kBad) flow->put(answer.parser.take_body(answer.raw));
-  if (!answer_flow) return;  // nobody wants it any more
+  if (!answer_flow) return;  // the client has closed
   if (state == Parser::State::kBad) return end_flow(false);
   if (state == Parser::State::kDone) return end_flow(true);
   if (flow->full()) stream.want_input(false);
@@ -189,10 +192,12 @@
 
 void Upstream::Connection::on_input(Stream&) {
   if (answer_flow) return flow_on();
-  if (!job) return owner.connections_->forget(*this, Ending::kUnasked);  // never to be used again
+  if (!job)
+    // A connection with unsolicited input is never reused.
+    return owner.connections_->forget(*this, Ending::kUnasked);
   answer.raw = std::exchange(stream.input(), {});
   Parser::State state = answer.parser.advance(answer.raw);
-  // Interim answers, however many: the final one follows. But nobody asked for another protocol.
+  // Skips interim responses; the final one follows. A switch of protocols was not asked for.
   while (state == Parser::State::kDone && answer.head().status < 200 && answer.head().status != 101) {
     answer.raw.erase(0, answer.parser.size());
     answer.parser.reset();
@@ -201,20 +206,20 @@
   if (state == Parser::State::kBad) return owner.finish(*this, Ending::kMalformed, nullptr, false);
   const int status = answer.head().status;
   if (state == Parser::State::kBody && answer.parser.large()) {
-    // Of any but a 200 the rest does not matter.
+    // The body of a response other than 200 is not forwarded.
     if (status != 200 || job->probe) return owner.finish(*this, judge(status), nullptr, false);
     return owner.pass_on(*this);
   }
   if (state != Parser::State::kDone) {
     stream.input() = std::move(answer.raw);
-    // Of unknown length, and it may be a long one: its first bytes must not wait until much of it is here.
+    // Of unknown length and possibly long: its first bytes must not wait for the rest.
     if (state == Parser::State::kBody && status == 200 && !job->probe && !answer.parser.length() &&
         written() && !std::exchange(job->begun, true))
       owner.watch(*this);
     return;
   }
   if (status == 101) return owner.finish(*this, Ending::kMalformed, nullptr, false);
-  // Bytes beyond the answer leave it open what the next one would be.
+  // Bytes after the response would be taken for the start of the next one, so the connection is not reused.
   const bool keep = answer.head().keep_alive && answer.raw.size() == answer.parser.size() && written();
   owner.finish(*this, judge(status), &answer, keep);
 }
@@ -238,7 +243,7 @@
   return away ? Ending::kTurnedAway : Ending::kErred;
 }
 
-// The stream is closed by now, so what was written is as it was before.
+// The stream is closed by now; written() still tells what was written before.
 Ending Upstream::Connection::broken(Ending ending) const {
   if (ending == Ending::kRefused || ending == Ending::kNoDescriptor) return ending;
   return written() ? Ending::kBroken : Ending::kBrokenUnsent;
--- a/src/node/backend_connection.h
+++ b/src/node/backend_connection.h
@@ -1,6 +1,5 @@
-// One connection to a backend, with what is under way on it: the request as it goes out, and the answer as it
-// comes. It owns the connection and both. It must never choose what it carries, nor write it once it may not
-// be.
+// One connection to a backend and the job that it carries: the request being written and the response being
+// read. It writes a request only if the guard allows it at that moment.
 #pragma once
 
 #include <cstdint>
@@ -16,43 +15,43 @@
 
 constexpr Millis kNever = std::numeric_limits<Millis>::infinity();
 
-// One attempt or probe under way.
+// An attempt or a probe.
 struct Upstream::Job {
   bool probe = false;
   RequestId request = 0;
   int attempt = 0;
   Millis started = 0;
   Millis until = 0;
-  Millis begin_by = kNever;       // its last byte is not to go out from then on
-  Millis connect_by = kNever;     // nor is its connection waited for
-  Millis connecting = 0;          // since then
-  Millis connect_again = kNever;  // where this machine could not begin it
-  int connect_tries = 0;          // that failed so
+  Millis begin_by = kNever;       // the last byte must be written before then
+  Millis connect_by = kNever;     // the connection must be established by then
+  Millis connecting = 0;          // when the connect began
+  Millis connect_again = kNever;  // when to retry a connect that failed locally
+  int connect_tries = 0;          // connects in a row that failed locally
   std::shared_ptr<const Message> message;
   Loop::TimerId limit = 0;
   std::uint64_t serial = 0;
-  bool counted = false;  // among the attempts written whole
-  bool begun = false;    // an answer of unknown length is coming
+  bool counted = false;  // in Upstream::written_
+  bool begun = false;    // a response of unknown length has begun
 };
 
-// One connection to a backend, with the job that it carries, if any, and its answer as far as it has come.
+// One connection to a backend, its job if it carries one, and the response received so far.
 class Upstream::Connection : public Stream::Handler, public std::enable_shared_from_this<Connection> {
  public:
   Connection(Upstream& owner, BackendId backend, std::string dial,
              const std::optional<Poco::Net::SocketAddress>& address);
 
   bool idle() const { return stream.open() && job == nullptr && answer_flow == nullptr; }
-  // Whether the backend can have begun what this connection carries.
+  // Whether the whole request was written, so that the backend may have begun to process it.
   bool written() const { return asked && stream.flushed() && !sending_body(); }
 
-  // Writes it, unless it may not be, or something lies there unread: then the attempt ends as `if_not_quiet`.
+  // Writes the request if the guard allows it. If unread input is pending the job ends as `if_not_quiet`.
   void write_request(Ending if_not_quiet);
-  // A request's body that comes by parts is still going out.
+  // A streamed request body is still being sent.
   bool sending_body() const { return body && !body_sent; }
   void leave_body();
-  // When the job at hand is to be looked at, unless it has come further by then.
+  // When the job's timer next expires, unless the job makes progress first.
   Millis limit() const;
-  // No more of the answer that is being passed on will come, or is wanted.
+  // Ends the forwarding of a response: `whole`, or cut short by either side.
   void end_flow(bool whole);
 
   void on_connected(Stream&) override;
@@ -66,20 +65,20 @@
   const Millis opened_at;
   Stream stream;
   std::unique_ptr<Job> job;
-  std::shared_ptr<net::Flow> body;  // of the request at hand, if it comes by parts
-  bool body_sent = false;           // and its last byte was handed to the stream
+  std::shared_ptr<net::Flow> body;  // of the current request, if it is streamed
+  bool body_sent = false;           // its last part was passed to the stream
   Millis body_moved = 0;
-  std::shared_ptr<net::Flow> answer_flow;  // the answer is being passed on
-  bool clean = false;                      // the request before it was written whole
-  Millis moved_at = 0;                     // when some of it last came
-  bool asked = false;                      // the request of this job was handed to the stream
-  bool opened_for_probe = false;           // and it carries that probe still
-  bool withdrawn = false;  // not to be kept: its backend was withdrawn, and its number may go to another
+  std::shared_ptr<net::Flow> answer_flow;  // set while the response is being forwarded
+  bool clean = false;                      // the forwarded response's request was written whole
+  Millis moved_at = 0;                     // when a part of the forwarded response last arrived
+  bool asked = false;                      // the job's request was passed to the stream
+  bool opened_for_probe = false;           // and still carries that probe
+  bool withdrawn = false;                  // not to be reused: its backend was withdrawn or restarted
   Message answer{Parser::Kind::kResponse};
   Millis unused_since = 0;
-  Millis settled_at = 0;  // till then a second answer to its last attempt may come
-  std::optional<std::list<Connection*>::iterator> unused;  // its place among them
-  Millis age = 0;                                          // for how long it had stood unused before this job
+  Millis settled_at = 0;  // until then a duplicate response to the last attempt may arrive
+  std::optional<std::list<Connection*>::iterator> unused;  // position in the list of idle connections
+  Millis age = 0;                                          // how long it was idle before the current job
 
  private:
   guard::Verdict may_write(Millis now) const;
--- a/src/node/connecting.cpp
+++ b/src/node/connecting.cpp
@@ -9,7 +9,7 @@
   if (!connection.stream.open()) not_begun(connection);
 }
 
-// A connection that does not come up leaves time for another backend, as nothing can have run.
+// Sets the connect deadline. A connect that times out leaves time for another backend, as nothing was sent.
 void Upstream::Connecting::on_its_way(Connection& connection) {
   Job& job = *connection.job;
   job.connecting = owner_.loop_.now();
@@ -18,14 +18,14 @@
   if (connection.stream.open()) local_failures_.began(connection.backend, job.connecting);
 }
 
-// Where that was this machine's trouble, which passes, it is tried again: nobody has heard of it yet.
+// A local failure is usually brief, and no backend has seen the request yet: the connect is retried.
 void Upstream::Connecting::not_begun(Connection& connection) {
   Job& job = *connection.job;
   if (connection.stream.failure() == Ending::kLocalFailure && !job.probe) {
     job.connect_again = owner_.loop_.now() + LocalFailures::wait(++job.connect_tries);
     return;
   }
-  // Not from within the caller, who is still busy with what it had decided.
+  // Deferred, as the caller may be in the middle of carrying out its own decision.
   owner_.loop_.later([&owner = owner_, hold = connection.shared_from_this(), serial = job.serial] {
     if (hold->job && hold->job->serial == serial) owner.finish(*hold, hold->stream.failure(), nullptr, false);
   });
--- a/src/node/connecting.h
+++ b/src/node/connecting.h
@@ -1,5 +1,5 @@
-// How connections to backends come up: for how long one is waited for, and what becomes of one that this
-// machine could not begin. Owns what was learnt of both; it must never write a request.
+// Establishes connections to backends: applies the connect timeout and retries connects that failed for a
+// local cause, such as no free port. Owns the statistics for both; it writes no requests.
 #pragma once
 
 #include "node/backend_connection.h"
@@ -13,12 +13,12 @@
   explicit Connecting(Upstream& owner) : owner_(owner), wait_(kUntold) {}
 
   void adopt(Millis connect_timeout) { wait_.state(connect_timeout > 0 ? connect_timeout : kUntold); }
-  // A connection whose connection was begun just now, or could not be.
+  // Called once the stream's connect has begun or failed to begin.
   void start(Connection& connection);
-  // One whose time for that, or for another try, has come.
+  // Called when the connect timeout or the delay before a retry has expired.
   void look_after(Connection& connection);
   void came_up(const Connection& connection);
-  // Nothing is known of this backend any more; its number may go to another.
+  // Drops what is known of a backend; its number may be reused for another.
   void forget(BackendId backend);
 
  private:
@@ -26,7 +26,7 @@
   void not_begun(Connection& connection);
   void try_again(Connection& connection);
 
-  static constexpr Millis kUntold = 1000;  // where the settings do not tell how long to wait for a connection
+  static constexpr Millis kUntold = 1000;  // used where the settings give no connect timeout
 
   Upstream& owner_;
   ConnectWait wait_;
--- a/src/node/connection_statistics.cpp
+++ b/src/node/connection_statistics.cpp
@@ -10,16 +10,17 @@
 namespace shorelead::node {
 namespace {
 
-constexpr double kConnectTimes = 10;     // the median that connections took, after which one is given up,
-constexpr Millis kConnectLeast = 20;     // but not sooner than a busy machine may take
-constexpr double kMedianStep = 1.1;      // by which one of them moves the median
-constexpr Millis kConnectTiniest = 0.1;  // and how low
-constexpr double kMostLoad = 1e5;        // in any figure of a load report: no machine has so many in hand
-constexpr Millis kYoung = 25;            // unused for less, a connection is as good as in use
-constexpr double kBrokeGain = 0.1;       // weight of one request
-constexpr double kBrokeMore = 0.2;       // share broken, on top of
-constexpr double kBrokeTimes = 2;    // this multiple of the share on young ones, from which an age is unfit
-constexpr Millis kUnfitFor = 10000;  // after which it is tried again
+constexpr double kConnectTimes = 10;  // a connect is given up after this multiple of the median connect time,
+constexpr Millis kConnectLeast = 20;  // but not before a busy machine could answer
+constexpr double kMedianStep = 1.1;   // factor by which one connect moves the median
+constexpr Millis kConnectTiniest = 0.1;  // lower bound of the median
+// Largest accepted value in a load report; no machine has more requests in progress.
+constexpr double kMostLoad = 1e5;
+constexpr Millis kYoung = 25;        // a connection idle for less counts as in use
+constexpr double kBrokeGain = 0.1;   // weight of one request in the failure rate
+constexpr double kBrokeMore = 0.2;   // failure rate that makes an idle time unusable, in addition to
+constexpr double kBrokeTimes = 2;    // this multiple of the rate on recently used connections
+constexpr Millis kUnfitFor = 10000;  // how long an idle time stays unusable
 
 }  // namespace
 
@@ -42,8 +43,8 @@
         std::find_if(kNames.begin(), kNames.end(),
                      [name = trim(pair.substr(0, equals))](const auto& n) { return n.first == name; });
     if (named == kNames.end() || equals == pair.size()) continue;
-    // A report that is wrong in one figure is not to be believed in the others; and one huge figure would
-    // outweigh all that is known of a fleet for hours.
+    // A report with one invalid value is rejected as a whole. One huge value would outweigh everything known
+    // of the fleet for hours.
     const std::optional<double> value = parse_decimal(trim(pair.substr(equals + 1)));
     if (!value || *value < 0 || *value > kMostLoad) return std::nullopt;
     report.*(named->second) = *value;
@@ -62,7 +63,7 @@
   const std::size_t n = slot(age);
   Slot& at = slots_[n];
   at.broke += kBrokeGain * ((broke ? 1 : 0) - at.broke);
-  // Compared with connections just used: where those break as well, age is not the cause.
+  // Compared with recently used connections: if those fail as often, idle time is not the cause.
   if (n == 0 || at.broke <= kBrokeMore + kBrokeTimes * slots_[0].broke) return;
   at.unfit_until = now + kUnfitFor;
   at.broke = 0;
@@ -91,9 +92,7 @@
   }
 }
 
-// Where more than half are given up it is the path that has become slow, and the median follows.
+// If more than half of the connects time out, the network path has become slow, and the median rises with it.
 void ConnectWait::gave_up() { median_ = std::min(most_, median_ * kMedianStep); }
 
-// One attempt or probe under way.
-
 }  // namespace shorelead::node
--- a/src/node/connection_statistics.h
+++ b/src/node/connection_statistics.h
@@ -1,5 +1,5 @@
-// What connections to backends teach: for how long unused ones are good, how long a new one may take to come
-// up, and what load an answer reports. Pure: it must never touch a connection.
+// Statistics of connections to backends: how long an idle one stays usable, how long a connect may take, and
+// the parser of the load report in a response. Pure; it performs no I/O.
 #pragma once
 
 #include <array>
@@ -14,29 +14,29 @@
 
 std::optional<LoadReport> parse_load(std::string_view text);
 
-// For how long a connection that stands unused is good, learned from what became of the requests on them:
-// backends, or what lies between, may close them well before the stated time, and the word of it comes late.
-// A request written then ends as one that may have run.
+// Learns from the outcomes of requests how long an idle connection stays usable. Backends, or middleboxes,
+// may drop idle connections well before the stated idle timeout without notice. A request written on such a
+// connection fails as one that may have been processed, so it cannot be retried freely.
 class KeptRecord {
  public:
-  // Of a request on a connection unused for `age` before it (0 for a new one): whether it broke with no
-  // answer.
+  // Records a request on a connection that was idle for `age` (0 for a new one), and whether it failed
+  // without any response.
   void note(Millis age, bool broke, Millis now);
   bool fit(Millis age, Millis now) const;
 
  private:
   struct Slot {
-    double broke = 0;  // share of late
+    double broke = 0;  // share of recent requests
     Millis unfit_until = 0;
   };
   static std::size_t slot(Millis age);
-  std::array<Slot, 16> slots_;  // by age: under 25 ms, under 50 ms, under 100 ms, ...
+  std::array<Slot, 16> slots_;  // by idle time: under 25 ms, under 50 ms, under 100 ms, ...
 };
 
-// How long a connection may take to come up, learned from those that did: one towards a machine that was lost
-// says nothing at all, and a request that waits for it until its own time is up has none left for another
-// backend, though nothing can have run. Never over the stated time; a probe always gets that, and tells which
-// backends are farther away than the others.
+// Learns from successful connects how long one may take. A connect to a lost machine gets no reply, and a
+// request that waits for it until its own deadline has no time left for another backend, although nothing can
+// have run. The timeout never exceeds the configured one. Probes always get the configured timeout, and so
+// find out which backends are farther away than the others.
 class ConnectWait {
  public:
   explicit ConnectWait(Millis most) : most_(most) {}
@@ -44,14 +44,14 @@
 
   Millis limit(BackendId backend, bool probe) const;
   void came_up(BackendId backend, Millis took);
-  void gave_up();                                          // before the stated time
-  void forget(BackendId backend) { far_.erase(backend); }  // its number may go to another
+  void gave_up();                                          // before the configured timeout
+  void forget(BackendId backend) { far_.erase(backend); }  // its number may be reused for another
 
  private:
   Millis common() const;
 
   Millis most_;
-  Millis median_ = 0;  // moved a little by each; 0 = none came up yet
+  Millis median_ = 0;  // adjusted by a step per connect; 0 = no connect succeeded yet
   std::unordered_set<BackendId> far_;
 };
 
--- a/src/node/connections.cpp
+++ b/src/node/connections.cpp
@@ -8,10 +8,11 @@
 namespace shorelead::node {
 namespace {
 
-constexpr double kIdleShare = 0.5;        // of the time after which a backend may close: we close before it
-constexpr Millis kIdleUntold = 10000;     // where the settings do not tell that time
-constexpr std::size_t kMostIdle = 32;     // connections kept for one backend
-constexpr std::size_t kMostSettling = 8;  // of them, those held back until they have settled
+constexpr double kIdleShare = 0.5;     // of the backend's idle timeout, so that this side closes first
+constexpr Millis kIdleUntold = 10000;  // used where the settings give no idle timeout
+constexpr std::size_t kMostIdle = 32;  // per backend
+// Per backend; beyond this many, one is reused before it has settled.
+constexpr std::size_t kMostSettling = 8;
 
 }  // namespace
 
@@ -26,10 +27,10 @@
   if (recorder_ != nullptr) recorder_->backend_opened(connection->backend);
 }
 
-// The one used last first, so that those beyond need grow old and go. Guards against a second answer that
-// comes some milliseconds after the first: it would be passed on as that to the next request; of a probe it
-// would only be a wrong report. Where many settle, as at a backend that is asked hundreds of times a second,
-// the one that has for longest will do.
+// Prefers the most recently used, so that surplus connections age and are closed. An attempt gets only a
+// settled connection: a duplicate response that arrives some milliseconds after the first would be taken for
+// the response to the next request (for a probe that would only be a wrong load report). When many are
+// settling, as at a backend with hundreds of requests a second, the one that will settle first is used.
 std::shared_ptr<Upstream::Connection> Upstream::Connections::best_idle(
     const std::vector<std::shared_ptr<Connection>>& pool, bool probe) const {
   std::shared_ptr<Connection> best;
@@ -61,7 +62,7 @@
     state.idle = age;
     state.most_idle = kept_.fit(age, now) ? most_idle_ : 0;
     state.address_holds = best->dial == dial;
-    // An end that has come in but was not read yet would make of this request one that may have run.
+    // An unread end of stream would make the next request count as possibly processed.
     state.unread = !best->stream.quiet();
     const guard::Verdict verdict = guard::may_reuse(state);
     if (verdict) return best;
@@ -93,7 +94,8 @@
   return unused_.empty() ? 0 : unused_.front()->unused_since;
 }
 
-// Closes a connection; it is freed once the handler at hand, which may be its own, is done.
+// Closes a connection. It is destroyed after the current handler returns, as that may be the connection's
+// own.
 void Upstream::Connections::forget(Connection& connection, Ending why) {
   const std::shared_ptr<Connection> hold = connection.shared_from_this();
   use(connection);
--- a/src/node/connections.h
+++ b/src/node/connections.h
@@ -1,5 +1,5 @@
-// All connections to backends, by backend, and those of them that stand unused, by age. It owns them. It must
-// never hand out one that is too old, whose backend has ended it, or on which something came unasked.
+// All connections to backends, indexed by backend, and the idle ones ordered by how long they have been idle.
+// Owns the connections. It never reuses one that is too old, was closed by its backend or holds unread input.
 #pragma once
 
 #include <list>
@@ -20,10 +20,10 @@
 
   void add(const std::shared_ptr<Connection>& connection);
   std::shared_ptr<Connection> take_idle(BackendId backend, const std::string& dial, bool probe);
-  void rest(Connection& connection, bool settles);  // it stands unused from now on
-  void use(Connection& connection);                 // and no longer
+  void rest(Connection& connection, bool settles);  // becomes idle
+  void use(Connection& connection);                 // no longer idle
   void forget(Connection& connection, Ending why);
-  // What became of a request on one that had stood unused for `age`.
+  // Records whether a request failed on a connection that had been idle for `age`.
   void note(Millis age, bool broke) { kept_.note(age, broke, loop_.now()); }
   bool evict_idle();
   Millis unused_since() const;
@@ -42,9 +42,9 @@
   Recorder* const recorder_;
   Millis most_idle_ = 0;
   Millis settle_ = 0;
-  // No event walks all connections: they are found by backend and by age.
+  // Indexed so that no event has to scan all connections.
   std::unordered_map<BackendId, std::vector<std::shared_ptr<Connection>>> pools_;
-  std::list<Connection*> unused_;  // the longest unused first
+  std::list<Connection*> unused_;  // the longest idle first
   std::size_t count_ = 0;
   KeptRecord kept_;
 };
--- a/src/node/local_failures.h
+++ b/src/node/local_failures.h
@@ -1,7 +1,6 @@
-// Connections that this machine could not begin, for want of a port, a route, memory or a descriptor. Says
-// when one is tried again, and what it ends as where it never could be. Pure: it must never touch a
-// connection. Such trouble passes, and says nothing about a backend unless it is met on the way to that one
-// alone.
+// Connects that failed for a local cause: no free port, no route, no memory or no descriptor. Tells when to
+// retry one and how it ends if it never succeeds. Such causes usually pass, and say nothing about a backend
+// unless only connects to that backend fail. Pure; it performs no I/O.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +13,7 @@
 
 class LocalFailures {
  public:
-  // The wait before another try, `tries` having failed in a row: none at first, then ever longer.
+  // The delay before the next connect after `tries` failures in a row: 0 after the first, then growing.
   static Millis wait(int tries) {
     return tries <= 1
                ? 0
@@ -25,14 +24,14 @@
     last_began_ = now;
     given_up_.erase(backend);
   }
-  // One was given up that could not be begun since `since`. Where this happens time and again while other
-  // connections are begun, no way leads to that backend.
+  // Called when a connect that has failed locally since `since` is given up. Returns kRefused if this happens
+  // repeatedly for one backend while other connects begin: then there is no route to it.
   net::Ending gave_up(BackendId backend, Millis since) {
     const bool others_begin = last_began_ > since;
     if (++given_up_[backend] < kNoWay || !others_begin) return net::Ending::kLocalFailure;
     return net::Ending::kRefused;
   }
-  void forget(BackendId backend) { given_up_.erase(backend); }  // its number may go to another
+  void forget(BackendId backend) { given_up_.erase(backend); }  // its number may be reused for another
 
  private:
   static constexpr Millis kFirst = 1;
@@ -40,7 +39,7 @@
   static constexpr int kMostDoubled = 2;
   static constexpr int kNoWay = 3;  // in a row
 
-  std::unordered_map<BackendId, int> given_up_;  // in a row, where there are any
+  std::unordered_map<BackendId, int> given_up_;  // failures in a row, for backends with any
   Millis last_began_ = 0;
 };
 
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -13,10 +13,12 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kProbeWait = 250;  // a probe unanswered by then tells nothing any more
+constexpr Millis kProbeWait = 250;  // a load report this old is of no use
 constexpr Millis kSweepEvery = 1000;
-constexpr int kReadsAtLimit = 8;  // of what lies there when a time is up: a whole answer, and its head
-constexpr Millis kBodyStandstill = 5000;  // for which a backend may take none of a request's body
+// Reads of pending input when a deadline passes: enough for a whole response.
+constexpr int kReadsAtLimit = 8;
+// After which a backend that takes none of a request's body is given up.
+constexpr Millis kBodyStandstill = 5000;
 
 }  // namespace
 
@@ -86,14 +88,15 @@
   connection->age = reused ? loop_.now() - connection->unused_since : 0;
   if (reused) {
     connection->write_request(
-        Ending::kStoppedUnsent);  // what befell a kept connection says nothing of its backend
+        // A failure of a reused connection says nothing about its backend.
+        Ending::kStoppedUnsent);
     return watch(*connection);
   }
   connecting_->start(*connection);
   if (connection->job) watch(*connection);
 }
 
-// Sets the one timer of what is under way there.
+// Sets the single timer of the job that this connection carries.
 void Upstream::watch(Connection& connection) {
   loop_.cancel(connection.job->limit);
   connection.job->limit = loop_.at(
@@ -102,8 +105,8 @@
       });
 }
 
-// Guards against calling an answer late that lies there to be read: after a time in which this node got no
-// processor, what came in and what fell due are found together, in any order.
+// Reads pending input before a deadline counts as missed. When this process was not scheduled for a while,
+// the response and the expired timer are delivered together, in any order. Returns whether the job ended.
 bool Upstream::over_by_now(Connection& connection) {
   const std::uint64_t serial = connection.job->serial;
   const auto over = [&] { return !connection.job || connection.job->serial != serial; };
@@ -128,7 +131,7 @@
     const bool stuck = !connection.stream.flushed() && now - connection.body_moved >= kBodyStandstill;
     if (!stuck && !too_late) return watch(connection);
   } else if (now < connection.limit()) {
-    return watch(connection);  // it has come further
+    return watch(connection);  // the deadline has moved since the timer was set
   } else if (!connection.stream.connected()) {
     return connecting_->look_after(connection);
   } else if (connection.written() && job.begun) {
@@ -138,13 +141,13 @@
   finish(connection, connection.written() ? Ending::kTimeout : Ending::kStoppedUnsent, nullptr, false);
 }
 
-// The answer at hand is long: from its first bytes on it goes to whoever asked, and the attempt is over.
+// Starts forwarding a long response from its first bytes on; with that the attempt is over.
 void Upstream::pass_on(Connection& connection) {
   const std::shared_ptr<Connection> hold = connection.shared_from_this();
   if (!streamed_responses_->begin(connection)) return finish(connection, Ending::kErred, nullptr, false);
   finish(connection, Ending::kServed, &connection.answer, false);
   if (connection.answer_flow && !connection.answer_flow->has_sink())
-    connection.end_flow(false);  // its request had been answered before
+    connection.end_flow(false);  // the request already has another response
 }
 
 void Upstream::finish(Connection& connection, Ending ending, const Message* answer, bool keep) {
@@ -171,17 +174,19 @@
     working_.erase(
         std::find_if(first, last, [&connection](const auto& one) { return one.second == &connection; }));
   }
-  const std::shared_ptr<Connection> hold = connection.shared_from_this();  // the answer is the connection's
+  // Keeps `answer` alive, which the connection owns.
+  const std::shared_ptr<Connection> hold = connection.shared_from_this();
   if (connection.answer_flow) {
-    // Goes on carrying it.
+    // The connection is still receiving the response.
   } else if (keep && !connection.withdrawn && listener_.keep(job->probe)) {
     connections_->rest(connection, !job->probe);
   } else {
     connections_->forget(connection, connection.withdrawn ? Ending::kWithdrawn : ending);
   }
-  // Whoever is silent may have lost the connections kept to it as well: what is sent on them then would be
-  // reset later and might have run, while a new one that does not come up proves that nothing did. But one
-  // used since this attempt began shows that the backend is there, and only this answer was lost.
+  // A backend that did not answer in time may have lost the idle connections to it too: a request written on
+  // one would be reset later and count as possibly processed, while a failed connect proves that nothing was.
+  // A connection used since this attempt began shows that the backend is alive and only this response is
+  // missing.
   if (ending == Ending::kTimeout && !job->probe) {
     for (const auto& other : connections_->of({connection.backend})) {
       if (other->unused && other->unused_since < job->started) connections_->forget(*other, Ending::kTimeout);
@@ -210,7 +215,7 @@
     connection->withdrawn = true;
     if (connection->unused) connections_->forget(*connection, Ending::kWithdrawn);
   }
-  // What is told of one may end others.
+  // Reporting the end of one job may end others, so each is checked again.
   for (const auto& connection : found) {
     if (connection->job && !connection->asked) finish(*connection, Ending::kStoppedUnsent, nullptr, false);
   }
--- a/src/node/upstream.h
+++ b/src/node/upstream.h
@@ -1,6 +1,6 @@
-// The backends' side: attempts and probes under way on connections, and when each is over. It owns the
-// connections and the time limits of what is under way. It must never send anything twice, never hand out a
-// connection on which something came unasked, and never choose a backend.
+// Sends attempts and probes to backends over a pool of connections and reports how each ended. Owns the
+// connections and the timers of whatever they carry. It never resends a request, never reuses a connection
+// that received unsolicited bytes, and does not choose backends: the caller names one for each attempt.
 #pragma once
 
 #include <cstdint>
@@ -20,14 +20,14 @@
 
 class Recorder;
 
-// How an attempt or a probe ended; `answer` stands only during the call that tells it.
+// How an attempt or a probe ended. `answer` is valid only during the call that reports it.
 struct Result {
   Ending ending = Ending::kNotSent;
   Millis elapsed = 0;
   std::optional<LoadReport> load;
   const Message* answer = nullptr;
-  std::shared_ptr<net::Flow>
-      flow;  // the answer's body, where it goes on coming; whoever passes it on is its sink
+  // The response's body while it is still being received; whoever forwards it becomes the flow's sink.
+  std::shared_ptr<net::Flow> flow;
 };
 
 class Upstream {
@@ -35,50 +35,50 @@
   struct Listener {
     std::function<void(RequestId, int attempt, const Result&)> attempt_done;
     std::function<void(BackendId, const Result&)> probe_done;
-    // Whether a connection may be opened for an attempt or a probe; frees a descriptor where that is to be.
+    // Returns whether a connection may be opened for an attempt or a probe; evicts an idle one if needed.
     std::function<bool(bool probe)> make_room;
-    // Whether a connection is to be kept that carried one of the two.
+    // Returns whether a connection that carried an attempt or a probe may be kept for reuse.
     std::function<bool(bool probe)> keep;
-    // Adds what is known of a request and a backend to what the connection knows, for the guard: asked in the
-    // moment in which an attempt is to be written.
+    // Adds what the policy knows of the request and the backend to the state that the guard checks. Called
+    // immediately before an attempt is written.
     std::function<void(RequestId, BackendId, Millis now, guard::RequestState&, guard::BackendState&)>
         describe = [](RequestId, BackendId, Millis, guard::RequestState&, guard::BackendState&) {};
-    // Whether nothing new was to go to this backend by then, as the checker has it.
+    // Returns whether the checker has this backend as one that must receive nothing new at `now`.
     std::function<bool(BackendId, Millis now)> withdrawn = [](BackendId, Millis) { return false; };
     Recorder* recorder = nullptr;
   };
 
-  // `flows`: the memory for bodies that are not kept whole.
+  // `flows`: the memory budget shared by all bodies that are streamed instead of buffered.
   Upstream(Loop& loop, Millis connect_timeout, Millis idle_timeout, Millis settle,
            std::shared_ptr<net::FlowBudget> flows, Listener listener);
   ~Upstream();
 
-  // Times of new settings. A connection carries no attempt within `settle` of the answer to another.
+  // Applies reloaded settings. A connection carries no new attempt until `settle` ms after its last response.
   void adopt(Millis connect_timeout, Millis idle_timeout, Millis settle);
 
-  // Its last byte goes out before `begin_by`, or it ends as not sent.
+  // The request's last byte is written before `begin_by`, or the attempt ends as not sent.
   void send(RequestId request, int attempt, BackendId backend, const std::string& dial, Millis until,
             std::shared_ptr<const Message> message,
             Millis begin_by = std::numeric_limits<Millis>::infinity());
   void call_off(RequestId request, int attempt);
-  // The request is over: an attempt at it that waits for a connection is not to be written any more.
+  // The request is over: cancels its attempts that still wait for a connection.
   void stop_unsent(RequestId request);
   void probe(BackendId backend, const std::string& dial);
-  // Nothing new may go to these backends: ends what was not yet written and the connections kept.
+  // These backends must receive nothing new: ends unwritten attempts to them and closes idle connections.
   void withdraw(const std::vector<BackendId>& unwanted);
-  // It was started anew: connections kept to the process before are closed, and those in use not kept. Lists
-  // are late, so that there may be some to the new one already.
+  // The backend process was restarted at `started`: closes idle connections opened before then, and marks
+  // those in use as not reusable. Connections opened since may already lead to the new process, as lists
+  // arrive late.
   void restarted(BackendId backend, Millis started);
   void close_unused(const std::vector<BackendId>& backends);
-  bool evict_idle();            // closes the connection that was unused for longest
-  Millis unused_since() const;  // of that connection; 0 = there is none
+  bool evict_idle();            // closes the connection that has been idle for longest
+  Millis unused_since() const;  // when that connection became idle; 0 = none is idle
 
   std::size_t connections() const;
   std::size_t idle() const;
-  std::size_t probing() const {
-    return probing_;
-  }  // connections that now carry a probe and were opened for it
-  std::uint64_t written() const { return written_; }  // attempts, whole
+  // Connections that carry a probe and were opened for it.
+  std::size_t probing() const { return probing_; }
+  std::uint64_t written() const { return written_; }  // attempts whose last byte was written
   std::uint64_t opened() const { return opened_; }
   std::uint64_t reused() const { return reused_; }
 
@@ -91,8 +91,8 @@
 
   void begin(BackendId backend, const std::string& dial, std::unique_ptr<Job> job);
   bool over_by_now(Connection& connection);
-  int others_out(
-      const Connection& connection) const;  // attempts at the same request that were written and are out
+  // Other attempts at the same request that were written and have no response yet.
+  int others_out(const Connection& connection) const;
   void watch(Connection& connection);
   void limit(Connection& connection);
   void pass_on(Connection& connection);
@@ -104,7 +104,7 @@
   const std::unique_ptr<Connections> connections_;
   const std::unique_ptr<Connecting> connecting_;
   const std::unique_ptr<StreamedResponses> streamed_responses_;
-  std::unordered_multimap<RequestId, Connection*> working_;  // connections that carry an attempt, by request
+  std::unordered_multimap<RequestId, Connection*> working_;  // connections carrying an attempt, by request
   std::size_t probing_ = 0;
   Loop::TimerId sweep_ = 0;
   std::uint64_t last_serial_ = 0;
