--- a/src/node/backend_connection.cpp
+++ b/src/node/backend_connection.cpp
@@ -4,8 +4,8 @@
 #include <utility>
 #include <vector>
 
-#include "node/connecting.h"
 #include "node/connections.h"
+#include "node/connector.h"
 #include "node/recorder.h"
 #include "node/request_head.h"
 #include "node/streamed_responses.h"
@@ -13,9 +13,8 @@
 namespace shorelead::node {
 namespace {
 
-// Of an attempt's time, during which a response of unknown length is buffered.
-constexpr double kHoldBegun = 0.7;
-constexpr Millis kLookAtBody = 250;  // how often the progress of a request body is checked
+constexpr double kBufferingShare = 0.7;     // of an attempt's time, to buffer a response of unknown length
+constexpr Millis kBodyCheckInterval = 250;  // how often the progress of a request body is checked
 
 }  // namespace
 
@@ -27,9 +26,8 @@
       opened_at(owner.loop_.now()),
       stream(owner.loop_, *this, address) {}
 
-// Checks again at the moment of writing, as the attempt may have waited for its connection since it was
-// decided. The client's state is read last: no clock is read between that and the write, where the process
-// may be paused.
+// Checks at the moment of writing, as the attempt may have waited for its connection. The client's state is
+// read last: no clock is read between that and the write, as the process may be paused there.
 guard::Verdict Upstream::Connection::may_write(Millis now) const {
   if (job->probe) return {};
   guard::RequestState request;
@@ -39,7 +37,7 @@
   request.attempts = job->attempt;
   request.most_attempts = job->attempt + 1;
   request.parallel = true;  // the connection cannot tell; the policy has checked it
-  request.out = owner.others_out(*this);
+  request.out = owner.other_sent_attempts(*this);
   // A streamed body can be read only once, so only one attempt can have it.
   const auto& flow = job->message->flow;
   request.body_taken = flow && (flow->touched() || flow->has_sink());
@@ -54,19 +52,20 @@
   });
 }
 
-Millis Upstream::Connection::limit() const {
-  if (!stream.connected()) return std::min({job->until, job->begin_by, job->connect_by, job->connect_again});
-  if (sending_body()) return std::min(std::max(job->until, owner.loop_.now() + kLookAtBody), job->begin_by);
+Millis Upstream::Connection::next_check() const {
+  if (!stream.connected()) return std::min({job->until, job->begin_by, job->connect_by, job->retry_at});
+  if (sending_body())
+    return std::min(std::max(job->until, owner.loop_.now() + kBodyCheckInterval), job->begin_by);
   if (!written()) return std::min(job->until, job->begin_by);
   // A short response is better forwarded whole, and while it is buffered another attempt can still win; so it
   // is buffered for most of the attempt's time.
-  return job->begun ? job->started + kHoldBegun * (job->until - job->started) : job->until;
+  return job->response_begun ? job->started + kBufferingShare * (job->until - job->started) : job->until;
 }
 
-void Upstream::Connection::write_request(Ending if_not_quiet) {
+void Upstream::Connection::write_request(Ending if_unread) {
   const Millis now = owner.loop_.now();
   const Millis left = job->until - now;
-  answer = Message(Parser::Kind::kResponse, net::kAnyLength);
+  response = Message(Parser::Kind::kResponse, net::kAnyLength);
   std::vector<std::string_view> pieces;
   std::string own;
   if (job->probe) {
@@ -75,7 +74,7 @@
   } else {
     const Message& message = *job->message;
     request_head(message, left, own, pieces);
-    if (message.head().method.in(message.raw) == "HEAD") answer.parser.expect_no_body();
+    if (message.head().method.in(message.raw) == "HEAD") response.parser.expect_no_body();
     pieces.push_back(message.body());
   }
   Recorder* const recorder = owner.listener_.recorder;
@@ -83,34 +82,32 @@
     if (recorder != nullptr) recorder->attempt_denied(job->request, job->attempt, verdict.reason);
     return end_unsent(Ending::kStoppedUnsent);
   }
-  // Input or an end of stream that arrived before the request is no response to it, and proves that it did
-  // not run.
+  // Input that arrived before the request is no response to it, and proves that the request did not run.
   if (!stream.quiet()) {
     if (recorder != nullptr && !job->probe)
       recorder->attempt_denied(job->request, job->attempt, guard::Reason::kInputUnread);
-    return end_unsent(if_not_quiet);
+    return end_unsent(if_unread);
   }
   stream.send(pieces);
-  asked = true;
+  sent = true;
   if (recorder != nullptr && !job->probe)
     recorder->attempt_written(job->request, job->attempt, backend, owner.listener_.withdrawn(backend, now),
                               left, now);
-  if (!job->probe && job->message->flow) begin_body();
-  note_written();
+  if (!job->probe && job->message->flow) start_body();
+  count_if_written();
 }
 
 // ---- streamed request body ----
 
-void Upstream::Connection::begin_body() {
+void Upstream::Connection::start_body() {
   body = job->message->flow;
   stream.bound_send_buffer();
   body->set_sink({[this] { send_body(); },
                   [this] {
-                    // The client closed or sent a malformed body: the backend has only part of the request
-                    // and cannot run it.
+                    // The client closed or sent a malformed body, so the backend cannot run the request.
                     if (job) end_unsent(Ending::kStoppedUnsent);
                   }});
-  body_moved = owner.loop_.now();
+  body_progress = owner.loop_.now();
   send_body();
 }
 
@@ -119,26 +116,27 @@
   const std::string part = body->take();
   const bool last = body->ended() && body->empty();
   if (part.empty() && !last) return;
-  body_moved = owner.loop_.now();
-  if (last && body_moved >= job->begin_by) return end_unsent(Ending::kStoppedUnsent);
+  body_progress = owner.loop_.now();
+  if (last && body_progress >= job->begin_by) return end_unsent(Ending::kStoppedUnsent);
   body_sent = last;
   stream.send(net::FramedPart(part, !body->length(), last).pieces());
   // The attempt's time does not run while the body is being sent: it starts with the last byte. The elapsed
   // time reported is therefore the backend's own; with the client's upload time in it every backend would
   // look slow, and requests would be refused for it.
-  if (last) job->until = body_moved + std::max(job->until - std::exchange(job->started, body_moved), 1.0);
-  note_written();
-  if (last) owner.watch(*this);
+  if (last)
+    job->until = body_progress + std::max(job->until - std::exchange(job->started, body_progress), 1.0);
+  count_if_written();
+  if (last) owner.set_timer(*this);
 }
 
-void Upstream::Connection::leave_body() {
+void Upstream::Connection::detach_body() {
   if (body) body->clear_sink();
   body.reset();
   body_sent = false;
 }
 
 // Counts the attempt once its last byte is written.
-void Upstream::Connection::note_written() {
+void Upstream::Connection::count_if_written() {
   if (!job || job->probe || job->counted || !written()) return;
   job->counted = true;
   ++owner.written_;
@@ -147,104 +145,103 @@
 void Upstream::Connection::on_flushed(Stream&) {
   if (sending_body()) return send_body();
   if (!job) return;
-  note_written();
-  owner.watch(*this);
+  count_if_written();
+  owner.set_timer(*this);
 }
 
 void Upstream::Connection::on_connected(Stream&) {
   if (!job) return;
-  owner.connecting_->came_up(*this);
+  owner.connector_->connected(*this);
   write_request(Ending::kBrokenUnsent);
-  owner.watch(*this);
+  owner.set_timer(*this);
 }
 
 // ---- streamed response ----
 
 // Forwards what has arrived of the response and ends the flow with it.
-void Upstream::Connection::flow_on() {
+void Upstream::Connection::forward_response() {
   const std::shared_ptr<Connection> hold = shared_from_this();
-  moved_at = owner.loop_.now();
-  answer.raw += std::exchange(stream.input(), {});
-  const Parser::State state = answer.parser.advance(answer.raw);
-  const std::shared_ptr<net::Flow> flow = answer_flow;
-  if (state != Parser::State::kBad) flow->put(answer.parser.take_body(answer.raw));
-  if (!answer_flow) return;  // the client has closed
-  if (state == Parser::State::kBad) return end_flow(false);
-  if (state == Parser::State::kDone) return end_flow(true);
+  last_received = owner.loop_.now();
+  response.raw += std::exchange(stream.input(), {});
+  const Parser::State state = response.parser.advance(response.raw);
+  const std::shared_ptr<net::Flow> flow = response_flow;
+  if (state != Parser::State::kBad) flow->put(response.parser.take_body(response.raw));
+  if (!response_flow) return;  // the client has closed
+  if (state == Parser::State::kBad) return end_response_flow(false);
+  if (state == Parser::State::kDone) return end_response_flow(true);
   if (flow->full()) stream.want_input(false);
 }
 
-void Upstream::Connection::end_flow(bool whole) {
+void Upstream::Connection::end_response_flow(bool whole) {
   const std::shared_ptr<Connection> hold = shared_from_this();
-  const std::shared_ptr<net::Flow> flow = std::exchange(answer_flow, nullptr);
+  const std::shared_ptr<net::Flow> flow = std::exchange(response_flow, nullptr);
   flow->set_source({});
   owner.streamed_responses_->ended(*this);
-  const bool keep = whole && answer.head().keep_alive && answer.raw.size() == answer.parser.size() && clean &&
-                    !withdrawn && stream.open() && owner.listener_.keep(false);
+  const bool keep = whole && response.head().keep_alive && response.raw.size() == response.parser.size() &&
+                    request_complete && !withdrawn && stream.open() && owner.listener_.keep(false);
   if (keep) {
     stream.want_input(true);
-    owner.connections_->rest(*this, true);
+    owner.connections_->mark_idle(*this, true);
   } else {
-    owner.connections_->forget(*this, whole ? Ending::kDone : Ending::kBroken);
+    owner.connections_->close(*this, whole ? Ending::kDone : Ending::kBroken);
   }
   whole ? flow->end() : flow->cut();
 }
 
 void Upstream::Connection::on_input(Stream&) {
-  if (answer_flow) return flow_on();
-  if (!job)
-    // A connection with unsolicited input is never reused.
-    return owner.connections_->forget(*this, Ending::kUnasked);
-  answer.raw = std::exchange(stream.input(), {});
-  Parser::State state = answer.parser.advance(answer.raw);
+  if (response_flow) return forward_response();
+  if (!job) return owner.connections_->close(*this, Ending::kUnasked);  // never reused with input pending
+  response.raw = std::exchange(stream.input(), {});
+  Parser::State state = response.parser.advance(response.raw);
   // Skips interim responses; the final one follows. A switch of protocols was not asked for.
-  while (state == Parser::State::kDone && answer.head().status < 200 && answer.head().status != 101) {
-    answer.raw.erase(0, answer.parser.size());
-    answer.parser.reset();
-    state = answer.parser.advance(answer.raw);
+  while (state == Parser::State::kDone && response.head().status < 200 && response.head().status != 101) {
+    response.raw.erase(0, response.parser.size());
+    response.parser.reset();
+    state = response.parser.advance(response.raw);
   }
   if (state == Parser::State::kBad) return owner.finish(*this, Ending::kMalformed, nullptr, false);
-  const int status = answer.head().status;
-  if (state == Parser::State::kBody && answer.parser.large()) {
+  const int status = response.head().status;
+  if (state == Parser::State::kBody && response.parser.large()) {
     // The body of a response other than 200 is not forwarded.
-    if (status != 200 || job->probe) return owner.finish(*this, judge(status), nullptr, false);
-    return owner.pass_on(*this);
+    if (status != 200 || job->probe) return owner.finish(*this, ending_for_status(status), nullptr, false);
+    return owner.start_streaming(*this);
   }
   if (state != Parser::State::kDone) {
-    stream.input() = std::move(answer.raw);
+    stream.input() = std::move(response.raw);
     // Of unknown length and possibly long: its first bytes must not wait for the rest.
-    if (state == Parser::State::kBody && status == 200 && !job->probe && !answer.parser.length() &&
-        written() && !std::exchange(job->begun, true))
-      owner.watch(*this);
+    if (state == Parser::State::kBody && status == 200 && !job->probe && !response.parser.length() &&
+        written() && !std::exchange(job->response_begun, true))
+      owner.set_timer(*this);
     return;
   }
   if (status == 101) return owner.finish(*this, Ending::kMalformed, nullptr, false);
   // Bytes after the response would be taken for the start of the next one, so the connection is not reused.
-  const bool keep = answer.head().keep_alive && answer.raw.size() == answer.parser.size() && written();
-  owner.finish(*this, judge(status), &answer, keep);
+  const bool keep = response.head().keep_alive && response.raw.size() == response.parser.size() && written();
+  owner.finish(*this, ending_for_status(status), &response, keep);
 }
 
 void Upstream::Connection::on_end(Stream&, Ending ending) {
-  if (answer_flow) {
-    return end_flow(ending == Ending::kPeerClosed && answer.parser.finish() == Parser::State::kDone);
+  if (response_flow) {
+    return end_response_flow(ending == Ending::kPeerClosed &&
+                             response.parser.finish() == Parser::State::kDone);
   }
-  if (!job) return owner.connections_->forget(*this, ending);
-  answer.raw = std::move(stream.input());
-  if (ending == Ending::kPeerClosed && answer.parser.finish() == Parser::State::kDone) {
-    return owner.finish(*this, judge(answer.head().status), &answer, false);
+  if (!job) return owner.connections_->close(*this, ending);
+  response.raw = std::move(stream.input());
+  if (ending == Ending::kPeerClosed && response.parser.finish() == Parser::State::kDone) {
+    return owner.finish(*this, ending_for_status(response.head().status), &response, false);
   }
-  owner.finish(*this, broken(ending), nullptr, false);
+  owner.finish(*this, ending_for_break(ending), nullptr, false);
 }
 
-Ending Upstream::Connection::judge(int status) const {
+Ending Upstream::Connection::ending_for_status(int status) const {
   if (status == 200) return Ending::kServed;
-  const bool away =
-      job->probe ? status == 503 : (status == 503 || status == 504) && answer.value("x-not-processed") == "1";
+  const bool away = job->probe ? status == 503
+                               : (status == 503 || status == 504) && response.value("x-not-processed") == "1";
   return away ? Ending::kTurnedAway : Ending::kErred;
 }
 
 // The stream is closed by now; written() still tells what was written before.
-Ending Upstream::Connection::broken(Ending ending) const {
+Ending Upstream::Connection::ending_for_break(Ending ending) const {
   if (ending == Ending::kRefused || ending == Ending::kNoDescriptor) return ending;
   return written() ? Ending::kBroken : Ending::kBrokenUnsent;
 }
--- a/src/node/backend_connection.h
+++ b/src/node/backend_connection.h
@@ -22,16 +22,16 @@
   int attempt = 0;
   Millis started = 0;
   Millis until = 0;
-  Millis begin_by = kNever;       // the last byte must be written before then
-  Millis connect_by = kNever;     // the connection must be established by then
-  Millis connecting = 0;          // when the connect began
-  Millis connect_again = kNever;  // when to retry a connect that failed locally
-  int connect_tries = 0;          // connects in a row that failed locally
+  Millis begin_by = kNever;    // the last byte must be written before then
+  Millis connect_by = kNever;  // the connection must be established by then
+  Millis connect_started = 0;  // when the connect began
+  Millis retry_at = kNever;    // when to retry a connect that failed locally
+  int local_failures = 0;      // connects in a row that failed locally
   std::shared_ptr<const Message> message;
-  Loop::TimerId limit = 0;
+  Loop::TimerId timer = 0;
   std::uint64_t serial = 0;
-  bool counted = false;  // in Upstream::written_
-  bool begun = false;    // a response of unknown length has begun
+  bool counted = false;         // in Upstream::written_
+  bool response_begun = false;  // a response of unknown length has begun
 };
 
 // One connection to a backend, its job if it carries one, and the response received so far.
@@ -40,19 +40,19 @@
   Connection(Upstream& owner, BackendId backend, std::string dial,
              const std::optional<Poco::Net::SocketAddress>& address);
 
-  bool idle() const { return stream.open() && job == nullptr && answer_flow == nullptr; }
+  bool idle() const { return stream.open() && job == nullptr && response_flow == nullptr; }
   // Whether the whole request was written, so that the backend may have begun to process it.
-  bool written() const { return asked && stream.flushed() && !sending_body(); }
+  bool written() const { return sent && stream.flushed() && !sending_body(); }
 
   // Writes the request if the guard allows it. If unread input is pending the job ends as `if_not_quiet`.
-  void write_request(Ending if_not_quiet);
+  void write_request(Ending if_unread);
   // A streamed request body is still being sent.
   bool sending_body() const { return body && !body_sent; }
-  void leave_body();
+  void detach_body();
   // When the job's timer next expires, unless the job makes progress first.
-  Millis limit() const;
+  Millis next_check() const;
   // Ends the forwarding of a response: `whole`, or cut short by either side.
-  void end_flow(bool whole);
+  void end_response_flow(bool whole);
 
   void on_connected(Stream&) override;
   void on_input(Stream&) override;
@@ -67,28 +67,28 @@
   std::unique_ptr<Job> job;
   std::shared_ptr<net::Flow> body;  // of the current request, if it is streamed
   bool body_sent = false;           // its last part was passed to the stream
-  Millis body_moved = 0;
-  std::shared_ptr<net::Flow> answer_flow;  // set while the response is being forwarded
-  bool clean = false;                      // the forwarded response's request was written whole
-  Millis moved_at = 0;                     // when a part of the forwarded response last arrived
-  bool asked = false;                      // the job's request was passed to the stream
-  bool opened_for_probe = false;           // and still carries that probe
-  bool withdrawn = false;                  // not to be reused: its backend was withdrawn or restarted
-  Message answer{Parser::Kind::kResponse};
-  Millis unused_since = 0;
+  Millis body_progress = 0;
+  std::shared_ptr<net::Flow> response_flow;  // set while the response is being forwarded
+  bool request_complete = false;             // the forwarded response's request was written whole
+  Millis last_received = 0;                  // when a part of the forwarded response last arrived
+  bool sent = false;                         // the job's request was passed to the stream
+  bool opened_for_probe = false;             // and still carries that probe
+  bool withdrawn = false;                    // not to be reused: its backend was withdrawn or restarted
+  Message response{Parser::Kind::kResponse};
+  Millis idle_since = 0;
   Millis settled_at = 0;  // until then a duplicate response to the last attempt may arrive
-  std::optional<std::list<Connection*>::iterator> unused;  // position in the list of idle connections
-  Millis age = 0;                                          // how long it was idle before the current job
+  std::optional<std::list<Connection*>::iterator> idle_entry;  // position in the list of idle connections
+  Millis idle_before = 0;                                      // how long it was idle before the current job
 
  private:
   guard::Verdict may_write(Millis now) const;
   void end_unsent(Ending ending);
-  void begin_body();
+  void start_body();
   void send_body();
-  void note_written();
-  void flow_on();
-  Ending judge(int status) const;
-  Ending broken(Ending ending) const;
+  void count_if_written();
+  void forward_response();
+  Ending ending_for_status(int status) const;
+  Ending ending_for_break(Ending ending) const;
 };
 
 }  // namespace shorelead::node
--- a/src/node/connection_statistics.cpp
+++ b/src/node/connection_statistics.cpp
@@ -10,17 +10,17 @@
 namespace shorelead::node {
 namespace {
 
-constexpr double kConnectTimes = 10;  // a connect is given up after this multiple of the median connect time,
-constexpr Millis kConnectLeast = 20;  // but not before a busy machine could answer
-constexpr double kMedianStep = 1.1;   // factor by which one connect moves the median
-constexpr Millis kConnectTiniest = 0.1;  // lower bound of the median
+constexpr double kMedianMultiple = 10;  // of the median connect time, after which a connect is given up,
+constexpr Millis kMinTimeout = 20;      // but not before a busy machine could answer
+constexpr double kMedianStep = 1.1;     // factor by which one connect moves the median
+constexpr Millis kMinMedian = 0.1;      // lower bound of the median
 // Largest accepted value in a load report; no machine has more requests in progress.
-constexpr double kMostLoad = 1e5;
-constexpr Millis kYoung = 25;        // a connection idle for less counts as in use
-constexpr double kBrokeGain = 0.1;   // weight of one request in the failure rate
-constexpr double kBrokeMore = 0.2;   // failure rate that makes an idle time unusable, in addition to
-constexpr double kBrokeTimes = 2;    // this multiple of the rate on recently used connections
-constexpr Millis kUnfitFor = 10000;  // how long an idle time stays unusable
+constexpr double kMaxLoadValue = 1e5;
+constexpr Millis kRecentlyUsed = 25;    // a connection idle for less counts as in use
+constexpr double kFailureGain = 0.1;    // weight of one request in the failure rate
+constexpr double kFailureMargin = 0.2;  // failure rate that makes an idle time unusable, in addition to
+constexpr double kFailureRatio = 2;     // this multiple of the rate on recently used connections
+constexpr Millis kUnusableFor = 10000;  // how long an idle time stays unusable
 
 }  // namespace
 
@@ -46,53 +46,54 @@
     // A report with one invalid value is rejected as a whole. One huge value would outweigh everything known
     // of the fleet for hours.
     const std::optional<double> value = parse_decimal(trim(pair.substr(equals + 1)));
-    if (!value || *value < 0 || *value > kMostLoad) return std::nullopt;
+    if (!value || *value < 0 || *value > kMaxLoadValue) return std::nullopt;
     report.*(named->second) = *value;
     any = true;
   }
   return any ? std::optional(report) : std::nullopt;
 }
 
-std::size_t KeptRecord::slot(Millis age) {
+std::size_t IdleConnectionRecord::slot(Millis age) {
   std::size_t n = 0;
-  for (Millis most = kYoung; age >= most && n + 1 < std::tuple_size_v<decltype(slots_)>; most *= 2) ++n;
+  for (Millis most = kRecentlyUsed; age >= most && n + 1 < std::tuple_size_v<decltype(slots_)>; most *= 2)
+    ++n;
   return n;
 }
 
-void KeptRecord::note(Millis age, bool broke, Millis now) {
+void IdleConnectionRecord::record_outcome(Millis age, bool failed, Millis now) {
   const std::size_t n = slot(age);
   Slot& at = slots_[n];
-  at.broke += kBrokeGain * ((broke ? 1 : 0) - at.broke);
+  at.failure_rate += kFailureGain * ((failed ? 1 : 0) - at.failure_rate);
   // Compared with recently used connections: if those fail as often, idle time is not the cause.
-  if (n == 0 || at.broke <= kBrokeMore + kBrokeTimes * slots_[0].broke) return;
-  at.unfit_until = now + kUnfitFor;
-  at.broke = 0;
+  if (n == 0 || at.failure_rate <= kFailureMargin + kFailureRatio * slots_[0].failure_rate) return;
+  at.unusable_until = now + kUnusableFor;
+  at.failure_rate = 0;
 }
 
-bool KeptRecord::fit(Millis age, Millis now) const {
+bool IdleConnectionRecord::usable(Millis age, Millis now) const {
   const auto last = slots_.begin() + static_cast<std::ptrdiff_t>(slot(age)) + 1;
-  return std::none_of(slots_.begin(), last, [now](const Slot& one) { return now < one.unfit_until; });
+  return std::none_of(slots_.begin(), last, [now](const Slot& one) { return now < one.unusable_until; });
 }
 
-Millis ConnectWait::common() const {
-  if (median_ <= 0) return most_;
-  return std::min(most_, std::max(kConnectLeast, kConnectTimes * median_));
+Millis ConnectTimeout::typical() const {
+  if (median_ <= 0) return max_;
+  return std::min(max_, std::max(kMinTimeout, kMedianMultiple * median_));
 }
 
-Millis ConnectWait::limit(BackendId backend, bool probe) const {
-  return probe || far_.count(backend) != 0 ? most_ : common();
+Millis ConnectTimeout::limit(BackendId backend, bool probe) const {
+  return probe || distant_.count(backend) != 0 ? max_ : typical();
 }
 
-void ConnectWait::came_up(BackendId backend, Millis took) {
-  took > common() ? void(far_.insert(backend)) : forget(backend);
+void ConnectTimeout::connected(BackendId backend, Millis took) {
+  took > typical() ? void(distant_.insert(backend)) : forget(backend);
   if (median_ <= 0) {
-    median_ = std::max(took, kConnectTiniest);
+    median_ = std::max(took, kMinMedian);
   } else {
-    median_ = std::max(kConnectTiniest, took > median_ ? median_ * kMedianStep : median_ / kMedianStep);
+    median_ = std::max(kMinMedian, took > median_ ? median_ * kMedianStep : median_ / kMedianStep);
   }
 }
 
 // If more than half of the connects time out, the network path has become slow, and the median rises with it.
-void ConnectWait::gave_up() { median_ = std::min(most_, median_ * kMedianStep); }
+void ConnectTimeout::timed_out() { median_ = std::min(max_, median_ * kMedianStep); }
 
 }  // namespace shorelead::node
--- a/src/node/connection_statistics.h
+++ b/src/node/connection_statistics.h
@@ -17,17 +17,17 @@
 // Learns from the outcomes of requests how long an idle connection stays usable. Backends, or middleboxes,
 // may drop idle connections well before the stated idle timeout without notice. A request written on such a
 // connection fails as one that may have been processed, so it cannot be retried freely.
-class KeptRecord {
+class IdleConnectionRecord {
  public:
   // Records a request on a connection that was idle for `age` (0 for a new one), and whether it failed
   // without any response.
-  void note(Millis age, bool broke, Millis now);
-  bool fit(Millis age, Millis now) const;
+  void record_outcome(Millis age, bool failed, Millis now);
+  bool usable(Millis age, Millis now) const;
 
  private:
   struct Slot {
-    double broke = 0;  // share of recent requests
-    Millis unfit_until = 0;
+    double failure_rate = 0;  // share of recent requests
+    Millis unusable_until = 0;
   };
   static std::size_t slot(Millis age);
   std::array<Slot, 16> slots_;  // by idle time: under 25 ms, under 50 ms, under 100 ms, ...
@@ -37,22 +37,22 @@
 // request that waits for it until its own deadline has no time left for another backend, although nothing can
 // have run. The timeout never exceeds the configured one. Probes always get the configured timeout, and so
 // find out which backends are farther away than the others.
-class ConnectWait {
+class ConnectTimeout {
  public:
-  explicit ConnectWait(Millis most) : most_(most) {}
-  void state(Millis most) { most_ = most; }
+  explicit ConnectTimeout(Millis max) : max_(max) {}
+  void set_max(Millis max) { max_ = max; }
 
   Millis limit(BackendId backend, bool probe) const;
-  void came_up(BackendId backend, Millis took);
-  void gave_up();                                          // before the configured timeout
-  void forget(BackendId backend) { far_.erase(backend); }  // its number may be reused for another
+  void connected(BackendId backend, Millis took);
+  void timed_out();                                            // before the configured timeout
+  void forget(BackendId backend) { distant_.erase(backend); }  // its number may be reused for another
 
  private:
-  Millis common() const;
+  Millis typical() const;
 
-  Millis most_;
+  Millis max_;
   Millis median_ = 0;  // adjusted by a step per connect; 0 = no connect succeeded yet
-  std::unordered_set<BackendId> far_;
+  std::unordered_set<BackendId> distant_;
 };
 
 }  // namespace shorelead::node
--- a/src/node/connections.h
+++ b/src/node/connections.h
@@ -20,19 +20,19 @@
 
   void add(const std::shared_ptr<Connection>& connection);
   std::shared_ptr<Connection> take_idle(BackendId backend, const std::string& dial, bool probe);
-  void rest(Connection& connection, bool settles);  // becomes idle
-  void use(Connection& connection);                 // no longer idle
-  void forget(Connection& connection, Ending why);
+  void mark_idle(Connection& connection, bool settle);  // becomes idle
+  void mark_in_use(Connection& connection);             // no longer idle
+  void close(Connection& connection, Ending why);
   // Records whether a request failed on a connection that had been idle for `age`.
-  void note(Millis age, bool broke) { kept_.note(age, broke, loop_.now()); }
+  void record(Millis age, bool failed) { idle_record_.record_outcome(age, failed, loop_.now()); }
   bool evict_idle();
-  Millis unused_since() const;
+  Millis oldest_idle_since() const;
   void sweep();
 
-  std::vector<std::shared_ptr<Connection>> of(const std::vector<BackendId>& backends) const;
+  std::vector<std::shared_ptr<Connection>> of_backends(const std::vector<BackendId>& backends) const;
   std::vector<std::shared_ptr<Connection>> all() const;
   std::size_t count() const { return count_; }
-  std::size_t idle() const { return unused_.size(); }
+  std::size_t idle() const { return idle_.size(); }
 
  private:
   std::shared_ptr<Connection> best_idle(const std::vector<std::shared_ptr<Connection>>& pool,
@@ -40,13 +40,13 @@
 
   Loop& loop_;
   Recorder* const recorder_;
-  Millis most_idle_ = 0;
+  Millis max_idle_time_ = 0;
   Millis settle_ = 0;
   // Indexed so that no event has to scan all connections.
-  std::unordered_map<BackendId, std::vector<std::shared_ptr<Connection>>> pools_;
-  std::list<Connection*> unused_;  // the longest idle first
+  std::unordered_map<BackendId, std::vector<std::shared_ptr<Connection>>> by_backend_;
+  std::list<Connection*> idle_;  // the longest idle first
   std::size_t count_ = 0;
-  KeptRecord kept_;
+  IdleConnectionRecord idle_record_;
 };
 
 }  // namespace shorelead::node
--- a/src/node/connecting.h
+++ b/src/node/connector.h
@@ -8,28 +8,30 @@
 
 namespace shorelead::node {
 
-class Upstream::Connecting {
+class Upstream::Connector {
  public:
-  explicit Connecting(Upstream& owner) : owner_(owner), wait_(kUntold) {}
+  explicit Connector(Upstream& owner) : owner_(owner), timeout_(kDefaultTimeout) {}
 
-  void adopt(Millis connect_timeout) { wait_.state(connect_timeout > 0 ? connect_timeout : kUntold); }
+  void adopt(Millis connect_timeout) {
+    timeout_.set_max(connect_timeout > 0 ? connect_timeout : kDefaultTimeout);
+  }
   // Called once the stream's connect has begun or failed to begin.
   void start(Connection& connection);
   // Called when the connect timeout or the delay before a retry has expired.
-  void look_after(Connection& connection);
-  void came_up(const Connection& connection);
+  void on_timer(Connection& connection);
+  void connected(const Connection& connection);
   // Drops what is known of a backend; its number may be reused for another.
   void forget(BackendId backend);
 
  private:
-  void on_its_way(Connection& connection);
-  void not_begun(Connection& connection);
-  void try_again(Connection& connection);
+  void connect_begun(Connection& connection);
+  void connect_failed(Connection& connection);
+  void retry(Connection& connection);
 
-  static constexpr Millis kUntold = 1000;  // used where the settings give no connect timeout
+  static constexpr Millis kDefaultTimeout = 1000;  // used where the settings give no connect timeout
 
   Upstream& owner_;
-  ConnectWait wait_;
+  ConnectTimeout timeout_;
   LocalFailures local_failures_;
 };
 
--- a/src/node/descriptor_room.cpp
+++ b/src/node/descriptor_room.cpp
@@ -30,8 +30,8 @@
 bool DescriptorRoom::evict_of_pools() {
   Pool* oldest = nullptr;
   for (const auto& pool : pools_) {
-    const Millis since = pool->unused_since();
-    if (since > 0 && (oldest == nullptr || since < oldest->unused_since())) oldest = pool.get();
+    const Millis since = pool->oldest_idle_since();
+    if (since > 0 && (oldest == nullptr || since < oldest->oldest_idle_since())) oldest = pool.get();
   }
   return oldest != nullptr && oldest->evict_idle();
 }
--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -63,7 +63,7 @@
                                   record_.withdrawn_by(list.version, policy_host_.host(one));
                                 upstream_->withdraw(unwanted);
                                 for (const auto& one : policy_host_.take_restarted())
-                                  upstream_->restarted(one.backend, one.started);
+                                  upstream_->backend_restarted(one.backend, one.started);
                               },
                               [this] { policy_host_.report_watch_ended(loop_.now()); },
                               [this](const ListValidity& validity) {
@@ -184,7 +184,7 @@
 // The request is over: an attempt at it that waits for a connection has not been sent, and is not to be.
 void Pool::close(RequestId request) {
   open_.erase(request);
-  upstream_->stop_unsent(request);
+  upstream_->cancel_unsent(request);
 }
 
 // Does what fell due, and sees to it that the next is not missed.
@@ -192,9 +192,9 @@
   settling_ = false;
   const DeferredActions due = policy_host_.tick(loop_.now());
   upstream_->withdraw(due.unwanted);
-  upstream_->close_unused(due.crowded);
+  upstream_->close_idle(due.crowded);
   for (const Choice& choice : due.choices) carry_out(choice);
-  for (const auto& [request, attempt] : due.call_off) upstream_->call_off(request, attempt);
+  for (const auto& [request, attempt] : due.call_off) upstream_->cancel(request, attempt);
   for (const BackendId backend : due.probes) probe(backend);
   if (due.watch) source_->watch();
   if (due.next == wake_at_ && wake_ != 0) return;
@@ -231,7 +231,7 @@
   const Choice choice = policy_host_.report(request, attempt, result.ending, result.elapsed,
                                             result.load ? &*result.load : nullptr, loop_.now());
   if (choice.kind == Choice::Kind::kPass) {
-    host_.serve(request, *result.answer, result.flow);
+    host_.serve(request, *result.response, result.flow);
     close(request);
     return;
   }
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -91,7 +91,7 @@
   std::size_t open_requests() const { return policy_host_.open_requests(); }
   std::size_t connections() const { return upstream_->connections(); }
   std::size_t probing() const { return upstream_->probing(); }
-  Millis unused_since() const { return upstream_->unused_since(); }
+  Millis oldest_idle_since() const { return upstream_->oldest_idle_since(); }
   bool evict_idle() { return upstream_->evict_idle(); }
   void log_counters(const std::string& before) const;
 
--- a/src/node/streamed_responses.cpp
+++ b/src/node/streamed_responses.cpp
@@ -14,15 +14,15 @@
     spdlog::warn("no memory for one more large answer, {} are under way", flows_->open());
     return false;
   }
-  const auto flow = std::make_shared<net::Flow>(flows_, connection.answer.parser.length());
-  connection.answer_flow = flow;
-  connection.clean = connection.written();
-  connection.moved_at = loop_.now();
+  const auto flow = std::make_shared<net::Flow>(flows_, connection.response.parser.length());
+  connection.response_flow = flow;
+  connection.request_complete = connection.written();
+  connection.last_received = loop_.now();
   connections_.insert(&connection);
-  flow->put(connection.answer.parser.take_body(connection.answer.raw));
+  flow->put(connection.response.parser.take_body(connection.response.raw));
   flow->set_source({[&connection] { connection.stream.want_input(true); },
                     [hold = connection.shared_from_this()] {
-                      if (hold->answer_flow) hold->end_flow(false);
+                      if (hold->response_flow) hold->end_response_flow(false);
                     }});
   return true;
 }
@@ -32,11 +32,11 @@
   std::vector<std::shared_ptr<Connection>> still;
   for (Connection* const connection : connections_) {
     // One that is held back for its client's sake is not its backend's fault.
-    if (!connection->answer_flow->full() && now - connection->moved_at >= kStandstill)
+    if (!connection->response_flow->full() && now - connection->last_received >= kStandstill)
       still.push_back(connection->shared_from_this());
   }
   for (const auto& connection : still) {
-    if (connection->answer_flow) connection->end_flow(false);
+    if (connection->response_flow) connection->end_response_flow(false);
   }
 }
 
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -3,22 +3,19 @@
 #include <algorithm>
 #include <utility>
 
-#include "node/connecting.h"
 #include "node/connection_statistics.h"
 #include "node/connections.h"
+#include "node/connector.h"
 #include "node/outcome.h"
 #include "node/recorder.h"
 #include "node/streamed_responses.h"
 
 namespace shorelead::node {
 namespace {
-
-constexpr Millis kProbeWait = 250;  // a load report this old is of no use
-constexpr Millis kSweepEvery = 1000;
-// Reads of pending input when a deadline passes: enough for a whole response.
-constexpr int kReadsAtLimit = 8;
-// After which a backend that takes none of a request's body is given up.
-constexpr Millis kBodyStandstill = 5000;
+constexpr Millis kProbeTimeout = 250;  // a load report this old is of no use
+constexpr Millis kSweepInterval = 1000;
+constexpr int kMaxReadsAtDeadline = 8;      // of pending input; enough for a whole response
+constexpr Millis kBodyStallTimeout = 5000;  // how long a backend may take none of a request body
 
 }  // namespace
 
@@ -27,23 +24,23 @@
     : loop_(loop),
       listener_(std::move(listener)),
       connections_(std::make_unique<Connections>(loop, listener_.recorder)),
-      connecting_(std::make_unique<Connecting>(*this)),
+      connector_(std::make_unique<Connector>(*this)),
       streamed_responses_(std::make_unique<StreamedResponses>(loop, std::move(flows))) {
   adopt(connect_timeout, idle_timeout, settle);
   sweep();
 }
 
 Upstream::~Upstream() {
-  loop_.cancel(sweep_);
+  loop_.cancel(sweep_timer_);
   for (const auto& connection : connections_->all()) {
-    if (connection->job) loop_.cancel(connection->job->limit);
-    connection->leave_body();
-    if (connection->answer_flow) std::exchange(connection->answer_flow, nullptr)->set_source({});
+    if (connection->job) loop_.cancel(connection->job->timer);
+    connection->detach_body();
+    if (connection->response_flow) std::exchange(connection->response_flow, nullptr)->set_source({});
   }
 }
 
 void Upstream::adopt(Millis connect_timeout, Millis idle_timeout, Millis settle) {
-  connecting_->adopt(connect_timeout);
+  connector_->adopt(connect_timeout);
   connections_->adopt(idle_timeout, settle);
 }
 
@@ -56,18 +53,18 @@
   job->until = until;
   job->begin_by = begin_by;
   job->message = std::move(message);
-  begin(backend, dial, std::move(job));
+  start(backend, dial, std::move(job));
 }
 
 void Upstream::probe(BackendId backend, const std::string& dial) {
   auto job = std::make_unique<Job>();
   job->probe = true;
   job->started = loop_.now();
-  job->until = job->started + kProbeWait;
-  begin(backend, dial, std::move(job));
+  job->until = job->started + kProbeTimeout;
+  start(backend, dial, std::move(job));
 }
 
-void Upstream::begin(BackendId backend, const std::string& dial, std::unique_ptr<Job> job) {
+void Upstream::start(BackendId backend, const std::string& dial, std::unique_ptr<Job> job) {
   std::shared_ptr<Connection> connection = connections_->take_idle(backend, dial, job->probe);
   const bool reused = connection != nullptr;
   if (!reused) {
@@ -75,121 +72,118 @@
         *this, backend, dial, listener_.make_room(job->probe) ? parse_address(dial) : std::nullopt);
     connections_->add(connection);
   } else {
-    connections_->use(*connection);
+    connections_->mark_in_use(*connection);
   }
   connection->opened_for_probe = !reused && job->probe;
   if (connection->opened_for_probe) ++probing_;
-  if (!job->probe) working_.emplace(job->request, connection.get());
+  if (!job->probe) active_.emplace(job->request, connection.get());
   Job& under_way = *job;
   under_way.serial = ++last_serial_;
   connection->job = std::move(job);
-  connection->asked = false;
+  connection->sent = false;
   reused ? ++reused_ : ++opened_;
-  connection->age = reused ? loop_.now() - connection->unused_since : 0;
+  connection->idle_before = reused ? loop_.now() - connection->idle_since : 0;
   if (reused) {
-    connection->write_request(
-        // A failure of a reused connection says nothing about its backend.
-        Ending::kStoppedUnsent);
-    return watch(*connection);
+    // A failure of a reused connection says nothing about its backend.
+    connection->write_request(Ending::kStoppedUnsent);
+    return set_timer(*connection);
   }
-  connecting_->start(*connection);
-  if (connection->job) watch(*connection);
+  connector_->start(*connection);
+  if (connection->job) set_timer(*connection);
 }
 
-// Sets the single timer of the job that this connection carries.
-void Upstream::watch(Connection& connection) {
-  loop_.cancel(connection.job->limit);
-  connection.job->limit = loop_.at(
-      connection.limit(), [this, hold = connection.shared_from_this(), serial = connection.job->serial] {
-        if (hold->job && hold->job->serial == serial) limit(*hold);
+void Upstream::set_timer(Connection& connection) {
+  loop_.cancel(connection.job->timer);
+  connection.job->timer = loop_.at(
+      connection.next_check(), [this, hold = connection.shared_from_this(), serial = connection.job->serial] {
+        if (hold->job && hold->job->serial == serial) on_timer(*hold);
       });
 }
 
 // Reads pending input before a deadline counts as missed. When this process was not scheduled for a while,
 // the response and the expired timer are delivered together, in any order. Returns whether the job ended.
-bool Upstream::over_by_now(Connection& connection) {
+bool Upstream::ended_by_pending_input(Connection& connection) {
   const std::uint64_t serial = connection.job->serial;
   const auto over = [&] { return !connection.job || connection.job->serial != serial; };
-  for (int read = 0; read < kReadsAtLimit && !over() && connection.stream.read_now(); ++read) continue;
+  for (int read = 0; read < kMaxReadsAtDeadline && !over() && connection.stream.read_now(); ++read) continue;
   return over();
 }
 
-int Upstream::others_out(const Connection& connection) const {
-  const auto [first, last] = working_.equal_range(connection.job->request);
-  return static_cast<int>(std::count_if(first, last, [&connection](const auto& one) {
-    return one.second != &connection && one.second->asked;
-  }));
+int Upstream::other_sent_attempts(const Connection& connection) const {
+  const auto [first, last] = active_.equal_range(connection.job->request);
+  return static_cast<int>(std::count_if(
+      first, last, [&connection](const auto& one) { return one.second != &connection && one.second->sent; }));
 }
 
-void Upstream::limit(Connection& connection) {
-  if (!connection.stream.open()) return connecting_->look_after(connection);
-  if (over_by_now(connection)) return;
+void Upstream::on_timer(Connection& connection) {
+  if (!connection.stream.open()) return connector_->on_timer(connection);
+  if (ended_by_pending_input(connection)) return;
   const Job& job = *connection.job;
   const Millis now = loop_.now();
   const bool too_late = now >= job.begin_by;
   if (connection.stream.connected() && connection.sending_body()) {
-    const bool stuck = !connection.stream.flushed() && now - connection.body_moved >= kBodyStandstill;
-    if (!stuck && !too_late) return watch(connection);
-  } else if (now < connection.limit()) {
-    return watch(connection);  // the deadline has moved since the timer was set
+    const bool stuck = !connection.stream.flushed() && now - connection.body_progress >= kBodyStallTimeout;
+    if (!stuck && !too_late) return set_timer(connection);
+  } else if (now < connection.next_check()) {
+    return set_timer(connection);  // the deadline has moved since the timer was set
   } else if (!connection.stream.connected()) {
-    return connecting_->look_after(connection);
-  } else if (connection.written() && job.begun) {
-    connection.answer.raw = std::exchange(connection.stream.input(), {});
-    return pass_on(connection);
+    return connector_->on_timer(connection);
+  } else if (connection.written() && job.response_begun) {
+    connection.response.raw = std::exchange(connection.stream.input(), {});
+    return start_streaming(connection);
   }
   finish(connection, connection.written() ? Ending::kTimeout : Ending::kStoppedUnsent, nullptr, false);
 }
 
 // Starts forwarding a long response from its first bytes on; with that the attempt is over.
-void Upstream::pass_on(Connection& connection) {
+void Upstream::start_streaming(Connection& connection) {
   const std::shared_ptr<Connection> hold = connection.shared_from_this();
   if (!streamed_responses_->begin(connection)) return finish(connection, Ending::kErred, nullptr, false);
-  finish(connection, Ending::kServed, &connection.answer, false);
-  if (connection.answer_flow && !connection.answer_flow->has_sink())
-    connection.end_flow(false);  // the request already has another response
+  finish(connection, Ending::kServed, &connection.response, false);
+  if (connection.response_flow && !connection.response_flow->has_sink())
+    connection.end_response_flow(false);  // the request already has another response
 }
 
-void Upstream::finish(Connection& connection, Ending ending, const Message* answer, bool keep) {
+void Upstream::finish(Connection& connection, Ending ending, const Message* response, bool keep) {
   const std::unique_ptr<Job> job = std::move(connection.job);
-  loop_.cancel(job->limit);
+  loop_.cancel(job->timer);
   Result result;
   result.ending = ending;
   result.elapsed = loop_.now() - job->started;
-  if (answer != nullptr) {
-    result.load = parse_load(answer->value("x-server-load"));
-    if (!result.load && job->probe) result.load = parse_load(answer->body());
+  if (response != nullptr) {
+    result.load = parse_load(response->value("x-server-load"));
+    if (!result.load && job->probe) result.load = parse_load(response->body());
   }
-  result.answer = answer;
-  result.flow = connection.answer_flow;
-  connection.leave_body();
-  if (connection.asked)
-    connections_->note(connection.age, ending == Ending::kBroken && connection.answer.raw.empty());
-  const bool asked = std::exchange(connection.asked, false);
+  result.response = response;
+  result.flow = connection.response_flow;
+  connection.detach_body();
+  if (connection.sent)
+    connections_->record(connection.idle_before,
+                         ending == Ending::kBroken && connection.response.raw.empty());
+  const bool sent = std::exchange(connection.sent, false);
   if (listener_.recorder != nullptr && !job->probe)
-    listener_.recorder->attempt_over(job->request, job->attempt, ending, asked, never_ran(ending));
+    listener_.recorder->attempt_over(job->request, job->attempt, ending, sent, never_ran(ending));
   if (std::exchange(connection.opened_for_probe, false)) --probing_;
   if (!job->probe) {
-    const auto [first, last] = working_.equal_range(job->request);
-    working_.erase(
+    const auto [first, last] = active_.equal_range(job->request);
+    active_.erase(
         std::find_if(first, last, [&connection](const auto& one) { return one.second == &connection; }));
   }
-  // Keeps `answer` alive, which the connection owns.
-  const std::shared_ptr<Connection> hold = connection.shared_from_this();
-  if (connection.answer_flow) {
+  const std::shared_ptr<Connection> hold = connection.shared_from_this();  // it owns `response`
+  if (connection.response_flow) {
     // The connection is still receiving the response.
   } else if (keep && !connection.withdrawn && listener_.keep(job->probe)) {
-    connections_->rest(connection, !job->probe);
+    connections_->mark_idle(connection, !job->probe);
   } else {
-    connections_->forget(connection, connection.withdrawn ? Ending::kWithdrawn : ending);
+    connections_->close(connection, connection.withdrawn ? Ending::kWithdrawn : ending);
   }
-  // A backend that did not answer in time may have lost the idle connections to it too: a request written on
-  // one would be reset later and count as possibly processed, while a failed connect proves that nothing was.
-  // A connection used since this attempt began shows that the backend is alive and only this response is
-  // missing.
+  // A backend that did not answer may have lost its idle connections too: a request on one would be reset and
+  // count as possibly processed, while a failed connect proves that nothing ran. One used since is still
+  // good.
   if (ending == Ending::kTimeout && !job->probe) {
-    for (const auto& other : connections_->of({connection.backend})) {
-      if (other->unused && other->unused_since < job->started) connections_->forget(*other, Ending::kTimeout);
+    for (const auto& other : connections_->of_backends({connection.backend})) {
+      if (other->idle_entry && other->idle_since < job->started)
+        connections_->close(*other, Ending::kTimeout);
     }
   }
   if (job->probe) {
@@ -199,8 +193,8 @@
   }
 }
 
-void Upstream::call_off(RequestId request, int attempt) {
-  const auto [first, last] = working_.equal_range(request);
+void Upstream::cancel(RequestId request, int attempt) {
+  const auto [first, last] = active_.equal_range(request);
   const auto found =
       std::find_if(first, last, [attempt](const auto& one) { return one.second->job->attempt == attempt; });
   if (found == last) return;
@@ -209,50 +203,49 @@
 }
 
 void Upstream::withdraw(const std::vector<BackendId>& unwanted) {
-  for (const BackendId backend : unwanted) connecting_->forget(backend);
-  const auto found = connections_->of(unwanted);
+  for (const BackendId backend : unwanted) connector_->forget(backend);
+  const auto found = connections_->of_backends(unwanted);
   for (const auto& connection : found) {
     connection->withdrawn = true;
-    if (connection->unused) connections_->forget(*connection, Ending::kWithdrawn);
+    if (connection->idle_entry) connections_->close(*connection, Ending::kWithdrawn);
   }
-  // Reporting the end of one job may end others, so each is checked again.
-  for (const auto& connection : found) {
-    if (connection->job && !connection->asked) finish(*connection, Ending::kStoppedUnsent, nullptr, false);
+  for (const auto& connection : found) {  // checked again, as reporting the end of one may end others
+    if (connection->job && !connection->sent) finish(*connection, Ending::kStoppedUnsent, nullptr, false);
   }
 }
 
-void Upstream::stop_unsent(RequestId request) {
+void Upstream::cancel_unsent(RequestId request) {
   std::vector<std::shared_ptr<Connection>> found;
-  const auto [first, last] = working_.equal_range(request);
+  const auto [first, last] = active_.equal_range(request);
   for (auto it = first; it != last; ++it) {
-    if (!it->second->asked) found.push_back(it->second->shared_from_this());
+    if (!it->second->sent) found.push_back(it->second->shared_from_this());
   }
   for (const auto& connection : found) {
-    if (connection->job && !connection->asked) finish(*connection, Ending::kStoppedUnsent, nullptr, false);
+    if (connection->job && !connection->sent) finish(*connection, Ending::kStoppedUnsent, nullptr, false);
   }
 }
 
-void Upstream::restarted(BackendId backend, Millis started) {
-  for (const auto& connection : connections_->of({backend})) {
+void Upstream::backend_restarted(BackendId backend, Millis started) {
+  for (const auto& connection : connections_->of_backends({backend})) {
     if (connection->opened_at >= started) continue;
     connection->withdrawn = true;
-    if (connection->unused) connections_->forget(*connection, Ending::kWithdrawn);
+    if (connection->idle_entry) connections_->close(*connection, Ending::kWithdrawn);
   }
 }
 
-void Upstream::close_unused(const std::vector<BackendId>& backends) {
-  for (const auto& connection : connections_->of(backends)) {
-    if (connection->unused) connections_->forget(*connection, Ending::kEvicted);
+void Upstream::close_idle(const std::vector<BackendId>& backends) {
+  for (const auto& connection : connections_->of_backends(backends)) {
+    if (connection->idle_entry) connections_->close(*connection, Ending::kEvicted);
   }
 }
 
 bool Upstream::evict_idle() { return connections_->evict_idle(); }
-Millis Upstream::unused_since() const { return connections_->unused_since(); }
+Millis Upstream::oldest_idle_since() const { return connections_->oldest_idle_since(); }
 std::size_t Upstream::connections() const { return connections_->count(); }
 std::size_t Upstream::idle() const { return connections_->idle(); }
 
 void Upstream::sweep() {
-  sweep_ = loop_.after(kSweepEvery, [this] { sweep(); });
+  sweep_timer_ = loop_.after(kSweepInterval, [this] { sweep(); });
   connections_->sweep();
   streamed_responses_->sweep();
 }
--- a/src/node/upstream.h
+++ b/src/node/upstream.h
@@ -20,12 +20,12 @@
 
 class Recorder;
 
-// How an attempt or a probe ended. `answer` is valid only during the call that reports it.
+// How an attempt or a probe ended. `response` is valid only during the call that reports it.
 struct Result {
   Ending ending = Ending::kNotSent;
   Millis elapsed = 0;
   std::optional<LoadReport> load;
-  const Message* answer = nullptr;
+  const Message* response = nullptr;
   // The response's body while it is still being received; whoever forwards it becomes the flow's sink.
   std::shared_ptr<net::Flow> flow;
 };
@@ -60,19 +60,19 @@
   void send(RequestId request, int attempt, BackendId backend, const std::string& dial, Millis until,
             std::shared_ptr<const Message> message,
             Millis begin_by = std::numeric_limits<Millis>::infinity());
-  void call_off(RequestId request, int attempt);
+  void cancel(RequestId request, int attempt);
   // The request is over: cancels its attempts that still wait for a connection.
-  void stop_unsent(RequestId request);
+  void cancel_unsent(RequestId request);
   void probe(BackendId backend, const std::string& dial);
   // These backends must receive nothing new: ends unwritten attempts to them and closes idle connections.
   void withdraw(const std::vector<BackendId>& unwanted);
   // The backend process was restarted at `started`: closes idle connections opened before then, and marks
   // those in use as not reusable. Connections opened since may already lead to the new process, as lists
   // arrive late.
-  void restarted(BackendId backend, Millis started);
-  void close_unused(const std::vector<BackendId>& backends);
-  bool evict_idle();            // closes the connection that has been idle for longest
-  Millis unused_since() const;  // when that connection became idle; 0 = none is idle
+  void backend_restarted(BackendId backend, Millis started);
+  void close_idle(const std::vector<BackendId>& backends);
+  bool evict_idle();                 // closes the connection that has been idle for longest
+  Millis oldest_idle_since() const;  // when that connection became idle; 0 = none is idle
 
   std::size_t connections() const;
   std::size_t idle() const;
@@ -85,28 +85,28 @@
  private:
   struct Job;
   class Connection;
-  class Connecting;
+  class Connector;
   class Connections;
   class StreamedResponses;
 
-  void begin(BackendId backend, const std::string& dial, std::unique_ptr<Job> job);
-  bool over_by_now(Connection& connection);
+  void start(BackendId backend, const std::string& dial, std::unique_ptr<Job> job);
+  bool ended_by_pending_input(Connection& connection);
   // Other attempts at the same request that were written and have no response yet.
-  int others_out(const Connection& connection) const;
-  void watch(Connection& connection);
-  void limit(Connection& connection);
-  void pass_on(Connection& connection);
-  void finish(Connection& connection, Ending ending, const Message* answer, bool keep);
+  int other_sent_attempts(const Connection& connection) const;
+  void set_timer(Connection& connection);
+  void on_timer(Connection& connection);
+  void start_streaming(Connection& connection);
+  void finish(Connection& connection, Ending ending, const Message* response, bool keep);
   void sweep();
 
   Loop& loop_;
   Listener listener_;
   const std::unique_ptr<Connections> connections_;
-  const std::unique_ptr<Connecting> connecting_;
+  const std::unique_ptr<Connector> connector_;
   const std::unique_ptr<StreamedResponses> streamed_responses_;
-  std::unordered_multimap<RequestId, Connection*> working_;  // connections carrying an attempt, by request
+  std::unordered_multimap<RequestId, Connection*> active_;  // connections carrying an attempt, by request
   std::size_t probing_ = 0;
-  Loop::TimerId sweep_ = 0;
+  Loop::TimerId sweep_timer_ = 0;
   std::uint64_t last_serial_ = 0;
   std::uint64_t written_ = 0;
   std::uint64_t opened_ = 0;
--- a/tests/connection_statistics_test.cpp
+++ b/tests/connection_statistics_test.cpp
@@ -7,52 +7,52 @@
 namespace {
 
 // Guards against writing to connections that the other side has given up unheard.
-TEST(KeptRecord, AnAgeAtWhichRequestsBreakIsUnfitForAWhile) {
-  KeptRecord record;
+TEST(IdleConnectionRecord, AnAgeAtWhichRequestsBreakIsUnfitForAWhile) {
+  IdleConnectionRecord record;
   Millis now = 1000;
-  EXPECT_TRUE(record.fit(59000, now));
+  EXPECT_TRUE(record.usable(59000, now));
   for (int i = 0; i < 20; ++i) {
-    record.note(0, i % 10 == 0, now);
-    record.note(70, i % 10 == 0, now);
-    record.note(150, i % 2 == 0, now);
+    record.record_outcome(0, i % 10 == 0, now);
+    record.record_outcome(70, i % 10 == 0, now);
+    record.record_outcome(150, i % 2 == 0, now);
   }
-  EXPECT_TRUE(record.fit(10, now));
-  EXPECT_TRUE(record.fit(70, now));
-  EXPECT_FALSE(record.fit(150, now));
-  EXPECT_FALSE(record.fit(900, now));  // nor any older
+  EXPECT_TRUE(record.usable(10, now));
+  EXPECT_TRUE(record.usable(70, now));
+  EXPECT_FALSE(record.usable(150, now));
+  EXPECT_FALSE(record.usable(900, now));  // nor any older
   now += 10001;
-  EXPECT_TRUE(record.fit(900, now));
+  EXPECT_TRUE(record.usable(900, now));
 }
 
 // Where new connections break as often, age is not the cause.
-TEST(KeptRecord, BreaksAtAllAgesLeaveEveryAgeFit) {
-  KeptRecord record;
+TEST(IdleConnectionRecord, BreaksAtAllAgesLeaveEveryAgeFit) {
+  IdleConnectionRecord record;
   for (int i = 0; i < 60; ++i) {
-    record.note(0, i % 4 == 0, 1000);
-    record.note(150, i % 4 == 0, 1000);
+    record.record_outcome(0, i % 4 == 0, 1000);
+    record.record_outcome(150, i % 4 == 0, 1000);
   }
-  EXPECT_TRUE(record.fit(150, 1000));
+  EXPECT_TRUE(record.usable(150, 1000));
 }
 
-TEST(ConnectWait, GivesUpOnTheSilentAndNotOnTheFarNorForGood) {
+TEST(ConnectTimeout, GivesUpOnTheSilentAndNotOnTheFarNorForGood) {
   // From a day at size: a zone was lost without a word, and each request that opened a connection there
   // waited until its own 110 ms were over, though it could have gone elsewhere.
-  ConnectWait wait(200);
-  EXPECT_EQ(wait.limit(1, false), 200) << "nothing known yet";
-  for (int n = 0; n < 20; ++n) wait.came_up(1, 1);
-  EXPECT_EQ(wait.limit(2, false), 20);
-  EXPECT_EQ(wait.limit(2, true), 200) << "a probe waits";
-  wait.came_up(3, 80);
-  EXPECT_EQ(wait.limit(3, false), 200) << "far away, as its probe told";
-  EXPECT_EQ(wait.limit(2, false), 20) << "the others are not";
-  for (int n = 0; n < 300; ++n) n % 3 == 0 ? wait.gave_up() : wait.came_up(1, 1);
-  EXPECT_LE(wait.limit(2, false), 25) << "a third silent is no slow path";
-  for (int n = 0; n < 20; ++n) wait.gave_up();
-  EXPECT_GT(wait.limit(2, false), 40) << "all silent may be one";
-  for (int n = 0; n < 10000; ++n) wait.gave_up();
-  for (int n = 0; n < 60; ++n) wait.came_up(1, 1);
-  wait.came_up(3, 1);
-  EXPECT_EQ(wait.limit(3, false), 20) << "near again";
+  ConnectTimeout timeout(200);
+  EXPECT_EQ(timeout.limit(1, false), 200) << "nothing known yet";
+  for (int n = 0; n < 20; ++n) timeout.connected(1, 1);
+  EXPECT_EQ(timeout.limit(2, false), 20);
+  EXPECT_EQ(timeout.limit(2, true), 200) << "a probe waits";
+  timeout.connected(3, 80);
+  EXPECT_EQ(timeout.limit(3, false), 200) << "far away, as its probe told";
+  EXPECT_EQ(timeout.limit(2, false), 20) << "the others are not";
+  for (int n = 0; n < 300; ++n) n % 3 == 0 ? timeout.timed_out() : timeout.connected(1, 1);
+  EXPECT_LE(timeout.limit(2, false), 25) << "a third silent is no slow path";
+  for (int n = 0; n < 20; ++n) timeout.timed_out();
+  EXPECT_GT(timeout.limit(2, false), 40) << "all silent may be one";
+  for (int n = 0; n < 10000; ++n) timeout.timed_out();
+  for (int n = 0; n < 60; ++n) timeout.connected(1, 1);
+  timeout.connected(3, 1);
+  EXPECT_EQ(timeout.limit(3, false), 20) << "near again";
 }
 
 TEST(Upstream, LoadReportsAreReadWithCare) {
--- a/tests/crossings/attempts_test.cpp
+++ b/tests/crossings/attempts_test.cpp
@@ -195,8 +195,8 @@
   once_readable(b.loop, there, [&] {
     there.request();
     there.write(kEmptyOk);
-    b.upstream.call_off(1, 0);
-    b.upstream.call_off(1, 0);
+    b.upstream.cancel(1, 0);
+    b.upstream.cancel(1, 0);
   });
   EXPECT_EQ(b.run(), Ending::kCalledOff);
   EXPECT_EQ(b.told, 1);
@@ -211,8 +211,8 @@
     b.send(peer, kLong);
     Line there = peer.accept();
     b.loop.later([&] {
-      if (n == 0) b.upstream.call_off(1, 0);
-      if (n == 1) b.upstream.stop_unsent(1);
+      if (n == 0) b.upstream.cancel(1, 0);
+      if (n == 1) b.upstream.cancel_unsent(1);
       if (n == 2) b.upstream.withdraw({0});
     });
     EXPECT_EQ(b.run(), Ending::kStoppedUnsent) << n;
--- a/tests/crossings/upstream_case.h
+++ b/tests/crossings/upstream_case.h
@@ -57,7 +57,7 @@
     last = result.ending;
     ended = attempt;
     ++told;
-    answer = result.answer == nullptr ? "" : std::string(result.answer->body());
+    answer = result.response == nullptr ? "" : std::string(result.response->body());
     if (result.flow) {
       flow = result.flow;
       return on_flow(*flow);  // the test goes on with it
--- a/tests/faults/connect_test.cpp
+++ b/tests/faults/connect_test.cpp
@@ -78,10 +78,10 @@
 TEST(LocalFailures, NoWayToOneBackendAloneIsToldInTheEnd) {
   LocalFailures failures;
   for (int n = 0; n < 5; ++n) EXPECT_EQ(failures.gave_up(1, 100 * n), Ending::kLocalFailure) << "nor to any";
-  failures.began(2, 1000);
+  failures.connect_begun(2, 1000);
   EXPECT_EQ(failures.gave_up(1, 999), Ending::kRefused);
-  failures.began(1, 1100);
-  failures.began(2, 1200);
+  failures.connect_begun(1, 1100);
+  failures.connect_begun(2, 1200);
   EXPECT_EQ(failures.gave_up(1, 1150), Ending::kLocalFailure) << "it was begun since";
 }
 
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -79,9 +79,9 @@
   UpstreamAlone b;
   b.send(peer, kLong);
   b.loop.later([&b] {
-    b.upstream.stop_unsent(2);  // another request
+    b.upstream.cancel_unsent(2);  // another request
     EXPECT_EQ(b.told, 0);
-    b.upstream.stop_unsent(1);
+    b.upstream.cancel_unsent(1);
   });
   EXPECT_EQ(b.run(), Ending::kStoppedUnsent);
 }
@@ -93,7 +93,7 @@
   Line there = peer.accept();
   once_readable(b.loop, there, [&b, &there] {
     EXPECT_FALSE(there.request().empty());
-    b.upstream.call_off(1, 0);
+    b.upstream.cancel(1, 0);
   });
   EXPECT_EQ(b.run(), Ending::kCalledOff);
   EXPECT_EQ(there.rest(), "");
