--- a/src/node/backend_connection.h
+++ b/src/node/backend_connection.h
@@ -77,8 +77,8 @@
   Message response{Parser::Kind::kResponse};
   Millis idle_since = 0;
   Millis settled_at = 0;  // until then a duplicate response to the last attempt may arrive
-  std::optional<std::list<Connection*>::iterator> idle_entry;  // position in the list of idle connections
-  Millis idle_before = 0;                                      // how long it was idle before the current job
+  std::optional<std::list<Connection*>::iterator> idle_pos;  // position in the list of idle connections
+  Millis idle_time = 0;                                      // how long it was idle before the current job
 
  private:
   guard::Verdict may_write(Millis now) const;
--- a/src/node/connections.cpp
+++ b/src/node/connections.cpp
@@ -73,12 +73,12 @@
 void Upstream::Connections::mark_idle(Connection& connection, bool settle) {
   connection.idle_since = loop_.now();
   if (settle) connection.settled_at = connection.idle_since + settle_;
-  connection.idle_entry = idle_.insert(idle_.end(), &connection);
+  connection.idle_pos = idle_.insert(idle_.end(), &connection);
 }
 
 void Upstream::Connections::mark_in_use(Connection& connection) {
-  if (connection.idle_entry) idle_.erase(*connection.idle_entry);
-  connection.idle_entry.reset();
+  if (connection.idle_pos) idle_.erase(*connection.idle_pos);
+  connection.idle_pos.reset();
 }
 
 bool Upstream::Connections::evict_idle() {
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -82,7 +82,7 @@
   connection->job = std::move(job);
   connection->sent = false;
   reused ? ++reused_ : ++opened_;
-  connection->idle_before = reused ? loop_.now() - connection->idle_since : 0;
+  connection->idle_time = reused ? loop_.now() - connection->idle_since : 0;
   if (reused) {
     // A failure of a reused connection says nothing about its backend.
     connection->write_request(Ending::kStoppedUnsent);
@@ -158,8 +158,7 @@
   result.flow = connection.response_flow;
   connection.detach_body();
   if (connection.sent)
-    connections_->record(connection.idle_before,
-                         ending == Ending::kBroken && connection.response.raw.empty());
+    connections_->record(connection.idle_time, ending == Ending::kBroken && connection.response.raw.empty());
   const bool sent = std::exchange(connection.sent, false);
   if (listener_.recorder != nullptr && !job->probe)
     listener_.recorder->attempt_over(job->request, job->attempt, ending, sent, never_ran(ending));
@@ -178,12 +177,10 @@
     connections_->close(connection, connection.withdrawn ? Ending::kWithdrawn : ending);
   }
   // A backend that did not answer may have lost its idle connections too: a request on one would be reset and
-  // count as possibly processed, while a failed connect proves that nothing ran. One used since is still
-  // good.
+  // count as possibly processed, while a failed connect proves that nothing ran. One used since is good.
   if (ending == Ending::kTimeout && !job->probe) {
     for (const auto& other : connections_->of_backends({connection.backend})) {
-      if (other->idle_entry && other->idle_since < job->started)
-        connections_->close(*other, Ending::kTimeout);
+      if (other->idle_pos && other->idle_since < job->started) connections_->close(*other, Ending::kTimeout);
     }
   }
   if (job->probe) {
@@ -207,7 +204,7 @@
   const auto found = connections_->of_backends(unwanted);
   for (const auto& connection : found) {
     connection->withdrawn = true;
-    if (connection->idle_entry) connections_->close(*connection, Ending::kWithdrawn);
+    if (connection->idle_pos) connections_->close(*connection, Ending::kWithdrawn);
   }
   for (const auto& connection : found) {  // checked again, as reporting the end of one may end others
     if (connection->job && !connection->sent) finish(*connection, Ending::kStoppedUnsent, nullptr, false);
@@ -229,13 +226,13 @@
   for (const auto& connection : connections_->of_backends({backend})) {
     if (connection->opened_at >= started) continue;
     connection->withdrawn = true;
-    if (connection->idle_entry) connections_->close(*connection, Ending::kWithdrawn);
+    if (connection->idle_pos) connections_->close(*connection, Ending::kWithdrawn);
   }
 }
 
 void Upstream::close_idle(const std::vector<BackendId>& backends) {
   for (const auto& connection : connections_->of_backends(backends)) {
-    if (connection->idle_entry) connections_->close(*connection, Ending::kEvicted);
+    if (connection->idle_pos) connections_->close(*connection, Ending::kEvicted);
   }
 }
 
