--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -10,8 +10,8 @@
 namespace shorelead::node {
 namespace {
 
-// Whatever of a pool's configuration its module and its connections were made from.
-bool same_making(const PoolConfig& a, const PoolConfig& b) {
+// Whether the parts of the configuration that the policy and the connections were built from are the same.
+bool same_structure(const PoolConfig& a, const PoolConfig& b) {
   return a.settings == b.settings && a.host.zones == b.host.zones &&
          a.host.idle_timeout == b.host.idle_timeout && a.host.tenants == b.host.tenants &&
          a.host.classes == b.host.classes && a.fleet == b.fleet && a.view == b.view &&
@@ -28,8 +28,8 @@
       policy_host_(config.settings, config.host, seed, config.fleet),
       record_({loop, host_.recorder}) {
   policy_host_.on_deferred_action([this] {
-    if (std::exchange(settling_, true)) return;
-    loop_.later([this] { settle(); });
+    if (std::exchange(run_due_scheduled_, true)) return;
+    loop_.later([this] { run_due(); });
   });
   const auto purpose = [](bool probe) { return probe ? limits::Purpose::kProbe : limits::Purpose::kRequest; };
   upstream_ = std::make_unique<Upstream>(
@@ -39,7 +39,7 @@
                          },
                          [this](BackendId backend, const Result& result) {
                            counters_.probe_ended(policy_host_.host(backend), result.ending, result.elapsed);
-                           record_.probed(policy_host_.host(backend), result, loop_.now());
+                           record_.probe_ended(policy_host_.host(backend), result, loop_.now());
                            policy_host_.report_probe(backend, result.ending, result.elapsed,
                                                      result.load ? &*result.load : nullptr, loop_.now());
                          },
@@ -60,7 +60,7 @@
                                 record_.list(list);
                                 const auto unwanted = policy_host_.report_list(list, from, loop_.now());
                                 for (const BackendId one : unwanted)
-                                  record_.withdrawn_by(list.version, policy_host_.host(one));
+                                  record_.log_withdrawn(list.version, policy_host_.host(one));
                                 upstream_->withdraw(unwanted);
                                 for (const auto& one : policy_host_.take_restarted())
                                   upstream_->backend_restarted(one.backend, one.started);
@@ -72,7 +72,7 @@
                               }});
 }
 
-Pool::~Pool() { loop_.cancel(wake_); }
+Pool::~Pool() { loop_.cancel(wake_timer_); }
 
 void Pool::start() {
   const List known = source_->known();
@@ -99,7 +99,7 @@
   policy_host_.body_whole(request, due);
 }
 
-bool Pool::serves_as(const PoolConfig& config) const { return same_making(config_, config); }
+bool Pool::serves_as(const PoolConfig& config) const { return same_structure(config_, config); }
 
 void Pool::follow(const PoolConfig& config) {
   if (config.name != config_.name) spdlog::info("pool {} is now called {}", config_.name, config.name);
@@ -116,13 +116,14 @@
 }
 
 bool Pool::idle() const {
-  return open_.empty() && policy_host_.open_requests() == 0 && upstream_->connections() == upstream_->idle();
+  return requests_.empty() && policy_host_.open_requests() == 0 &&
+         upstream_->connections() == upstream_->idle();
 }
 
 void Pool::request(RequestId request, const RequestInfo& info, std::shared_ptr<const Message> message) {
-  open_[request].message = std::move(message);
+  requests_[request].message = std::move(message);
   record_.request(request, policy_host_.settings(), info);
-  carry_out(policy_host_.pick(request, info, loop_.now()));
+  execute(policy_host_.pick(request, info, loop_.now()));
 }
 
 void Pool::gone(RequestId request) {
@@ -132,30 +133,30 @@
 
 void Pool::call_off(RequestId request) {
   policy_host_.call_off(request, loop_.now());
-  if (open_.count(request) == 0) return;
+  if (requests_.count(request) == 0) return;
   host_.fail(request, 502);
   close(request);
 }
 
-void Pool::carry_out(const Choice& choice) {
+void Pool::execute(const Choice& choice) {
   guarded(
-      choice.request, [&] { carry_out_step(choice); }, [&] { abandon(choice.request); });
+      choice.request, [&] { execute_step(choice); }, [&] { fail_after_exception(choice.request); });
 }
 
-// Its way broke off within this node: nothing more of it is sent, and it is answered as failed.
-void Pool::abandon(RequestId request) {
-  record_.threw(request);
+// An exception interrupted the handling of the request: nothing more is sent for it, and it fails.
+void Pool::fail_after_exception(RequestId request) {
+  record_.handler_threw(request);
   policy_host_.call_off(request, loop_.now());
   host_.fail(request, 500);
   close(request);
 }
 
-void Pool::carry_out_step(const Choice& choice) {
-  const auto it = open_.find(choice.request);
+void Pool::execute_step(const Choice& choice) {
+  const auto it = requests_.find(choice.request);
   switch (choice.kind) {
     case Choice::Kind::kSend:
-      // Of a body that comes by parts, what was given to one backend is not there for another.
-      if (it == open_.end() || (it->second.message->flow && it->second.message->flow->touched())) {
+      // A streamed body of which a part was given to one backend is not available for another.
+      if (it == requests_.end() || (it->second.message->flow && it->second.message->flow->touched())) {
         Result result;
         return attempt_done(choice.request, choice.attempt, result);
       }
@@ -169,7 +170,7 @@
       close(choice.request);
       break;
     case Choice::Kind::kFail: {
-      const bool late = it != open_.end() && it->second.last == Ending::kTimeout;
+      const bool late = it != requests_.end() && it->second.last == Ending::kTimeout;
       host_.fail(choice.request, late ? 504 : 502);
       close(choice.request);
       break;
@@ -181,36 +182,36 @@
   }
 }
 
-// The request is over: an attempt at it that waits for a connection has not been sent, and is not to be.
+// The request is over: an attempt that still waits for a connection must not be written.
 void Pool::close(RequestId request) {
-  open_.erase(request);
+  requests_.erase(request);
   upstream_->cancel_unsent(request);
 }
 
-// Does what fell due, and sees to it that the next is not missed.
-void Pool::settle() {
-  settling_ = false;
+// Runs the actions that are due and sets the timer for the next.
+void Pool::run_due() {
+  run_due_scheduled_ = false;
   const DeferredActions due = policy_host_.tick(loop_.now());
   upstream_->withdraw(due.unwanted);
   upstream_->close_idle(due.crowded);
-  for (const Choice& choice : due.choices) carry_out(choice);
+  for (const Choice& choice : due.choices) execute(choice);
   for (const auto& [request, attempt] : due.call_off) upstream_->cancel(request, attempt);
   for (const BackendId backend : due.probes) probe(backend);
   if (due.watch) source_->watch();
-  if (due.next == wake_at_ && wake_ != 0) return;
-  loop_.cancel(wake_);
+  if (due.next == wake_at_ && wake_timer_ != 0) return;
+  loop_.cancel(wake_timer_);
   wake_at_ = due.next;
   if (due.next > 0) {
-    wake_ = loop_.at(due.next, [this] {
-      wake_ = 0;
-      settle();
+    wake_timer_ = loop_.at(due.next, [this] {
+      wake_timer_ = 0;
+      run_due();
     });
   }
 }
 
 void Pool::probe(BackendId backend) {
-  if (left_) {
-    // By whoever has its backends now. Not from within settle(), which the answer would call.
+  if (retired_) {
+    // The pool that replaced this one probes its backends. Deferred, as run_due() must not call itself.
     loop_.later(
         [this, backend] { policy_host_.report_probe(backend, Ending::kNotSent, 0, nullptr, loop_.now()); });
     return;
@@ -221,13 +222,13 @@
 
 void Pool::attempt_done(RequestId request, int attempt, const Result& result) {
   guarded(
-      request, [&] { attempt_ended(request, attempt, result); }, [&] { abandon(request); });
+      request, [&] { attempt_ended(request, attempt, result); }, [&] { fail_after_exception(request); });
 }
 
 void Pool::attempt_ended(RequestId request, int attempt, const Result& result) {
   counters_.attempt_ended(request, attempt, result.ending, result.elapsed);
-  const auto it = open_.find(request);
-  if (it != open_.end()) it->second.last = result.ending;
+  const auto it = requests_.find(request);
+  if (it != requests_.end()) it->second.last = result.ending;
   const Choice choice = policy_host_.report(request, attempt, result.ending, result.elapsed,
                                             result.load ? &*result.load : nullptr, loop_.now());
   if (choice.kind == Choice::Kind::kPass) {
@@ -235,16 +236,16 @@
     close(request);
     return;
   }
-  carry_out(choice);
+  execute(choice);
 }
 
-void Pool::log_counters(const std::string& before) const {
-  counters_.log(before);
-  source_->log_counters(before);
-  spdlog::info("counters: {}boxes={} ready={} backends={} idle={} made={} reused={} open_requests={}", before,
+void Pool::log_counters(const std::string& prefix) const {
+  counters_.log(prefix);
+  source_->log_counters(prefix);
+  spdlog::info("counters: {}boxes={} ready={} backends={} idle={} made={} reused={} open_requests={}", prefix,
                policy_host_.backends(), policy_host_.ready(), upstream_->connections(), upstream_->idle(),
                upstream_->opened(), upstream_->reused(), policy_host_.open_requests());
-  if (const auto subset = policy_host_.subset_counters()) PoolCounters::log_subset(before, *subset);
+  if (const auto subset = policy_host_.subset_counters()) PoolCounters::log_subset(prefix, *subset);
 }
 
 }  // namespace shorelead::node
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -1,7 +1,6 @@
-// One pool of backends: its decision module behind the policy host, its connections, its source of backends,
-// and the requests that are with it. It owns these and their order. It must never speak to a client but
-// through its host, never see another pool, and never send anything new once it has been left, except for
-// what it has.
+// One pool of backends: its policy behind the policy host, its connections, its source of backends and its
+// open requests. Owns all of these. It reaches clients only through its Host, knows no other pool, and after
+// leave() sends nothing new except for the requests that it already has.
 #pragma once
 
 #include <cstdint>
@@ -24,15 +23,16 @@
 
 class Pool {
  public:
-  // What a pool needs of the node. Each request gets one of the three answers, unless gone() came first.
+  // What a pool needs of the node. Each request ends with serve, refuse or fail, unless gone() came first.
   struct Host {
     std::function<void(RequestId, const Message&, std::shared_ptr<net::Flow>)> serve;
     std::function<void(RequestId, Millis wait)> refuse;
     std::function<void(RequestId, int status)> fail;
     std::function<bool(limits::Purpose)> make_room;
     std::function<bool(limits::Purpose)> keep;
-    std::function<bool(RequestId)> still_waits;  // its client; asked just before an attempt is written
-    Recorder* recorder = nullptr;                // outlives the pool; none: nothing is written down
+    // Whether its client waits; asked just before an attempt is written.
+    std::function<bool(RequestId)> still_waits;
+    Recorder* recorder = nullptr;  // outlives the pool; null: the pool records nothing
   };
 
   Pool(Loop& loop, const PoolConfig& config, std::uint64_t seed, std::shared_ptr<net::FlowBudget> flows,
@@ -43,45 +43,46 @@
 
   void start();
   void request(RequestId request, const RequestInfo& info, std::shared_ptr<const Message> message);
-  void gone(RequestId request);  // its client is
-  // All of it that is out; where it has no answer yet it is answered as failed.
+  void gone(RequestId request);  // its client closed the connection
+  // Cancels all attempts at a request; if it has no response yet, it fails.
   void call_off(RequestId request);
-  // A backend, cell or zone of this pool, as it stands now.
+  // The current state of a backend, cell or zone of this pool.
   std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return policy_host_.see(kind, unit); }
   std::uint64_t list_changes() const { return policy_host_.endpoints().changes(); }
   std::vector<ListedBackend> listed_backends() const { return policy_host_.endpoints().all(); }
-  // The body of one that came by parts is whole now; its client waits until `due`.
+  // The request's streamed body has arrived whole; its client waits until `due`.
   void body_whole(RequestId request, Millis due);
 
-  // Whether a pool that is told so may go on as it is, with what it has learnt; then follow() brings it
-  // there.
+  // Whether this pool can serve a new configuration without being rebuilt, keeping what it has learned; if
+  // so, follow() applies the configuration.
   bool serves_as(const PoolConfig& config) const;
   void follow(const PoolConfig& config);
-  // New settings for the same pool, of the platform's form. Says the number that each of their classes has
-  // here.
+  // Applies new settings to the same pool. Returns the number that each of their classes has here.
   std::vector<int> adopt(const PoolConfig& config);
-  // No request comes any more. What is under way goes on, and so does the list; probes end.
-  void leave() { left_ = true; }
-  void rejoin() { left_ = false; }
-  // What a fleet allows of further attempts from now on.
-  void bound_attempts(PolicyHost::RetryAllowance further) {
-    policy_host_.bound_attempts(std::move(further), loop_.now());
+  // The pool is no longer configured: no new requests come and probes stop; open requests and list updates go
+  // on.
+  void leave() { retired_ = true; }
+  void rejoin() { retired_ = false; }
+  // Sets the fleet's limit on retries.
+  void bound_attempts(PolicyHost::RetryAllowance retry_allowance) {
+    policy_host_.bound_attempts(std::move(retry_allowance), loop_.now());
   }
   double room() const { return policy_host_.room(); }
-  // That a refusal may say to wait; 0 = it may say nothing.
+  // The longest wait that a refusal may advise; 0 = none.
   Millis most_advice() const { return config_.settings.advise_wait ? config_.settings.max_wait_advice : 0; }
-  bool idle() const;  // nothing is under way
+  bool idle() const;  // no request is open and no connection is in use
 
   const std::string& name() const { return config_.name; }
   const PoolConfig& config() const { return config_; }
-  bool told() const { return source_->told(); }  // has its list of now
+  bool told() const { return source_->told(); }  // a list has arrived since the start
   bool pushed() const { return source_->pushed(); }
-  // By the list given at the start, of whatever age: health checks confirm it, or lists never expire.
+  // Whether the list stored before the start may be used, however old: health checks confirm it, or lists
+  // never expire.
   bool may_use_given_list() const { return config_.settings.probing || !source_->expires(); }
   bool unreached() const { return source_->unreached(); }
-  // What is out by hand from now on; nothing that is not yet written goes there any more.
+  // Applies bans set by an operator; unwritten attempts to banned backends are cancelled.
   void ban(const manage::BanSet& bans);
-  std::string list_text() const;  // in discovery's form, births labelled by the wall clock
+  std::string list_text() const;  // in discovery's format, with start times by the wall clock
   bool lists(const std::string& host) const { return policy_host_.endpoints().lists(host); }
   std::size_t in_list() const { return policy_host_.endpoints().listed(); }
   std::size_t skipped() const { return policy_host_.skipped(loop_.now()); }
@@ -93,20 +94,20 @@
   std::size_t probing() const { return upstream_->probing(); }
   Millis oldest_idle_since() const { return upstream_->oldest_idle_since(); }
   bool evict_idle() { return upstream_->evict_idle(); }
-  void log_counters(const std::string& before) const;
+  void log_counters(const std::string& prefix) const;
 
  private:
-  struct Open {
+  struct OpenRequest {
     std::shared_ptr<const Message> message;
-    Ending last = Ending::kNotSent;  // of its attempts
+    Ending last = Ending::kNotSent;  // of its last attempt
   };
 
-  void carry_out(const Choice& choice);
-  void carry_out_step(const Choice& choice);
-  void abandon(RequestId request);
+  void execute(const Choice& choice);
+  void execute_step(const Choice& choice);
+  void fail_after_exception(RequestId request);
   void attempt_ended(RequestId request, int attempt, const Result& result);
   void close(RequestId request);
-  void settle();
+  void run_due();
   void probe(BackendId backend);
   void attempt_done(RequestId request, int attempt, const Result& result);
 
@@ -117,10 +118,10 @@
   PoolRecord record_;
   std::unique_ptr<Upstream> upstream_;
   std::unique_ptr<BackendSource> source_;
-  std::unordered_map<RequestId, Open> open_;
-  bool settling_ = false;
-  bool left_ = false;
-  Loop::TimerId wake_ = 0;
+  std::unordered_map<RequestId, OpenRequest> requests_;
+  bool run_due_scheduled_ = false;
+  bool retired_ = false;
+  Loop::TimerId wake_timer_ = 0;
   Millis wake_at_ = 0;
   PoolCounters counters_;
 };
--- a/src/node/pool_counters.h
+++ b/src/node/pool_counters.h
@@ -1,4 +1,4 @@
-// What a pool has sent and how it ended, counted for the log. Owns the counts; it must never decide by them.
+// Counts a pool's attempts and probes by how they ended, for the log.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -25,13 +25,13 @@
     ++probe_endings_[ending];
     spdlog::debug("probe {} {} {:.1f} ms", host, name_of(ending), elapsed);
   }
-  void log(const std::string& before) const {
+  void log(const std::string& prefix) const {
     const auto name = [](Ending ending) { return std::string(name_of(ending)); };
-    spdlog::info("counters: {}sent={} attempts {}", before, sent_, listed(attempt_endings_, name));
-    spdlog::info("counters: {}probes={} {}", before, probes_, listed(probe_endings_, name));
+    spdlog::info("counters: {}sent={} attempts {}", prefix, sent_, listed(attempt_endings_, name));
+    spdlog::info("counters: {}probes={} {}", prefix, probes_, listed(probe_endings_, name));
   }
-  static void log_subset(const std::string& before, const SubsetCounters& subset) {
-    spdlog::info("counters: {}subset fleet={} members={} lots={} borrowed={} drawings={} changes={}", before,
+  static void log_subset(const std::string& prefix, const SubsetCounters& subset) {
+    spdlog::info("counters: {}subset fleet={} members={} lots={} borrowed={} drawings={} changes={}", prefix,
                  subset.fleet, subset.members, subset.lots, subset.borrowed, subset.drawings, subset.changes);
   }
 
--- a/src/node/pool_record.h
+++ b/src/node/pool_record.h
@@ -1,6 +1,6 @@
-// What a pool writes down: its requests' and lists' events, into the node's recorder, and for the checker who
-// may get something new by the lists and calls as they came. Owns that last record; it must never be asked
-// for a decision.
+// Records a pool's request and list events with the node's recorder, and keeps for the checker an independent
+// record of which backends may receive new requests, derived only from lists, bans and health checks. The
+// policy does not read that record.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -25,7 +25,7 @@
     }
     recorder_->list(list.version, list.whole);
   }
-  void withdrawn_by(std::uint64_t version, const std::string& host) {
+  void log_withdrawn(std::uint64_t version, const std::string& host) {
     spdlog::info("by list {} nothing new goes to {}", version, host);
   }
   void bans(const manage::BanSet& bans) {
@@ -35,7 +35,7 @@
     }
   }
   void validity(const ListValidity& validity) { listed_.validity(validity); }
-  void probed(const std::string& host, const Result& result, Millis now) {
+  void probe_ended(const std::string& host, const Result& result, Millis now) {
     if (result.ending == Ending::kServed) listed_.confirmed(host, now - result.elapsed);
     if (result.ending == Ending::kTurnedAway) listed_.denied(host);
   }
@@ -46,7 +46,7 @@
     recorder_->ruled(request, checked_rules(settings, info.request_class, due));
   }
   void body_whole(RequestId request, Millis due) { recorder_->due(request, due); }
-  void threw(RequestId request) { recorder_->handler_threw(request); }
+  void handler_threw(RequestId request) { recorder_->handler_threw(request); }
   void decided(const Choice& choice, const std::string& host) {
     recorder_->attempt_decided(choice.request, choice.attempt, host, choice.backend);
   }
