--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -116,12 +116,11 @@
 }
 
 bool Pool::idle() const {
-  return requests_.empty() && policy_host_.open_requests() == 0 &&
-         upstream_->connections() == upstream_->idle();
+  return open_.empty() && policy_host_.open_requests() == 0 && upstream_->connections() == upstream_->idle();
 }
 
 void Pool::request(RequestId request, const RequestInfo& info, std::shared_ptr<const Message> message) {
-  requests_[request].message = std::move(message);
+  open_[request].message = std::move(message);
   record_.request(request, policy_host_.settings(), info);
   execute(policy_host_.pick(request, info, loop_.now()));
 }
@@ -133,7 +132,7 @@
 
 void Pool::call_off(RequestId request) {
   policy_host_.call_off(request, loop_.now());
-  if (requests_.count(request) == 0) return;
+  if (open_.count(request) == 0) return;
   host_.fail(request, 502);
   close(request);
 }
@@ -152,11 +151,11 @@
 }
 
 void Pool::execute_step(const Choice& choice) {
-  const auto it = requests_.find(choice.request);
+  const auto it = open_.find(choice.request);
   switch (choice.kind) {
     case Choice::Kind::kSend:
       // A streamed body of which a part was given to one backend is not available for another.
-      if (it == requests_.end() || (it->second.message->flow && it->second.message->flow->touched())) {
+      if (it == open_.end() || (it->second.message->flow && it->second.message->flow->touched())) {
         Result result;
         return attempt_done(choice.request, choice.attempt, result);
       }
@@ -170,7 +169,7 @@
       close(choice.request);
       break;
     case Choice::Kind::kFail: {
-      const bool late = it != requests_.end() && it->second.last == Ending::kTimeout;
+      const bool late = it != open_.end() && it->second.last == Ending::kTimeout;
       host_.fail(choice.request, late ? 504 : 502);
       close(choice.request);
       break;
@@ -184,7 +183,7 @@
 
 // The request is over: an attempt that still waits for a connection must not be written.
 void Pool::close(RequestId request) {
-  requests_.erase(request);
+  open_.erase(request);
   upstream_->cancel_unsent(request);
 }
 
@@ -227,8 +226,8 @@
 
 void Pool::attempt_ended(RequestId request, int attempt, const Result& result) {
   counters_.attempt_ended(request, attempt, result.ending, result.elapsed);
-  const auto it = requests_.find(request);
-  if (it != requests_.end()) it->second.last = result.ending;
+  const auto it = open_.find(request);
+  if (it != open_.end()) it->second.last = result.ending;
   const Choice choice = policy_host_.report(request, attempt, result.ending, result.elapsed,
                                             result.load ? &*result.load : nullptr, loop_.now());
   if (choice.kind == Choice::Kind::kPass) {
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -118,7 +118,7 @@
   PoolRecord record_;
   std::unique_ptr<Upstream> upstream_;
   std::unique_ptr<BackendSource> source_;
-  std::unordered_map<RequestId, OpenRequest> requests_;
+  std::unordered_map<RequestId, OpenRequest> open_;
   bool run_due_scheduled_ = false;
   bool retired_ = false;
   Loop::TimerId wake_timer_ = 0;
