--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -10,9 +10,9 @@
 namespace shorelead::node {
 namespace {
 
-constexpr std::size_t kLongText = 65536;  // bytes: some 500 entries, read in under a millisecond
-constexpr int kSliceEntries = 500;        // read at a time: some 0.4 ms
-constexpr Millis kLeastRate = 32;         // bytes a ms that a list has to come with on the whole
+constexpr std::size_t kLongText = 65536;  // bytes: some 500 entries, parsed in under a millisecond
+constexpr int kSliceEntries = 500;        // parsed in about 0.4 ms
+constexpr Millis kLeastRate = 32;         // bytes per ms at which a list must arrive
 
 }  // namespace
 
@@ -85,23 +85,23 @@
     return end(parser_.head().status == 503 ? Ending::kTurnedAway : Ending::kErred);
   }
   last_told_ = loop_.now();
-  // In chunks, or with a stated length as an answer that is no watch.
+  // In chunks, or with a stated length where the response is no watch.
   const std::string part = parser_.take_decoded() + parser_.take_body(stream.input());
-  // Its head is a sign of life, and then only bytes that carry something.
+  // The head is a sign of life; after that only data counts.
   if (state == Parser::State::kBody && (!std::exchange(answered_, true) || !part.empty()))
     expect(waits_.silence, Ending::kSilent);
   come_.put(part);
-  if (state == Parser::State::kDone) come_.put("\n");  // with the answer its last list ends, too
+  if (state == Parser::State::kDone) come_.put("\n");  // the end of the response ends its last list too
   take_lists();
-  if (!stream_) return;  // one that could not be read ended the watch
+  if (!stream_) return;  // a list that could not be parsed ended the watch
   if (!part.empty()) taken_in();
   if (come_.held() > kMostBytes) return end(Ending::kMalformed);
   if (trickles()) return end(Ending::kSilent);
   if (state == Parser::State::kDone) on_end(stream, Ending::kPeerClosed);
 }
 
-// Guards against a list that comes so slowly that what it would tell counts as told long before: one that has
-// begun has as long as a silent watch, and what its bytes take at the least rate.
+// A list that arrives too slowly must not count as received while it binds already. An incomplete list has as
+// long as a silent watch, plus the time that its bytes take at the minimum rate.
 bool Discovery::trickles() {
   if (come_.held() == 0) {
     begun_at_ = 0;
@@ -116,7 +116,7 @@
   while (!reader_) {
     std::optional<std::string> text = come_.next();
     if (!text) return;
-    begun_at_ = 0;  // what is left over is of the next one
+    begun_at_ = 0;  // what remains belongs to the next list
     take_text(std::move(*text));
     if (!stream_) return;
   }
@@ -137,7 +137,7 @@
   }
 }
 
-// Between the slices requests are served.
+// Requests are served between slices.
 void Discovery::read_slice() {
   slice_ = 0;
   try {
@@ -154,7 +154,7 @@
   if (stream_) taken_in();
 }
 
-// What has come was looked through: unless some of it is left, the list is as discovery last told it.
+// All input has been processed: unless some of it is incomplete, the list is up to date.
 void Discovery::taken_in() {
   if (come_.held() > 0 || reader_) return listener_.unfinished();
   listed_ = true;
@@ -171,7 +171,7 @@
   try {
     listener_.changed(list);
   } catch (const std::exception& error) {
-    // It is not known what came of it: the next watch brings the whole list.
+    // The list may have been applied in part: the next watch brings the whole list.
     spdlog::error("discovery: list {} could not be taken in: {}", list.version, error.what());
     version_ = 0;
     return end(Ending::kMalformed);
@@ -180,13 +180,13 @@
   listed_ = true;
 }
 
-// ResponseForwarder over one list would leave the list wrong for good; a new watch brings what is missing.
+// Skipping a list would leave the view wrong for good; a new watch brings what is missing.
 void Discovery::refuse(const FieldError& error) {
   spdlog::error("discovery: list refused: {}", error.what());
   end(Ending::kMalformed);
 }
 
-// A list that came whole counts, read or not.
+// A list that arrived whole is applied even if its parsing has not finished.
 void Discovery::on_end(Stream&, Ending ending) {
   while (stream_ && reader_) {
     loop_.cancel(slice_);
@@ -200,7 +200,7 @@
   loop_.cancel(slice_);
   reader_ = nullptr;
   stream_->close();
-  loop_.later([stream = std::move(stream_)] {});  // it may be the one that called
+  loop_.later([stream = std::move(stream_)] {});  // this stream's handler may be the caller
   stream_ = nullptr;
 }
 
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -1,7 +1,6 @@
-// The watch on discovery's list: one chunked answer that stays open and holds one JSON object after another,
-// each ended by a line end; blank lines show that it lives. It owns that connection, the version reached and
-// the signs of life. It must never decide what a change means, and where the module says when to ask it never
-// asks by itself.
+// The watch on discovery's list of backends: one chunked response that stays open and carries a sequence of
+// JSON objects, each ended by a newline; blank lines are keep-alives. Owns the connection, the last version
+// received and the timeouts. It does not interpret changes, and does not reconnect by itself.
 #pragma once
 
 #include <functional>
@@ -20,20 +19,20 @@
   struct Listener {
     std::function<void(const List&)> changed;
     std::function<void(Ending)> ended;
-    // All that has come was taken in, and nothing has begun to come behind it; `first` of this call, which
-    // was begun then.
+    // All input so far has been processed and nothing is pending. `first`: for the first time in this call,
+    // so that the list was complete at some time after the call began.
     std::function<void(bool first)> current = [](bool) {};
-    std::function<void()> unfinished = [] {};  // a list has begun to come, and is not whole
+    std::function<void()> unfinished = [] {};  // a list has arrived in part
     std::function<void()> asked = [] {};       // a call begins
   };
 
   struct Waits {
     Millis connect = 1000;
-    // Calls wait in turn at discovery, which gives them up itself after 2 s; this is for one that is silent
-    // altogether.
+    // For the response's head. Discovery queues calls and rejects them itself after 2 s, so this is for one
+    // that does not respond at all.
     Millis first = 3000;
-    // An empty line comes each 2 s: a watch silent for longer than this is dead, though its connection
-    // stands.
+    // Discovery sends an empty line every 2 s. A watch silent for longer than this is dead, even if its
+    // connection is open.
     Millis silence = 3000;
   };
 
@@ -44,25 +43,25 @@
 
   ~Discovery() override;
 
-  // Opens the watch anew from the version reached; nothing if it stands.
+  // Reopens the watch from the last version received; does nothing if it is open.
   void watch();
-  // Leaves the watch and opens one for the whole list.
+  // Closes the watch and opens one from version 0, which brings the whole list.
   void watch_anew();
-  // Discovery is now found there: leaves a watch on the old address without a word and opens one on the new,
-  // from the version reached.
+  // Discovery's address has changed: closes the watch on the old address without calling `ended`, and opens
+  // one on the new from the last version received.
   void move(const Poco::Net::SocketAddress& address);
   bool watching() const { return stream_ != nullptr; }
   std::uint64_t version() const { return version_; }
-  Millis last_told() const { return last_told_; }  // when anything of an answer came; 0 = never
-  bool listed() const { return listed_; }          // a list, or a sign that there is no news, came whole
+  Millis last_told() const { return last_told_; }  // when any part of a response arrived; 0 = never
+  bool listed() const { return listed_; }          // a list, or a sign that nothing has changed, was received
   std::uint64_t opened() const { return opened_; }
 
-  // How the last call stood when it ended, for the log.
+  // State of the last call when it ended, for the log.
   struct CallEnd {
-    Millis after = 0;            // it was begun
-    Millis silent = 0;           // since its last byte, or its begin
-    std::size_t unfinished = 0;  // bytes of a list that has not come whole
-    bool answered = false;       // it had brought something whole
+    Millis after = 0;            // how long the call lasted
+    Millis silent = 0;           // time since its last byte, or since its start
+    std::size_t unfinished = 0;  // bytes of an incomplete list
+    bool answered = false;       // a list or keep-alive was received whole
   };
   const CallEnd& last_end() const { return last_end_; }
 
@@ -88,18 +87,18 @@
   std::uint64_t version_;
   std::shared_ptr<Stream> stream_;
   Parser parser_{Parser::Kind::kResponse, kMostBytes};
-  ListStream come_;                     // and was not read
-  std::unique_ptr<ListReader> reader_;  // a long list, read in slices; those behind it wait
+  ListStream come_;                     // received and not yet parsed
+  std::unique_ptr<ListReader> reader_;  // a long list, parsed in slices; later lists wait for it
   Loop::TimerId slice_ = 0;
   Loop::TimerId deadline_ = 0;
   Millis last_told_ = 0;
-  bool answered_ = false;  // a head has come
-  Millis begun_at_ = 0;    // when the list that has come in part began; 0 = none has
+  bool answered_ = false;  // the response's head was received
+  Millis begun_at_ = 0;    // when the first part of the incomplete list arrived; 0 = there is none
   bool listed_ = false;
   std::uint64_t opened_ = 0;
   Millis called_at_ = 0;
-  bool current_ = false;  // told so of this call
-  Millis heard_at_ = 0;   // a byte, or the call's begin
+  bool current_ = false;  // `current` was called for this call
+  Millis heard_at_ = 0;   // when the last byte arrived, or the call began
   CallEnd last_end_;
   static constexpr std::size_t kMostBytes = 8U << 20;
 };
--- a/src/node/discovery_lease.h
+++ b/src/node/discovery_lease.h
@@ -1,5 +1,5 @@
-// The lease on discovery's list, kept by what becomes of the calls to discovery, and told whenever it
-// changes. Owns the lease; it must never call discovery, nor see a list.
+// Keeps the lease on discovery's list: feeds it the events of calls to discovery and reports its validity
+// whenever that changes. It makes no calls and holds no list.
 #pragma once
 
 #include <functional>
@@ -16,16 +16,16 @@
  public:
   using Told = std::function<void(const ListValidity&)>;
 
-  // `pool`: its name, for the log.
+  // `pool`: the pool's name, for the log.
   DiscoveryLease(Loop& loop, std::string pool, Told told);
 
-  void adopt(const Settings& settings);  // what they say of drains and of how lists come
+  void adopt(const Settings& settings);  // for drains and for how lists are obtained
   void asked();
-  void current(bool first);  // as Discovery::Listener::current
-  void unfinished();         // as Discovery::Listener::unfinished
+  void current(bool first);  // see Discovery::Listener::current
+  void unfinished();         // see Discovery::Listener::unfinished
   void ended(Ending ending, const Discovery::CallEnd& end);
   void moved();
-  void tell();  // also where nothing has changed
+  void tell();  // reports even if nothing has changed
 
  private:
   void tell_change();
--- a/src/node/list_reader.cpp
+++ b/src/node/list_reader.cpp
@@ -12,7 +12,7 @@
 using Document = rapidjson::GenericDocument<rapidjson::UTF8<>, Allocator>;
 
 constexpr std::string_view kSpace = " \t\r\n";
-constexpr std::size_t kEntryRoom = 8192;  // bytes: more than an entry takes, or a chunk is allocated for each
+constexpr std::size_t kEntryRoom = 8192;  // bytes; more than an entry needs, else each one allocates a chunk
 
 void parse(Document& document, std::string_view text) {
   document.Parse(text.data(), text.size());
@@ -55,8 +55,7 @@
   }
 }
 
-// Whatever is wrong here is found when the rest is parsed: this only has to find its way through what is
-// right.
+// Does not check the syntax: errors are found when the remaining text is parsed.
 bool ListReader::scan_rest() {
   for (; at_ < text_.size(); ++at_) {
     const char c = text_[at_];
@@ -97,7 +96,7 @@
   return at_ != std::string::npos;
 }
 
-// From its first quotation mark to behind its last.
+// Skips a string, from its opening to its closing quotation mark.
 void ListReader::skip_string() {
   while (true) {
     at_ = text_.find_first_of("\"\\", at_ + 1);
--- a/src/node/list_reader.h
+++ b/src/node/list_reader.h
@@ -1,7 +1,7 @@
-// A list's JSON read in slices, so that one of 20,000 entries does not hold the loop. It finds where the
-// entries of "hosts" begin and end and has each read by itself; what is left is read as a list without
-// entries. Owns the text until it is read. It must never give out a list that it has not read whole, nor pass
-// over what it cannot read.
+// Parses a list's JSON in slices, so that a list of 20,000 entries does not block the loop. It finds the
+// extent of each entry of "hosts" and parses the entries one by one; the remaining text is parsed as a list
+// without entries. Owns the text. It returns only lists that were parsed whole, and rejects whatever it
+// cannot parse.
 #pragma once
 
 #include <string>
@@ -15,25 +15,25 @@
  public:
   explicit ListReader(std::string text) : text_(std::move(text)) {}
 
-  // Reads up to so many entries; true when the list is whole. Throws FieldError with the cause.
+  // Parses up to `entries` entries; returns true when the list is complete. Throws FieldError with the cause.
   bool advance(int entries);
   List take() { return std::move(list_); }
 
  private:
-  bool scan_rest();  // up to the array of entries, or to the end; whether there is such an array
+  bool scan_rest();  // skips to the array of entries or to the end; whether there is such an array
   void read_entry();
-  bool in_text();  // whether there is a byte at `at_` that is no white space, which is skipped
+  bool in_text();  // skips white space; whether there is a byte at `at_`
   void skip_string();
   void skip_object();
   void finish();
 
   const std::string text_;
   std::size_t at_ = 0;
-  std::size_t copied_ = 0;  // what lies before is in `rest_`, or was an entry
-  std::string rest_;        // the list with its entries left out
+  std::size_t copied_ = 0;  // text before this is in `rest_` or was an entry
+  std::string rest_;        // the list without its entries
   int depth_ = 0;
-  bool hosts_ = false;  // among the entries
-  bool any_ = false;    // one was read
+  bool hosts_ = false;  // within the array of entries
+  bool any_ = false;    // an entry of the array was parsed
   List list_;
 };
 
--- a/src/node/list_stream.cpp
+++ b/src/node/list_stream.cpp
@@ -19,8 +19,8 @@
   while ((at_ = text_.find_first_of("\n\"\\{}[]", at_)) < text_.size()) {
     const char c = text_[at_];
     if (c == '\\' && in_string_) {
-      if (at_ + 1 == text_.size()) return std::nullopt;  // what it takes the meaning of has not come
-      // Not over a line end, which no string holds.
+      if (at_ + 1 == text_.size()) return std::nullopt;  // the escaped character has not arrived
+      // Does not skip a newline, which no string contains.
       at_ += text_[at_ + 1] == '\n' ? 1 : 2;
       continue;
     }
@@ -39,9 +39,9 @@
   return std::nullopt;
 }
 
-// An object goes on over lines until it is closed. But one cut off would take in all that follows: it ends
-// at a line end within a string, or at a blank line, as no writer puts one inside an object, while a watch
-// shows by one that it lives.
+// An object may span lines until it is closed. A truncated object would swallow everything after it, so the
+// text also ends at a newline within a string and at a blank line: no writer puts one inside an object, and a
+// watch sends one as a keep-alive.
 bool ListStream::ends_here() {
   const std::string_view line = std::string_view(text_).substr(line_, at_ - line_);
   line_ = at_;
--- a/src/node/list_text.cpp
+++ b/src/node/list_text.cpp
@@ -14,7 +14,7 @@
   };
   out.StartObject();
   out.Key("seq");
-  out.Uint64(0);  // discovery is asked for the whole list
+  out.Uint64(0);  // makes discovery send the whole list next
   out.Key("whole");
   out.Bool(true);
   out.Key("hosts");
