--- a/src/membership/list_lease.h
+++ b/src/membership/list_lease.h
@@ -1,10 +1,9 @@
-// A lease on the list in force: for how long a process may act on it though nothing newer has come. A change
-// of the list binds a process at some time after discovery had it, whether or not it arrived; a process that
-// cannot rule out such a change must not act as if there were none. The lease counts from a moment up to
-// which the list is known to be all that discovery had, which lies before the call that brought it (as with
-// leases in general: validity is counted from before the request). Pure: calls, signs of life and ends come
-// with the time. Owns those times; it must never hold a list, nor ask for one. Times in milliseconds of one
-// steady clock.
+// A lease on the list in force: for how long the process may act on it although nothing newer has arrived. A
+// change of the list binds a process at a known time after discovery had it, whether or not it arrived; a
+// process that cannot rule out such a change must not act as if there were none. The lease is counted from a
+// moment at which the list is known to be all that discovery had, which lies before the call that brought it
+// (as with leases in general, validity is counted from before the request). Pure: events are passed in with
+// their time. It neither holds a list nor asks for one. Times are in milliseconds of one steady clock.
 #pragma once
 
 #include <limits>
@@ -16,64 +15,65 @@
 
 class ListLease {
  public:
-  // A change binds so long after discovery had it and could be reached, whatever was refused or lost.
-  static constexpr Millis kMostAge = 6000;
-  // A process with no watch is held to its list for so long, unless its last call failed: then for four times
-  // as long, which is kMostAge (or a quarter of, and the whole of, what the settings say, where that is
-  // less).
-  static constexpr Millis kUnasked = kMostAge / 4;
-  // A watch shows so often that it lives. What it has to tell may be as old as that.
+  // A change binds this long after discovery had it and could be reached, whatever was rejected or lost.
+  static constexpr Millis kMaxAge = 6000;
+  // Without an open watch a process may act on its list for this long, or four times as long (kMaxAge) if its
+  // last call failed. Where the settings ask for lists more often, their interval replaces this value.
+  static constexpr Millis kMaxHoldWithoutCall = kMaxAge / 4;
+  // Interval of a watch's keep-alives. What the watch has not delivered yet may be this old.
   static constexpr Millis kSignInterval = 2000;
-  // After a new configuration named another discovery, what that one had before binds at the latest.
-  static constexpr Millis kMoved = 4000;
-  // A process may be held up for so long between its last look at the clock and its write.
-  static constexpr Millis kHeldUp = 150;
+  // After a new configuration names another discovery, that one's earlier changes bind after this time at the
+  // latest.
+  static constexpr Millis kDiscoveryChangeDelay = 4000;
+  // The longest pause of the process between its last reading of the clock and its write.
+  static constexpr Millis kMaxPause = 150;
 
   struct Terms {
-    // For so long after a change binds a backend may still get something new; none: changes bind only once
-    // they have arrived, and a list is good until another comes.
+    // For how long a backend may still get new requests after a change binds. Without it changes bind only on
+    // arrival, and a list is valid until the next arrives.
     std::optional<Millis> grace;
-    bool pushed = false;   // changes bind once discovery has them, but for an open watch that is silent
-    Millis ask_every = 0;  // how often the settings want a list asked for; 0 = not said
+    bool pushed = false;   // changes bind as soon as discovery has them, unless an open watch is silent
+    Millis ask_every = 0;  // interval in which the settings ask for a list; 0 = not set
   };
   enum class CallEnd {
-    kNotMade,    // nobody was asked
-    kFailed,     // it brought nothing whole
-    kWatchOver,  // it had been answered, and its watch is over
+    kNotAttempted,  // no connection was attempted
+    kFailed,        // the call brought nothing whole
+    kWatchEnded,    // the call was answered, and its watch has ended
   };
 
   void adopt(const Terms& terms) { terms_ = terms; }
 
-  void asked(Millis now);
-  // The call that is open has brought the list as it is, or that it has not changed.
-  void answered();
-  // Its watch has brought something whole: a change or a sign of life.
-  void heard(Millis now);
-  // A list has begun to come, and is not whole yet: what it says may bind already.
-  void unfinished(Millis now);
-  void ended(CallEnd how, Millis now);
-  // Discovery is another one from now on, and no call to it is open.
-  void moved(Millis now);
+  void call_begun(Millis now);
+  // The open call has brought the current list, or the news that it is unchanged.
+  void call_answered();
+  // The open watch has brought a whole change or a keep-alive.
+  void sign_of_life(Millis now);
+  // A list has arrived in part; the changes in it may bind already.
+  void list_incomplete(Millis now);
+  void call_ended(CallEnd how, Millis now);
+  // Discovery is at another address from now on, and no call to it is open.
+  void discovery_changed(Millis now);
 
   ListValidity validity() const;
 
  private:
   static constexpr Millis kNever = std::numeric_limits<Millis>::infinity();
 
-  Millis unasked() const;
-  Millis held_for() const;
-  Millis holds_until() const;
+  Millis hold_without_call() const;
+  Millis hold_time() const;
+  Millis valid_until() const;
 
   Terms terms_;
   bool watching_ = false;
-  Millis current_at_ = -kNever;     // up to then the list is all that discovery had
-  Millis asked_at_ = -kNever;       // the last call
-  Millis over_at_ = -kNever;        // the last watch that was over
-  Millis unheard_since_ = -kNever;  // since then no call has ended; kNever: one has, or a watch is open
-  // A list began to come that is not whole, or never was, and none came since.
+  Millis current_until_ = -kNever;   // up to then the list is all that discovery had
+  Millis last_call_at_ = -kNever;    // start of the last call
+  Millis watch_ended_at_ = -kNever;  // end of the last watch
+  // No call has ended since then; kNever: one has, or a watch is open.
+  Millis no_call_ended_since_ = -kNever;
+  // Since then a list is incomplete, or was never completed, and none has arrived whole.
   Millis unfinished_at_ = kNever;
-  Millis lapsed_at_ = kNever;  // no call had ended in time, and no list came since
-  Millis moved_at_ = kNever;   // and no list came since
+  Millis lapsed_at_ = kNever;             // no call had ended in time, and no list has arrived since
+  Millis discovery_changed_at_ = kNever;  // and no list has arrived since
 };
 
 }  // namespace shorelead::membership
--- a/src/node/backend_source.cpp
+++ b/src/node/backend_source.cpp
@@ -40,8 +40,8 @@
       loop_, *config.discovery, config.known.version,
       Discovery::Listener{[this](const List& list) { list_changed(list); },
                           [this](Ending ending) { watch_ended(ending); },
-                          [this](bool first) { lease_->current(first); }, [this] { lease_->unfinished(); },
-                          [this] { lease_->asked(); }});
+                          [this](bool first) { lease_->current(first); }, [this] { lease_->incomplete(); },
+                          [this] { lease_->call_begun(); }});
 }
 
 BackendSource::~BackendSource() {
@@ -92,8 +92,8 @@
   loop_.cancel(rewatch_);
   watch_backoff_.reset();
   take_terms();
-  if (config.discovery != before) lease_->moved();
-  discovery_->move(*config.discovery);
+  if (config.discovery != before) lease_->address_changed();
+  discovery_->change_address(*config.discovery);
   if (waited || !config_.settings.list_on_request) discovery_->watch();
 }
 
@@ -106,7 +106,7 @@
 
 bool BackendSource::told() const {
   if (registry_) return registry_->synced();
-  return !discovery_ || discovery_->listed();
+  return !discovery_ || discovery_->has_list();
 }
 
 // Discovery's lists as the view has them. A whole list with a number below the last is of a discovery that
@@ -164,7 +164,7 @@
     const membership::Update update = view_->tick(now);
     if (!update.changes.empty()) tell(update);
     // A watch opened anew from nothing brings the whole list.
-    if (update.ask_again && discovery_) discovery_->watch_anew();
+    if (update.ask_again && discovery_) discovery_->watch_from_start();
   });
 }
 
@@ -188,7 +188,7 @@
   lease_->ended(ending, end);
   spdlog::warn(
       "pool {}: watch on the list ended: {}, begun {:.2f} s and silent {:.2f} s before, {} bytes unfinished",
-      config_.name, name_of(ending), end.after / 1000, end.silent / 1000, end.unfinished);
+      config_.name, name_of(ending), end.duration / 1000, end.silence / 1000, end.incomplete_bytes);
   // A connection that ends before a byte of an answer is what an agent shows that is down, and so is silence.
   const bool in_words =
       ending == Ending::kTurnedAway || ending == Ending::kErred || ending == Ending::kMalformed;
@@ -206,10 +206,10 @@
 
 void BackendSource::log_counters(const std::string& before) const {
   const Millis now = loop_.now();
-  const Millis told = discovery_ ? discovery_->last_told() : now;
+  const Millis told = discovery_ ? discovery_->last_received() : now;
   spdlog::info("counters: {}list version={} age_s={:.1f} watches={} {}", before,
                discovery_ ? discovery_->version() : 0, told > 0 ? (now - told) / 1000 : -1.0,
-               discovery_ ? discovery_->opened() : 0,
+               discovery_ ? discovery_->calls() : 0,
                listed(watch_endings_, [](Ending e) { return std::string(name_of(e)); }));
   if (view_) {
     const auto& v = view_->counters();
--- a/src/node/backend_source.h
+++ b/src/node/backend_source.h
@@ -45,7 +45,7 @@
   List known() { return start_times_.resolve(config_.known); }
   bool told() const;  // has its list of now
   // No call since the start has found anyone there: nothing can have been told.
-  bool unreached() const { return unreached_ && discovery_->last_told() == 0; }
+  bool unreached() const { return unreached_ && discovery_->last_received() == 0; }
   // Whether discovery tells by itself, and no list was kept for a time without it.
   bool pushed() const { return discovery_ && !config_.settings.list_on_request && !saved_list_copy_; }
   // Whether its list has to be confirmed once it is old.
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -10,30 +10,34 @@
 namespace shorelead::node {
 namespace {
 
-constexpr std::size_t kLongText = 65536;  // bytes: some 500 entries, parsed in under a millisecond
-constexpr int kSliceEntries = 500;        // parsed in about 0.4 ms
-constexpr Millis kLeastRate = 32;         // bytes per ms at which a list must arrive
+constexpr std::size_t kSliceThreshold = 65536;  // bytes: some 500 entries, parsed in under a millisecond
+constexpr int kSliceEntries = 500;              // parsed in about 0.4 ms
+constexpr Millis kMinRate = 32;                 // bytes per ms at which a list must arrive
 
 }  // namespace
 
 Discovery::Discovery(Loop& loop, const Poco::Net::SocketAddress& address, std::uint64_t version,
-                     Listener listener, const Waits& waits)
-    : loop_(loop), address_(address), listener_(std::move(listener)), waits_(waits), version_(version) {}
+                     Listener listener, const Timeouts& timeouts)
+    : loop_(loop),
+      address_(address),
+      listener_(std::move(listener)),
+      timeouts_(timeouts),
+      version_(version) {}
 
 Discovery::~Discovery() {
   loop_.cancel(deadline_);
-  loop_.cancel(slice_);
+  loop_.cancel(slice_timer_);
 }
 
 void Discovery::watch() {
   if (stream_) return;
-  ++opened_;
-  called_at_ = heard_at_ = loop_.now();
-  listener_.asked();
+  ++calls_;
+  call_began_at_ = last_byte_at_ = loop_.now();
+  listener_.call_begun();
   parser_.reset();
-  come_.clear();
-  begun_at_ = 0;
-  answered_ = current_ = false;
+  pending_.clear();
+  incomplete_since_ = 0;
+  head_received_ = reported_current_ = false;
   stream_ = std::make_shared<Stream>(loop_, *this, address_);
   if (!stream_->open()) {
     loop_.later([this] {
@@ -41,27 +45,27 @@
     });
     return;
   }
-  expect(waits_.connect, Ending::kConnectTimeout);
+  set_deadline(timeouts_.connect, Ending::kConnectTimeout);
 }
 
-void Discovery::watch_anew() {
+void Discovery::watch_from_start() {
   version_ = 0;
-  if (stream_) leave();
+  if (stream_) disconnect();
   watch();
 }
 
-void Discovery::move(const Poco::Net::SocketAddress& address) {
+void Discovery::change_address(const Poco::Net::SocketAddress& address) {
   if (address == address_) return;
   address_ = address;
-  if (stream_) leave();
+  if (stream_) disconnect();
   watch();
 }
 
-void Discovery::expect(Millis wait, Ending otherwise) {
+void Discovery::set_deadline(Millis wait, Ending ending) {
   loop_.cancel(deadline_);
-  deadline_ = loop_.after(wait, [this, otherwise] {
+  deadline_ = loop_.after(wait, [this, ending] {
     deadline_ = 0;
-    end(otherwise);
+    end(ending);
   });
 }
 
@@ -70,11 +74,11 @@
                               " HTTP/1.1\r\nHost: " + address_.toString() + "\r\n\r\n";
   const std::array<std::string_view, 1> pieces = {request};
   stream.send(pieces);
-  expect(waits_.first, Ending::kTimeout);
+  set_deadline(timeouts_.response, Ending::kTimeout);
 }
 
 void Discovery::on_input(Stream& stream) {
-  heard_at_ = loop_.now();
+  last_byte_at_ = loop_.now();
   const Parser::State state = parser_.advance(stream.input());
   if (state == Parser::State::kBad) {
     spdlog::warn("discovery: malformed answer: {}", parser_.cause());
@@ -84,84 +88,84 @@
   if (parser_.head().status != 200) {
     return end(parser_.head().status == 503 ? Ending::kTurnedAway : Ending::kErred);
   }
-  last_told_ = loop_.now();
+  last_received_ = loop_.now();
   // In chunks, or with a stated length where the response is no watch.
   const std::string part = parser_.take_decoded() + parser_.take_body(stream.input());
   // The head is a sign of life; after that only data counts.
-  if (state == Parser::State::kBody && (!std::exchange(answered_, true) || !part.empty()))
-    expect(waits_.silence, Ending::kSilent);
-  come_.put(part);
-  if (state == Parser::State::kDone) come_.put("\n");  // the end of the response ends its last list too
-  take_lists();
+  if (state == Parser::State::kBody && (!std::exchange(head_received_, true) || !part.empty()))
+    set_deadline(timeouts_.silence, Ending::kSilent);
+  pending_.put(part);
+  if (state == Parser::State::kDone) pending_.put("\n");  // the end of the response ends its last list too
+  read_lists();
   if (!stream_) return;  // a list that could not be parsed ended the watch
-  if (!part.empty()) taken_in();
-  if (come_.held() > kMostBytes) return end(Ending::kMalformed);
-  if (trickles()) return end(Ending::kSilent);
+  if (!part.empty()) report_progress();
+  if (pending_.held() > kMaxBytes) return end(Ending::kMalformed);
+  if (too_slow()) return end(Ending::kSilent);
   if (state == Parser::State::kDone) on_end(stream, Ending::kPeerClosed);
 }
 
 // A list that arrives too slowly must not count as received while it binds already. An incomplete list has as
 // long as a silent watch, plus the time that its bytes take at the minimum rate.
-bool Discovery::trickles() {
-  if (come_.held() == 0) {
-    begun_at_ = 0;
+bool Discovery::too_slow() {
+  if (pending_.held() == 0) {
+    incomplete_since_ = 0;
     return false;
   }
   const Millis now = loop_.now();
-  if (begun_at_ == 0) begun_at_ = now;
-  return now - begun_at_ >= waits_.silence + static_cast<Millis>(come_.held()) / kLeastRate;
+  if (incomplete_since_ == 0) incomplete_since_ = now;
+  return now - incomplete_since_ >= timeouts_.silence + static_cast<Millis>(pending_.held()) / kMinRate;
 }
 
-void Discovery::take_lists() {
+void Discovery::read_lists() {
   while (!reader_) {
-    std::optional<std::string> text = come_.next();
+    std::optional<std::string> text = pending_.next();
     if (!text) return;
-    begun_at_ = 0;  // what remains belongs to the next list
-    take_text(std::move(*text));
+    incomplete_since_ = 0;  // what remains belongs to the next list
+    read_text(std::move(*text));
     if (!stream_) return;
   }
 }
 
-void Discovery::take_text(std::string text) {
-  const bool is_long = text.size() > kLongText;
+void Discovery::read_text(std::string text) {
+  const bool is_long = text.size() > kSliceThreshold;
   try {
     reader_ = std::make_unique<ListReader>(std::move(text));
     if (is_long) {
-      slice_ = loop_.after(0, [this] { read_slice(); });
+      slice_timer_ = loop_.after(0, [this] { read_slice(); });
       return;
     }
     while (!reader_->advance(kSliceEntries)) continue;
-    take(std::exchange(reader_, nullptr)->take());
+    apply(std::exchange(reader_, nullptr)->take());
   } catch (const FieldError& error) {
-    refuse(error);
+    reject(error);
   }
 }
 
 // Requests are served between slices.
 void Discovery::read_slice() {
-  slice_ = 0;
+  slice_timer_ = 0;
   try {
     if (!reader_->advance(kSliceEntries)) {
-      slice_ = loop_.after(0, [this] { read_slice(); });
+      slice_timer_ = loop_.after(0, [this] { read_slice(); });
       return;
     }
-    take(std::exchange(reader_, nullptr)->take());
+    apply(std::exchange(reader_, nullptr)->take());
   } catch (const FieldError& error) {
-    return refuse(error);
+    return reject(error);
   }
   if (!stream_) return;
-  take_lists();
-  if (stream_) taken_in();
+  read_lists();
+  if (stream_) report_progress();
 }
 
 // All input has been processed: unless some of it is incomplete, the list is up to date.
-void Discovery::taken_in() {
-  if (come_.held() > 0 || reader_) return listener_.unfinished();
-  listed_ = true;
-  listener_.current(!std::exchange(current_, true));
+void Discovery::report_progress() {
+  if (pending_.held() > 0 || reader_) return listener_.incomplete();
+  has_list_ = true;
+  listener_.current(!std::exchange(reported_current_, true));
 }
 
-void Discovery::take(const List& list) {
+void Discovery::apply(const List& list) {
   if (!list.whole && list.version < version_) {
     spdlog::warn("discovery: changes numbered {} after {}: not the one that told the list", list.version,
                  version_);
@@ -177,11 +181,11 @@
     return end(Ending::kMalformed);
   }
   version_ = list.version;
-  listed_ = true;
+  has_list_ = true;
 }
 
 // Skipping a list would leave the view wrong for good; a new watch brings what is missing.
-void Discovery::refuse(const FieldError& error) {
+void Discovery::reject(const FieldError& error) {
   spdlog::error("discovery: list refused: {}", error.what());
   end(Ending::kMalformed);
 }
@@ -189,15 +193,15 @@
 // A list that arrived whole is applied even if its parsing has not finished.
 void Discovery::on_end(Stream&, Ending ending) {
   while (stream_ && reader_) {
-    loop_.cancel(slice_);
+    loop_.cancel(slice_timer_);
     read_slice();
   }
   end(ending);
 }
 
-void Discovery::leave() {
+void Discovery::disconnect() {
   loop_.cancel(deadline_);
-  loop_.cancel(slice_);
+  loop_.cancel(slice_timer_);
   reader_ = nullptr;
   stream_->close();
   loop_.later([stream = std::move(stream_)] {});  // this stream's handler may be the caller
@@ -207,11 +211,11 @@
 void Discovery::end(Ending ending) {
   if (!stream_) return;
   const Millis now = loop_.now();
-  last_end_ = {.after = now - called_at_,
-               .silent = now - heard_at_,
-               .unfinished = come_.held() + (reader_ ? 1 : 0),
-               .answered = current_};
-  leave();
+  last_end_ = {.duration = now - call_began_at_,
+               .silence = now - last_byte_at_,
+               .incomplete_bytes = pending_.held() + (reader_ ? 1 : 0),
+               .answered = reported_current_};
+  disconnect();
   listener_.ended(ending);
 }
 
--- a/src/node/discovery_lease.h
+++ b/src/node/discovery_lease.h
@@ -14,25 +14,25 @@
 
 class DiscoveryLease {
  public:
-  using Told = std::function<void(const ListValidity&)>;
+  using Listener = std::function<void(const ListValidity&)>;
 
   // `pool`: the pool's name, for the log.
-  DiscoveryLease(Loop& loop, std::string pool, Told told);
+  DiscoveryLease(Loop& loop, std::string pool, Listener listener);
 
   void adopt(const Settings& settings);  // for drains and for how lists are obtained
-  void asked();
+  void call_begun();
   void current(bool first);  // see Discovery::Listener::current
-  void unfinished();         // see Discovery::Listener::unfinished
+  void incomplete();         // see Discovery::Listener::unfinished
   void ended(Ending ending, const Discovery::CallEnd& end);
-  void moved();
-  void tell();  // reports even if nothing has changed
+  void address_changed();
+  void report();  // reports even if nothing has changed
 
  private:
-  void tell_change();
+  void report_change();
 
   Loop& loop_;
   const std::string pool_;
-  const Told told_;
+  const Listener listener_;
   membership::ListLease lease_;
   ListValidity last_;
 };
--- a/tests/crossings/list_answers_test.cpp
+++ b/tests/crossings/list_answers_test.cpp
@@ -32,14 +32,14 @@
 
 class Answers {
  public:
-  explicit Answers(const Discovery::Waits& waits = {kLong, kLong, kLong})
+  explicit Answers(const Discovery::Timeouts& timeouts = {kLong, kLong, kLong})
       : discovery(loop, Poco::Net::SocketAddress("127.0.0.1", peer.port()), 5,
                   {[this](const List& list) { lists.push_back(list); },
                    [this](Ending how) {
                      endings.push_back(how);
                      loop.stop();
                    }},
-                  waits) {}
+                  timeouts) {}
 
   // The pieces are written one after the other, each once the node has read what was before it.
   void play(const std::vector<std::string>& pieces, Then then) {
@@ -150,14 +150,14 @@
        5},
   };
   for (const Case& one : cases) {
-    Answers a(one.ending == Ending::kTimeout  ? Discovery::Waits{kLong, kSoon, kLong}
-              : one.ending == Ending::kSilent ? Discovery::Waits{kLong, kLong, kSoon}
-                                              : Discovery::Waits{kLong, kLong, kLong});
+    Answers a(one.ending == Ending::kTimeout  ? Discovery::Timeouts{kLong, kSoon, kLong}
+              : one.ending == Ending::kSilent ? Discovery::Timeouts{kLong, kLong, kSoon}
+                                              : Discovery::Timeouts{kLong, kLong, kLong});
     a.play(one.pieces, one.then);
     EXPECT_EQ(a.endings, std::vector<Ending>{one.ending}) << one.what;
     EXPECT_EQ(a.lists.size(), one.lists) << one.what;
     EXPECT_EQ(a.discovery.version(), one.version) << one.what;
-    EXPECT_EQ(a.discovery.listed(), one.lists > 0) << one.what;
+    EXPECT_EQ(a.discovery.has_list(), one.lists > 0) << one.what;
     EXPECT_FALSE(a.discovery.watching()) << one.what;
   }
 }
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -16,7 +16,7 @@
 // Discovery with a record of what it told.
 class Watched {
  public:
-  explicit Watched(const Discovery::Waits& waits = {kLong, kLong, kLong})
+  explicit Watched(const Discovery::Timeouts& timeouts = {kLong, kLong, kLong})
       : discovery(loop, Poco::Net::SocketAddress("127.0.0.1", peer.port()), 5,
                   {[this](const List& list) {
                      lists.push_back(list);
@@ -26,7 +26,7 @@
                      ending = how;
                      loop.stop();
                    }},
-                  waits) {
+                  timeouts) {
     discovery.watch();
   }
 
--- a/tests/membership/list_lease_test.cpp
+++ b/tests/membership/list_lease_test.cpp
@@ -13,10 +13,10 @@
 using CallEnd = ListLease::CallEnd;
 
 constexpr Millis kGrace = 250;
-constexpr Millis kAllowance = kGrace - ListLease::kHeldUp;
+constexpr Millis kAllowance = kGrace - ListLease::kMaxPause;
 constexpr Millis kStart = 10000;
 
-ListLease asked_lease(Millis ask_every = 10000) {
+ListLease lease_on_request(Millis ask_every = 10000) {
   ListLease lease;
   lease.adopt({.grace = kGrace, .pushed = false, .ask_every = ask_every});
   return lease;
@@ -26,152 +26,152 @@
 ListLease watching(bool pushed = false) {
   ListLease lease;
   lease.adopt({.grace = kGrace, .pushed = pushed, .ask_every = 10000});
-  lease.asked(kStart - 4000);
-  lease.answered();
-  lease.heard(kStart);
+  lease.call_begun(kStart - 4000);
+  lease.call_answered();
+  lease.sign_of_life(kStart);
   return lease;
 }
 
 TEST(ListLease, WithoutAStatedGraceAListIsGoodForEver) {
   ListLease lease;
   EXPECT_EQ(lease.validity(), ListValidity());
-  lease.asked(kStart);
-  lease.unfinished(kStart);
-  lease.ended(CallEnd::kFailed, kStart + 1);
+  lease.call_begun(kStart);
+  lease.list_incomplete(kStart);
+  lease.call_ended(CallEnd::kFailed, kStart + 1);
   EXPECT_EQ(lease.validity(), ListValidity());
 }
 
 TEST(ListLease, WhatAProcessIsGivenAtItsStartIsOfNoKnownAge) {
-  ListLease lease = asked_lease();
+  ListLease lease = lease_on_request();
   EXPECT_LT(lease.validity().until, 0);
-  lease.asked(kStart);
+  lease.call_begun(kStart);
   EXPECT_LT(lease.validity().until, 0);
-  lease.ended(CallEnd::kFailed, kStart + 1);
+  lease.call_ended(CallEnd::kFailed, kStart + 1);
   EXPECT_LT(lease.validity().until, 0);
 }
 
 TEST(ListLease, AnAnswerCountsFromItsCall) {
-  ListLease lease = asked_lease();
-  lease.asked(kStart);
-  lease.answered();
-  EXPECT_EQ(lease.validity().until, kStart + ListLease::kMostAge + kAllowance);
+  ListLease lease = lease_on_request();
+  lease.call_begun(kStart);
+  lease.call_answered();
+  EXPECT_EQ(lease.validity().until, kStart + ListLease::kMaxAge + kAllowance);
 }
 
 TEST(ListLease, AWatchThatShowsLifeHoldsOn) {
   ListLease lease = watching();
   for (Millis now = kStart; now < kStart + 60000; now += ListLease::kSignInterval) {
-    lease.heard(now);
+    lease.sign_of_life(now);
     EXPECT_GT(lease.validity().until, now + ListLease::kSignInterval) << "until the next sign, at least";
   }
 }
 
 // Silence: 6 s from the last sign at most, of which what was on its way then takes a part.
 TEST(ListLease, AWatchThatFallsSilentHoldsForLessThanTheTimeForSilence) {
-  EXPECT_LE(watching().validity().until, kStart + ListLease::kMostAge);
-  EXPECT_LE(watching(true).validity().until, kStart + ListLease::kMostAge);
+  EXPECT_LE(watching().validity().until, kStart + ListLease::kMaxAge);
+  EXPECT_LE(watching(true).validity().until, kStart + ListLease::kMaxAge);
 }
 
 TEST(ListLease, AfterItsWatchAProcessHasAQuarterOfTheTimeUntilACallHasEnded) {
   ListLease lease = watching();
-  lease.ended(CallEnd::kWatchOver, kStart + 100);
-  const Millis unasked = kStart + 100 + ListLease::kUnasked + kAllowance;
-  EXPECT_EQ(lease.validity().until, unasked);
-  EXPECT_EQ(lease.validity().confirmed_for, ListLease::kUnasked + kAllowance);
-  lease.asked(kStart + 1000);
-  EXPECT_EQ(lease.validity().until, unasked) << "a call that is open proves nothing";
-  lease.ended(CallEnd::kNotMade, kStart + 1010);
-  EXPECT_EQ(lease.validity().until, unasked) << "nobody was asked";
-  lease.asked(kStart + 1020);
-  lease.ended(CallEnd::kFailed, kStart + 1100);
-  EXPECT_EQ(lease.validity().until, kStart - ListLease::kSignInterval + ListLease::kMostAge + kAllowance);
-  EXPECT_EQ(lease.validity().confirmed_for, ListLease::kMostAge + kAllowance);
+  lease.call_ended(CallEnd::kWatchEnded, kStart + 100);
+  const Millis held_until = kStart + 100 + ListLease::kMaxHoldWithoutCall + kAllowance;
+  EXPECT_EQ(lease.validity().until, held_until);
+  EXPECT_EQ(lease.validity().confirmed_for, ListLease::kMaxHoldWithoutCall + kAllowance);
+  lease.call_begun(kStart + 1000);
+  EXPECT_EQ(lease.validity().until, held_until) << "a call that is open proves nothing";
+  lease.call_ended(CallEnd::kNotAttempted, kStart + 1010);
+  EXPECT_EQ(lease.validity().until, held_until) << "nobody was asked";
+  lease.call_begun(kStart + 1020);
+  lease.call_ended(CallEnd::kFailed, kStart + 1100);
+  EXPECT_EQ(lease.validity().until, kStart - ListLease::kSignInterval + ListLease::kMaxAge + kAllowance);
+  EXPECT_EQ(lease.validity().confirmed_for, ListLease::kMaxAge + kAllowance);
 }
 
 TEST(ListLease, ACallAfterOneThatFailedHoldsNoLongerThanOneThatIsTheFirst) {
   ListLease lease = watching();
-  lease.ended(CallEnd::kWatchOver, kStart);
-  lease.asked(kStart + 10);
-  lease.ended(CallEnd::kFailed, kStart + 20);
-  lease.asked(kStart + 30);
-  EXPECT_EQ(lease.validity().until, kStart + 30 + ListLease::kUnasked + kAllowance);
+  lease.call_ended(CallEnd::kWatchEnded, kStart);
+  lease.call_begun(kStart + 10);
+  lease.call_ended(CallEnd::kFailed, kStart + 20);
+  lease.call_begun(kStart + 30);
+  EXPECT_EQ(lease.validity().until, kStart + 30 + ListLease::kMaxHoldWithoutCall + kAllowance);
 }
 
 TEST(ListLease, ACallThatFailsAfterTheLeaseRanOutDoesNotRenewIt) {
   ListLease lease = watching();
-  lease.ended(CallEnd::kWatchOver, kStart + 100);
-  const Millis unasked = kStart + 100 + ListLease::kUnasked;
-  lease.asked(unasked + 50);
-  lease.ended(CallEnd::kFailed, unasked + 60);
-  EXPECT_LE(lease.validity().until, unasked + kAllowance);
-  EXPECT_EQ(lease.validity().confirmed_for, ListLease::kUnasked + kAllowance);
-  lease.asked(unasked + 400);
-  lease.answered();
-  EXPECT_EQ(lease.validity().until, unasked + 400 + ListLease::kMostAge + kAllowance);
+  lease.call_ended(CallEnd::kWatchEnded, kStart + 100);
+  const Millis held_until = kStart + 100 + ListLease::kMaxHoldWithoutCall;
+  lease.call_begun(held_until + 50);
+  lease.call_ended(CallEnd::kFailed, held_until + 60);
+  EXPECT_LE(lease.validity().until, held_until + kAllowance);
+  EXPECT_EQ(lease.validity().confirmed_for, ListLease::kMaxHoldWithoutCall + kAllowance);
+  lease.call_begun(held_until + 400);
+  lease.call_answered();
+  EXPECT_EQ(lease.validity().until, held_until + 400 + ListLease::kMaxAge + kAllowance);
 }
 
 TEST(ListLease, SettingsThatWantListsMoreOftenCount) {
-  ListLease lease = asked_lease(800);
-  lease.asked(kStart);
-  lease.answered();
-  lease.ended(CallEnd::kWatchOver, kStart + 500);
+  ListLease lease = lease_on_request(800);
+  lease.call_begun(kStart);
+  lease.call_answered();
+  lease.call_ended(CallEnd::kWatchEnded, kStart + 500);
   EXPECT_EQ(lease.validity().until, kStart + 500 + 800 + kAllowance);
-  lease.asked(kStart + 600);
-  lease.ended(CallEnd::kFailed, kStart + 700);
+  lease.call_begun(kStart + 600);
+  lease.call_ended(CallEnd::kFailed, kStart + 700);
   EXPECT_EQ(lease.validity().until, kStart + 3200 + kAllowance);
 }
 
 TEST(ListLease, AListThatHasBegunToComeBindsAndOutdatesEarlierChecksUntilOneIsWhole) {
   ListLease lease = watching();
-  lease.unfinished(kStart + 100);
-  lease.unfinished(kStart + 140);
+  lease.list_incomplete(kStart + 100);
+  lease.list_incomplete(kStart + 140);
   EXPECT_EQ(lease.validity().until, kStart + 100 + kAllowance);
   EXPECT_EQ(lease.validity().confirmed_after, kStart + 100);
-  lease.heard(kStart + 150);
+  lease.sign_of_life(kStart + 150);
   EXPECT_GT(lease.validity().until, kStart + ListLease::kSignInterval) << "it is whole";
-  lease.unfinished(kStart + 200);
-  lease.ended(CallEnd::kWatchOver, kStart + 300);
+  lease.list_incomplete(kStart + 200);
+  lease.call_ended(CallEnd::kWatchEnded, kStart + 300);
   EXPECT_EQ(lease.validity().until, kStart + 200 + kAllowance);
-  lease.asked(kStart + 400);
+  lease.call_begun(kStart + 400);
   EXPECT_EQ(lease.validity().until, kStart + 200 + kAllowance);
-  lease.answered();
-  EXPECT_EQ(lease.validity().until, kStart + 400 + ListLease::kMostAge + kAllowance);
+  lease.call_answered();
+  EXPECT_EQ(lease.validity().until, kStart + 400 + ListLease::kMaxAge + kAllowance);
   EXPECT_LT(lease.validity().confirmed_after, 0);
 }
 
 TEST(ListLease, WherePushedTheEndOfTheWatchEndsTheLease) {
   ListLease lease = watching(true);
-  lease.ended(CallEnd::kWatchOver, kStart + 100);
+  lease.call_ended(CallEnd::kWatchEnded, kStart + 100);
   EXPECT_EQ(lease.validity().until, kStart + 100 + kAllowance);
   EXPECT_EQ(lease.validity().confirmed_for, kAllowance);
-  lease.asked(kStart + 200);
-  lease.ended(CallEnd::kFailed, kStart + 300);
+  lease.call_begun(kStart + 200);
+  lease.call_ended(CallEnd::kFailed, kStart + 300);
   EXPECT_EQ(lease.validity().until, kStart + 100 + kAllowance);
-  lease.asked(kStart + 400);
-  lease.answered();
-  EXPECT_EQ(lease.validity().until, kStart + 400 + ListLease::kMostAge + kAllowance);
+  lease.call_begun(kStart + 400);
+  lease.call_answered();
+  EXPECT_EQ(lease.validity().until, kStart + 400 + ListLease::kMaxAge + kAllowance);
 }
 
 TEST(ListLease, AMoveOfDiscoveryBindsByItsOwnTime) {
   ListLease lease = watching();
-  lease.moved(kStart + 100);
-  EXPECT_LE(lease.validity().until, kStart + 100 + ListLease::kMoved + kAllowance);
-  lease.asked(kStart + 100);
-  lease.ended(CallEnd::kFailed, kStart + 200);
-  EXPECT_LE(lease.validity().until, kStart + 100 + ListLease::kMoved + kAllowance);
+  lease.discovery_changed(kStart + 100);
+  EXPECT_LE(lease.validity().until, kStart + 100 + ListLease::kDiscoveryChangeDelay + kAllowance);
+  lease.call_begun(kStart + 100);
+  lease.call_ended(CallEnd::kFailed, kStart + 200);
+  EXPECT_LE(lease.validity().until, kStart + 100 + ListLease::kDiscoveryChangeDelay + kAllowance);
 }
 
 TEST(ListLease, AGraceShorterThanAProcessMayBeHeldUpAllowsNothing) {
   ListLease lease;
   lease.adopt({.grace = 100, .pushed = false, .ask_every = 10000});
-  lease.asked(kStart);
-  lease.answered();
-  EXPECT_EQ(lease.validity().until, kStart + ListLease::kMostAge);
+  lease.call_begun(kStart);
+  lease.call_answered();
+  EXPECT_EQ(lease.validity().until, kStart + ListLease::kMaxAge);
 }
 
 // Whatever happens: no time runs beyond the most age of what the list is known to be, and none is given by
 // anything but an answer or a sign of life.
 void no_lease_outlives_its_proof() {
-  ListLease lease = asked_lease();
+  ListLease lease = lease_on_request();
   Millis now = kStart;
   Millis proof = -1e9;
   bool open = false;
@@ -181,30 +181,30 @@
     now += *rc::gen::inRange(0, 3000);
     switch (*rc::gen::inRange(0, 5)) {
       case 0:
-        if (!std::exchange(open, true)) lease.asked(now), whole = false;
+        if (!std::exchange(open, true)) lease.call_begun(now), whole = false;
         break;
       case 1:
         if (!open || std::exchange(whole, true)) break;
-        lease.answered();
+        lease.call_answered();
         proof = now;
         break;
       case 2:
         if (!whole) break;
-        lease.heard(now);
+        lease.sign_of_life(now);
         proof = now;
         break;
       case 3:
         if (!std::exchange(open, false)) break;
-        if (*rc::gen::inRange(0, 4) == 0) lease.unfinished(now);
-        lease.ended(std::exchange(whole, false) ? CallEnd::kWatchOver : CallEnd::kFailed, now);
+        if (*rc::gen::inRange(0, 4) == 0) lease.list_incomplete(now);
+        lease.call_ended(std::exchange(whole, false) ? CallEnd::kWatchEnded : CallEnd::kFailed, now);
         break;
       default:
-        lease.moved(now);
+        lease.discovery_changed(now);
         open = whole = false;
         break;
     }
-    RC_ASSERT(lease.validity().until <= proof + ListLease::kMostAge + kAllowance);
-    RC_ASSERT(lease.validity().confirmed_for <= ListLease::kMostAge + kAllowance);
+    RC_ASSERT(lease.validity().until <= proof + ListLease::kMaxAge + kAllowance);
+    RC_ASSERT(lease.validity().confirmed_for <= ListLease::kMaxAge + kAllowance);
   }
 }
 
