--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -116,7 +116,7 @@
     Node node;
     node.know("s-1", backend);
     node.config.settings.list_on_request = !pushed;
-    node.timeouts.list = 0;
+    node.waits.list = 0;
     node.start();
     Line probe = node.client();
     EXPECT_EQ(ask_ready(probe), pushed ? "HTTP/1.1 503" : "HTTP/1.1 200");
@@ -147,11 +147,11 @@
   std::multimap<Millis, Millis> calls;  // when, and the module's wait should it fail
   const auto module = [&random](Millis wait) { return wait * (0.5 + random.unit()); };
   for (int node = 0; node < silent; ++node) {
-    WatchBackoff timeouts;
-    timeouts.told();
+    WatchBackoff backoff;
+    backoff.told();
     const Millis noticed =
         how == Ending::kSilent ? 3000 - 2000 * random.unit() : Discovery::Timeouts().response;
-    const auto wait = timeouts.ended(how, true, kNodes, random.unit());
+    const auto wait = backoff.ended(how, true, kNodes, random.unit());
     calls.emplace(noticed + (to_module ? module(5000) : wait.value()), to_module ? 10000 : 5000);
   }
   Silence found;
@@ -179,16 +179,16 @@
   EXPECT_GT(fall_silent(300, false).told_in_time, 1.5 * fall_silent(300, true).told_in_time);
   // A small fleet, or a node alone, has nobody to wait for.
   for (const double random : {0.0, 0.99}) {
-    WatchBackoff timeouts;
-    EXPECT_LE(timeouts.ended(Ending::kSilent, true, 3, random).value_or(1e9), 150);
+    WatchBackoff backoff;
+    EXPECT_LE(backoff.ended(Ending::kSilent, true, 3, random).value_or(1e9), 150);
     // Silent again with nothing between: as broken as before, and so is a call that came to no connection.
-    EXPECT_LE(timeouts.ended(Ending::kSilent, true, 3, random).value_or(1e9), 150);
-    EXPECT_LE(timeouts.ended(Ending::kTimeout, true, 3, random).value_or(1e9), 150);
-    EXPECT_LE(timeouts.ended(Ending::kConnectTimeout, true, 3, random).value_or(1e9), 450);
-    EXPECT_LE(timeouts.ended(Ending::kConnectTimeout, true, 300, random).value_or(1e9), 3000);
-    timeouts.told();
-    EXPECT_FALSE(timeouts.ended(Ending::kTurnedAway, true, 3, random)) << "a call that failed";
-    EXPECT_LE(timeouts.ended(Ending::kTurnedAway, false, 300, random).value_or(1e9), 300) << "pushed";
+    EXPECT_LE(backoff.ended(Ending::kSilent, true, 3, random).value_or(1e9), 150);
+    EXPECT_LE(backoff.ended(Ending::kTimeout, true, 3, random).value_or(1e9), 150);
+    EXPECT_LE(backoff.ended(Ending::kConnectTimeout, true, 3, random).value_or(1e9), 450);
+    EXPECT_LE(backoff.ended(Ending::kConnectTimeout, true, 300, random).value_or(1e9), 3000);
+    backoff.told();
+    EXPECT_FALSE(backoff.ended(Ending::kTurnedAway, true, 3, random)) << "a call that failed";
+    EXPECT_LE(backoff.ended(Ending::kTurnedAway, false, 300, random).value_or(1e9), 300) << "pushed";
   }
 }
 
@@ -199,7 +199,7 @@
   Node node;
   node.know("s-1", backend);
   for (RequestClass& one : node.config.settings.classes) one.deadline = 50;
-  node.timeouts.accept_on = 0;
+  node.waits.accept_on = 0;
   node.start();
   Line client = node.client();
   client.write(post("/unsafe", "x", "X-Timeout-Ms: 20000\r\n"));
