--- a/src/node/backend_source.cpp
+++ b/src/node/backend_source.cpp
@@ -49,7 +49,7 @@
   loop_.cancel(view_tick_);
 }
 
-// Where a view decides what is believed of the list it never expires.
+// With a view, which decides itself what to believe, the list never expires.
 void BackendSource::take_terms() {
   if (lease_ && !view_) lease_->adopt(config_.settings);
 }
@@ -61,8 +61,7 @@
 
 void BackendSource::start() {
   take_terms();
-  // A list of which the module was told nothing may be old by any time; whatever is wrong with it the source
-  // will tell, and until then attempts and probes do.
+  // The saved list may be of any age. The source will correct it; until then failed attempts and probes do.
   if (const auto kept = saved_list_copy_ ? saved_list_copy_->load() : std::nullopt)
     hand_on(*kept, ListSource::kStored);
   if (view_) tick_view();
@@ -97,7 +96,7 @@
   if (waited || !config_.settings.list_on_request) discovery_->watch();
 }
 
-// The list that stands in the configuration is all that there is to know.
+// The list in the configuration is complete by itself.
 void BackendSource::take_backends() {
   List list = config_.known;
   list.whole = true;
@@ -109,8 +108,8 @@
   return !discovery_ || discovery_->has_list();
 }
 
-// Discovery's lists as the view has them. A whole list with a number below the last is of a discovery that
-// has lost its memory.
+// Passes discovery's lists through the view. A whole list with a version lower than the last one comes from a
+// discovery that lost its state, and begins a new epoch.
 membership::Update BackendSource::through_view(const List& list) {
   const Millis now = loop_.now();
   if (list.whole) {
@@ -127,7 +126,7 @@
   return view_->change(0, changes, now);
 }
 
-// What the view has made of it, to the module.
+// Passes on the changes that the view has accepted.
 void BackendSource::tell(const membership::Update& update) {
   if (registry_ && registry_->follower().counters().unreadable !=
                        std::exchange(unreadable_, registry_->follower().counters().unreadable)) {
@@ -147,7 +146,7 @@
   if (saved_list_copy_ && !update.changes.empty()) saved_list_copy_->changed();
 }
 
-// What the view holds or makes wait, and whether its source has gone quiet.
+// Runs what is due in the view, and logs when its source has become stale or is heard of again.
 void BackendSource::tick_view() {
   view_tick_ = loop_.after(kViewEvery, [this] {
     tick_view();
@@ -158,12 +157,12 @@
                             config_.name, (now - view_->last_heard()) / 1000)
             : spdlog::info("pool {}: its list is heard of again", config_.name);
     }
-    if (registry_) return;  // it has a clock of its own for the view
+    if (registry_) return;  // the registry client runs the view's timer
     const auto due = view_->next();
     if (!due || *due > now) return;
     const membership::Update update = view_->tick(now);
     if (!update.changes.empty()) tell(update);
-    // A watch opened anew from nothing brings the whole list.
+    // A watch from version 0 brings the whole list.
     if (update.ask_again && discovery_) discovery_->watch_from_start();
   });
 }
@@ -189,7 +188,7 @@
   spdlog::warn(
       "pool {}: watch on the list ended: {}, begun {:.2f} s and silent {:.2f} s before, {} bytes unfinished",
       config_.name, name_of(ending), end.duration / 1000, end.silence / 1000, end.incomplete_bytes);
-  // A connection that ends before a byte of an answer is what an agent shows that is down, and so is silence.
+  // An agent that is down shows as a connection that ends before any byte of a response, or as silence.
   const bool in_words =
       ending == Ending::kTurnedAway || ending == Ending::kErred || ending == Ending::kMalformed;
   unreached_ = !in_words;
@@ -197,7 +196,7 @@
   const auto wait =
       watch_backoff_.ended(ending, config_.settings.list_on_request, config_.settings.instances, random);
   if (!wait) return listener_.watch_ended();
-  loop_.cancel(rewatch_);  // one that the module's own call has overtaken
+  loop_.cancel(rewatch_);  // a pending reconnect, overtaken by a call of the policy's
   rewatch_ = loop_.after(*wait, [this] {
     rewatch_ = 0;
     discovery_->watch();
--- a/src/node/backend_source.h
+++ b/src/node/backend_source.h
@@ -1,6 +1,6 @@
-// Where a pool's list of backends comes from: discovery, a registry, or the configuration itself; what the
-// view believes of it, and the copy on disk. Owns the watch, when it is opened again, and that copy. It must
-// never decide what a backend is good for, nor speak to the module: what it has gone through it hands on.
+// The source of a pool's list of backends: discovery, a registry, or the configuration itself. Owns the watch
+// and its reconnects, the membership view where one is configured, and the copy of the list on disk. It
+// passes lists on to its listener and does not judge backends.
 #pragma once
 
 #include <cstdint>
@@ -26,8 +26,8 @@
  public:
   struct Listener {
     std::function<void(const List&, ListSource)> list;
-    std::function<void()> watch_ended;  // and who asks for lists is to ask again
-    // For how long the list may be acted on, whenever that has changed.
+    std::function<void()> watch_ended;  // a watch ended and the listener decides when to call again
+    // For how long the list may be acted on; called whenever that changes.
     std::function<void(const ListValidity&)> validity = [](const ListValidity&) {};
   };
 
@@ -37,18 +37,18 @@
   BackendSource& operator=(const BackendSource&) = delete;
 
   void start();
-  void watch();  // the list is asked for
+  void watch();  // calls for the list
   void follow(const PoolConfig& config);
   void adopt(const Settings& settings);
 
-  // The list that was known before the start, with births by the loop's clock.
+  // The list known before the start, with start times by the loop's clock.
   List known() { return start_times_.resolve(config_.known); }
-  bool told() const;  // has its list of now
-  // No call since the start has found anyone there: nothing can have been told.
+  bool told() const;  // whether it has a list that arrived since the start
+  // Whether no call since the start has reached discovery, so that no list can have arrived.
   bool unreached() const { return unreached_ && discovery_->last_received() == 0; }
-  // Whether discovery tells by itself, and no list was kept for a time without it.
+  // Whether discovery pushes lists, and no copy of a list is kept for times without it.
   bool pushed() const { return discovery_ && !config_.settings.list_on_request && !saved_list_copy_; }
-  // Whether its list has to be confirmed once it is old.
+  // Whether an old list has to be confirmed by health checks.
   bool expires() const { return lease_ && !view_ && config_.settings.drain_grace.has_value(); }
   void log_counters(const std::string& before) const;
 
@@ -67,15 +67,15 @@
   const Listener listener_;
   StartTimes start_times_;
   std::unique_ptr<membership::View> view_;
-  std::unique_ptr<DiscoveryLease> lease_;  // with discovery
-  std::unique_ptr<Discovery> discovery_;   // without it and a registry the list stands in the configuration
+  std::unique_ptr<DiscoveryLease> lease_;  // with discovery only
+  std::unique_ptr<Discovery> discovery_;   // null with a registry, or where the configuration holds the list
   std::unique_ptr<membership::registry::Client> registry_;
   std::unique_ptr<SavedListCopy> saved_list_copy_;
   bool stale_ = false;
   bool unreached_ = false;
-  std::uint64_t unreadable_ = 0;   // told of in the log
-  std::uint64_t epoch_ = 1;        // of discovery's numbers
-  std::uint64_t list_number_ = 0;  // of what was told to the module, where there is no version
+  std::uint64_t unreadable_ = 0;   // count already reported in the log
+  std::uint64_t epoch_ = 1;        // of discovery's version numbers
+  std::uint64_t list_number_ = 0;  // of lists passed on, where the source has no version
   Loop::TimerId view_tick_ = 0;
   Loop::TimerId rewatch_ = 0;
   WatchBackoff watch_backoff_;
--- a/src/node/endpoint_list.cpp
+++ b/src/node/endpoint_list.cpp
@@ -8,7 +8,7 @@
 namespace shorelead::node {
 namespace {
 
-// Attempts and probes in a row without a word, after which a member counts as no capacity.
+// Attempts and probes in a row without an answer after which a member's capacity is not counted.
 constexpr int kSilences = 3;
 
 }  // namespace
@@ -56,7 +56,7 @@
     if (&known.listed != &listed) known.listed = listed;
     const bool was = set_ready(known, entry.state == BackendState::kReady);
     if (was && !known.ready) told.unwanted.push_back(*number);
-    if (!was && known.ready) known.silences = 0;  // what was heard of it before says nothing now
+    if (!was && known.ready) known.silences = 0;  // earlier silence says nothing about it now
     known.gone = false;
     if (state_of(listed.health) == BackendState::kGone) leave(*number);
     update.entries.push_back(entry);
@@ -71,8 +71,8 @@
   return told;
 }
 
-// What is out by hand is to the module as one that drains: nothing new, no probes, and fresh beliefs once it
-// is back.
+// To the policy a banned backend is draining: it gets no new requests and no probes, and its statistics start
+// anew when the ban ends.
 BackendState EndpointList::state_with_bans(const ListedBackend& listed) const {
   const BackendState state = state_of(listed.health);
   return state == BackendState::kReady && bans_.out(listed.host) ? BackendState::kDraining : state;
@@ -154,7 +154,7 @@
                             : Standing::kDraining};
 }
 
-// Says whether it was ready before.
+// Returns whether it was ready before.
 bool EndpointList::set_ready(Known& known, bool ready) {
   const bool was = std::exchange(known.ready, ready);
   if (ready != was) ready ? ++ready_ : --ready_;
@@ -174,7 +174,7 @@
   return told(*drawn, ListKind::kDelta);
 }
 
-// Whether a member answers, for the subset's count of its capacity. Any word from it will do.
+// Records whether a member answers, for the subset's count of its capacity. Any answer counts.
 void EndpointList::heard(BackendId backend, Outcome outcome) {
   if (!part_ || outcome == Outcome::kCalledOff || outcome == Outcome::kNotSent) return;
   Known& known = backends_[backend];
@@ -184,7 +184,7 @@
   part_->heard(known.host, !silent);
 }
 
-// The number by which the module knows this backend; none for one that is gone and was never known.
+// The number by which the policy knows this backend; nothing for one that is gone and was never known.
 std::optional<BackendId> EndpointList::number_of(const ListedBackend& listed) {
   const auto it = numbers_.find(listed.host);
   if (it != numbers_.end()) return it->second;
@@ -199,9 +199,8 @@
   return numbers_[listed.host] = number;
 }
 
-// Guards against growing with every backend that ever was: where each replaced one comes back under a new id,
-// the numbers of those that are gone go to others, once no request and no probe is left that names them. Only
-// with the next list, so that whoever keeps connections by number has dropped them by then.
+// Recycles the numbers of gone backends that nothing refers to any more; otherwise the table would grow with
+// every replaced backend. Done with the next list, when whoever keeps connections by number has closed them.
 void EndpointList::give_back_numbers() {
   std::erase_if(leaving_, [this](BackendId number) {
     Known& known = backends_[number];
--- a/src/node/endpoint_list.h
+++ b/src/node/endpoint_list.h
@@ -1,7 +1,6 @@
-// Who is listed, and under which number the module knows each: numbers that are given out and back, what is
-// out by hand, and the part of a large fleet that the module sees as its list. Owns these; what has changed
-// it hands out as the module's list. It must never see a request, decide whom one goes to, or give a number
-// to another while anything names it.
+// The listed backends and the numbers by which the policy knows them: assigns and recycles numbers, applies
+// bans, and selects the subset of a large fleet that the policy sees. Turns lists into updates for the
+// policy. A number is not reused while a request, an attempt or a probe refers to it.
 #pragma once
 
 #include <optional>
@@ -27,7 +26,7 @@
   std::vector<ListedBackend> backends;
 };
 
-// How the node works with a fleet too large for it; all off unless set.
+// How the node uses a fleet too large for one node; off unless set.
 struct FleetOptions {
   std::optional<subset::Options> subset;
   subset::Place place;
@@ -41,26 +40,26 @@
   EndpointList(const EndpointList&) = delete;
   EndpointList& operator=(const EndpointList&) = delete;
 
-  // What is to be told to the module, and who is unwanted from then on: nothing new may go there that might
-  // have gone there before.
+  // An update for the policy, and the backends that must receive nothing new from now on but might have
+  // before.
   struct Told {
     ListUpdate update;
     std::vector<BackendId> unwanted;
   };
   std::optional<Told> take(const List& list, ListKind kind, Millis now);
   std::optional<Told> take(const manage::BanSet& bans);
-  // Who has been started anew since the last call, though it was ready before: what was opened to it earlier
-  // is of no use.
+  // Backends restarted since the last call that were ready before: connections opened to the old process are
+  // of no use.
   struct Restarted {
     BackendId backend = 0;
     Millis started = 0;
   };
   std::vector<Restarted> take_restarted() { return std::exchange(restarted_, {}); }
-  // Changes of a large fleet are gathered before a part of it is drawn anew; 0 = there are none.
+  // When the next subset is drawn; changes of a large fleet are gathered until then. 0 = there are none.
   Millis draw_at() const { return part_ ? part_->draw_at() : 0; }
   std::optional<Told> draw(Millis now);
 
-  // Probes under way, attempts and requests that name a number keep it.
+  // Requests, attempts and probes in progress that refer to a number keep it in use.
   void use(BackendId backend) { backends_.at(backend).uses += 1; }
   void release(BackendId backend) { backends_[backend].uses -= 1; }
   void heard(BackendId backend, Outcome outcome);
@@ -68,30 +67,30 @@
   const std::string& dial(BackendId backend) const { return backends_.at(backend).dial; }
   const std::string& host(BackendId backend) const { return backends_.at(backend).host; }
   bool wanted(BackendId backend) const { return backends_.at(backend).ready; }
-  std::size_t ready() const { return ready_; }  // of those known to the module
+  std::size_t ready() const { return ready_; }  // of those known to the policy
   std::size_t backends() const { return part_ ? part_->counters().fleet : numbers_.size(); }
-  bool lists(const std::string& host) const;  // whether the list names it now
-  std::size_t listed() const;                 // how many it names
-  std::size_t out() const;                    // of these, those that are not ready: by hand, or draining
-  std::vector<ListedBackend> all() const;     // as the list last had them, out by hand as draining
-  std::string text() const;                   // in discovery's form
+  bool lists(const std::string& host) const;  // whether the current list names it
+  std::size_t listed() const;                 // how many backends the list names
+  std::size_t out() const;                    // how many of these are not ready: banned or draining
+  std::vector<ListedBackend> all() const;     // as in the last list; banned ones as draining
+  std::string text() const;                   // in discovery's format
   std::optional<SubsetCounters> subset_counters() const {
     return part_ ? std::optional(part_->counters()) : std::nullopt;
   }
-  // The backend, cell or zone of that name, as this process sees it now; none: it knows none.
+  // The current state of the backend, cell or zone of that name; nothing if it is unknown.
   std::optional<Seen> see(Unit::Kind kind, const std::string& name);
-  std::uint64_t changes() const { return changes_; }  // of the list, counted
+  std::uint64_t changes() const { return changes_; }  // number of changes of the list
 
  private:
   struct Known {
     std::string host;  // empty: the number is free
     std::string dial;
-    ListedBackend listed;  // as the list last had it
+    ListedBackend listed;  // as in the last list
     bool ready = false;
     bool gone = false;
-    bool leaving = false;  // its number is to be given back
-    int uses = 0;          // probes under way, and attempts and requests that are open, that name it
-    int silences = 0;      // in a row
+    bool leaving = false;  // its number is to be recycled
+    int uses = 0;          // requests, attempts and probes that refer to it
+    int silences = 0;      // attempts and probes in a row without an answer
   };
 
   int zone_number(const std::string& name);
@@ -109,14 +108,14 @@
   std::vector<BackendId> free_;
   std::size_t ready_ = 0;
   std::vector<Restarted> restarted_;
-  std::vector<BackendId> leaving_;  // numbers of those that are gone, to be given back
+  std::vector<BackendId> leaving_;  // numbers of gone backends, to be recycled
   Units units_;
-  std::uint64_t units_of_ = ~std::uint64_t{0};  // the list that these are of
+  std::uint64_t units_of_ = ~std::uint64_t{0};  // value of changes_ that units_ was built from
   std::uint64_t changes_ = 0;
-  std::optional<SubsetSelection> part_;  // where the module sees not all
+  std::optional<SubsetSelection> part_;  // set where the policy sees only a subset
 };
 
-// A list in discovery's form, whole, with the number that makes discovery tell its own.
+// A whole list in discovery's format, with the version that makes discovery send its own list next.
 std::string list_text(const std::vector<ListedBackend>& all);
 
 }  // namespace shorelead::node
--- a/src/node/saved_list_copy.cpp
+++ b/src/node/saved_list_copy.cpp
@@ -7,7 +7,7 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kKeepEvery = 5000;  // the list goes to the disk at most so often
+constexpr Millis kKeepEvery = 5000;  // shortest time between two writes
 
 }  // namespace
 
@@ -36,7 +36,7 @@
   write_later();
 }
 
-// Not for each change: the disk is slow, and a list some seconds old will do.
+// Not for each change: disks are slow, and a list some seconds old is good enough.
 void SavedListCopy::write_later() {
   if (write_at_ != 0) return;
   write_at_ = loop_.after(kKeepEvery, [this] {
--- a/src/node/saved_list_copy.h
+++ b/src/node/saved_list_copy.h
@@ -1,5 +1,5 @@
-// A pool's copy of its last list in a file, for a start while nobody tells one. Owns the file's writer and
-// when it writes; it must never judge how old a copy may be.
+// Saves a pool's list to a file, for a start while no source answers. Owns the file's writer and its timing;
+// it does not judge how old a saved list may be.
 #pragma once
 
 #include <functional>
@@ -16,21 +16,21 @@
 
 class SavedListCopy {
  public:
-  // `view`: what is kept, and outlives this.
+  // `view`: the members to save; it must outlive this object.
   SavedListCopy(Loop& loop, std::string path, std::string pool, const membership::View& view);
   ~SavedListCopy();
   SavedListCopy(const SavedListCopy&) = delete;
   SavedListCopy& operator=(const SavedListCopy&) = delete;
 
-  std::optional<List> load() const;  // whole; none where there is none, or it cannot be used
-  void changed();                    // the view has: it is written soon
+  std::optional<List> load() const;  // the whole saved list; nothing if there is none or it is unusable
+  void changed();                    // the view has changed; it is written soon
 
  private:
   void write_later();
 
   Loop& loop_;
   const std::string path_;
-  const std::string pool_;  // its name, for the log
+  const std::string pool_;  // the pool's name, for the log
   const membership::View& view_;
   membership::SavedListWriter writer_;
   bool changed_ = false;
--- a/src/node/start_times.h
+++ b/src/node/start_times.h
@@ -1,7 +1,6 @@
-// When backends last started, by the loop's clock. Lists label it by the wall clock, which may have been
-// stepped before or since; a label is resolved when it is first seen and stays so for as long as the list has
-// it, so that a later step makes no backend younger or older. Owns what was resolved; it must never drop an
-// entry of a list.
+// When backends last started, by the loop's clock. Lists give it by the wall clock, which may have been
+// stepped before or since. A label is converted when first seen and keeps that value while the list has it,
+// so that a later step makes no backend younger or older.
 #pragma once
 
 #include <functional>
@@ -15,16 +14,16 @@
 
 class StartTimes {
  public:
-  // `from_wall`: the loop's time of what the wall clock labelled so, as far as can be told now.
+  // `from_wall`: converts a wall-clock time to the loop's clock, as well as can be told now.
   explicit StartTimes(std::function<Millis(Millis label)> from_wall) : from_wall_(std::move(from_wall)) {}
 
-  // The same list with births by the loop's clock.
+  // Returns the same list with start times by the loop's clock.
   List resolve(List list) {
     std::unordered_map<std::string, StartTime> before;
     if (list.whole) before.swap(start_times_);
     for (ListedBackend& backend : list.backends) {
       const Millis label = backend.born;
-      if (label <= 0) continue;  // long past
+      if (label <= 0) continue;  // long ago
       const auto& known = list.whole ? before : start_times_;
       const auto found = known.find(backend.host);
       const bool same = found != known.end() && found->second.label == label;
@@ -44,7 +43,7 @@
   };
 
   const std::function<Millis(Millis)> from_wall_;
-  std::unordered_map<std::string, StartTime> start_times_;  // of those listed
+  std::unordered_map<std::string, StartTime> start_times_;  // of the listed backends
 };
 
 }  // namespace shorelead::node
--- a/src/node/subset_selection.cpp
+++ b/src/node/subset_selection.cpp
@@ -9,9 +9,8 @@
 namespace shorelead::node {
 namespace {
 
-// Changes of the fleet are gathered for so long before a subset is drawn anew, since a drawing costs by the
-// fleet. A member that drains is told to the module at once; who takes its place comes well before its grace
-// ends.
+// Changes of the fleet are gathered for this long before a new selection, as its cost grows with the fleet. A
+// member that drains is reported at once; its replacement follows well before its grace period ends.
 constexpr Millis kDrawEvery = 100;
 
 }  // namespace
@@ -31,7 +30,7 @@
   }
   const auto take_in = [this, &entries](const Listed& listed) {
     const auto known_as = fleet_.find(listed.host);
-    if (known_as != fleet_.end() && known_as->second == listed) return;  // as it was
+    if (known_as != fleet_.end() && known_as->second == listed) return;  // unchanged
     if (endpoints_.known(listed.host)) entries.push_back(listed);
     put(listed);
   };
@@ -78,7 +77,7 @@
   if (change.empty()) return std::nullopt;
   std::vector<Listed> entries;
   for (const std::string& host : change.removed) {
-    // To the module one that is no longer a member is gone; what is under way there goes on.
+    // To the policy a backend that is no longer a member is gone; requests in progress there go on.
     const auto it = fleet_.find(host);
     if (!endpoints_.known(host) || (it != fleet_.end() && it->second.health != "ready")) continue;
     entries.emplace_back();
--- a/src/node/subset_selection.h
+++ b/src/node/subset_selection.h
@@ -1,6 +1,5 @@
-// The part of a large fleet that one node works with: all that are listed, and the drawing of members among
-// them. Owns both, and when it is time to draw anew; it must never know the numbers that the module has for
-// backends.
+// The subset of a large fleet that one node works with: all listed backends, and the selection of members
+// among them. Decides when to select anew. It does not know the policy's numbers of backends.
 #pragma once
 
 #include <functional>
@@ -21,29 +20,30 @@
   std::size_t borrowed = 0;
   int lots = 0;
   std::uint64_t drawings = 0;
-  std::uint64_t changes = 0;  // members taken in or given up
+  std::uint64_t changes = 0;  // members added or removed
 };
 
 class SubsetSelection {
  public:
   using Listed = membership::Member;
-  // What the endpoint list knows beside.
+  // What it needs to know from the endpoint list.
   struct EndpointLookup {
     std::function<int(const std::string& zone)> zone_number;
-    std::function<bool(const Listed&)> ready;            // by the list, and not out by hand
-    std::function<bool(const std::string& host)> known;  // to the module
+    std::function<bool(const Listed&)> ready;            // by the list, and not banned
+    std::function<bool(const std::string& host)> known;  // to the policy
   };
 
   SubsetSelection(const subset::Options& options, const subset::Place& place, EndpointLookup endpoints)
       : endpoints_(std::move(endpoints)), place_(place), subset_(options, place) {}
 
-  // Takes a list in; says what of it concerns members as they are, without waiting for a drawing.
+  // Applies a list; returns the changes that concern current members and need not wait for the next
+  // selection.
   std::vector<Listed> take(const std::vector<Listed>& list, bool whole);
-  void changed(const Listed& listed);  // whether it is ready may have
+  void changed(const Listed& listed);  // its readiness may have changed
   void heard(const std::string& host, bool answers);
 
-  Millis draw_at() const;  // 0 = nothing has changed
-  // Who is to be told to the module as come or gone; none: nobody.
+  Millis draw_at() const;  // when to select next; 0 = nothing has changed
+  // Selects anew; returns the members to report as added or gone, or nothing if there are none.
   std::optional<std::vector<Listed>> draw(Millis now);
 
   const std::unordered_map<std::string, Listed>& fleet() const { return fleet_; }
--- a/src/node/watch_backoff.h
+++ b/src/node/watch_backoff.h
@@ -1,6 +1,6 @@
-// When a watch on the list that has ended is opened anew, as far as the host sees to it. Pure: the end of a
-// watch and a random number in, a wait out. It must never ask in the module's place where a call failed:
-// calls are spread over what discovery bears.
+// When to reopen a watch on the list that has ended, where the host decides that. Pure: the end of a watch
+// and a random number in, a delay out. Where lists are requested and a call failed, the policy decides
+// instead, and spreads calls over what discovery can serve.
 #pragma once
 
 #include <algorithm>
@@ -13,26 +13,28 @@
 
 class WatchBackoff {
  public:
-  // Pushed lists: the host alone asks. What is there counts from the first moment, so it asks soon where
-  // nobody is there to be kept busy, and ever later where calls are turned away.
+  // Pushed lists: only the host calls. Changes bind from the moment discovery has them, so it calls again
+  // soon after a failure, and with growing delays where discovery rejects calls.
   static constexpr Millis kLeast = 200;
   static constexpr Millis kMost = 2000;
-  // One that fell silent, or came to no word at all, is broken, however often: what it misses counts as told
-  // 6 s after its last word, of which 3 s are needed to notice and 2 s are what discovery lets a call wait.
-  // The rest is what calls can be spread over. One that waits too long there is told so, in words.
+  // A watch that fell silent or never got a response is broken, however often that happens: changes it misses
+  // bind 6 s after its last data, of which 3 s are needed to detect the silence and 2 s are how long
+  // discovery lets a call wait. Calls can be spread over the rest. A call that waited too long at discovery
+  // gets an explicit rejection.
   static constexpr Millis kEachNode = 50;
   static constexpr Millis kMostAfterSilence = 1000;
   static constexpr Millis kLocalFailure = 20;
-  static constexpr double kUnconnected = 3;  // times as long where no connection came up, known after 1 s
+  // Factor where no connection was established, which is known after 1 s.
+  static constexpr double kUnconnected = 3;
 
-  void told() { wait_ = 0; }                // a list came
-  void reset() { *this = WatchBackoff(); }  // discovery is another
+  void told() { wait_ = 0; }                // a list arrived
+  void reset() { *this = WatchBackoff(); }  // discovery has another address
 
-  // In how long the host is to open it anew; none: the module says when. `asked`: lists are to be asked for;
-  // `nodes`: that do so; `random` is of [0, 1).
+  // The delay until the host reopens the watch; nothing where the policy decides. `asked`: lists are
+  // requested, not pushed; `nodes`: how many nodes call; `random` is in [0, 1).
   std::optional<Millis> ended(net::Ending ending, bool asked, int nodes, double random) {
     using net::Ending;
-    // Nobody has been asked: this machine could not even begin, which passes.
+    // A local failure to connect: discovery was not called, and the cause usually passes.
     if (ending == Ending::kLocalFailure || ending == Ending::kNoDescriptor) return kLocalFailure;
     const Millis spread = std::min(kEachNode * nodes, kMostAfterSilence);
     if (ending == Ending::kSilent || ending == Ending::kTimeout) return spread * random;
