--- a/src/membership/saved_list.cpp
+++ b/src/membership/saved_list.cpp
@@ -14,8 +14,8 @@
 namespace shorelead::membership {
 namespace {
 
-constexpr std::string_view kForm = "shorelead-list ";
-constexpr std::size_t kMostFile = 256U << 20;
+constexpr std::string_view kMagic = "shorelead-list ";
+constexpr std::size_t kMaxFileBytes = 256U << 20;
 
 std::string checksum(std::string_view bytes) {
   char text[17];
@@ -35,23 +35,24 @@
         .append(registry::member_value(member))
         .append("\n");
   }
-  std::string text(kForm);
+  std::string text(kMagic);
   text.append("1 ").append(checksum(body)).append(" ").append(std::to_string(body.size())).append(" ");
   text.append(std::to_string(static_cast<long long>(now))).append("\n");
   return text.append(body);
 }
 
 std::optional<SavedList> read_saved_list(const std::string& text, std::string& cause) {
-  if (text.compare(0, kForm.size(), kForm) != 0) return cause = "it is no kept list", std::nullopt;
+  if (text.compare(0, kMagic.size(), kMagic) != 0) return cause = "it is no kept list", std::nullopt;
   const std::size_t end = text.find('\n');
   if (end == std::string::npos) return cause = "it is torn", std::nullopt;
-  std::istringstream head(text.substr(kForm.size(), end - kForm.size()));
-  int form = 0;
+  std::istringstream head(text.substr(kMagic.size(), end - kMagic.size()));
+  int version = 0;
   std::string sum;
   std::size_t size = 0;
   long long written = 0;
-  if (!(head >> form)) return cause = "it is no kept list", std::nullopt;
-  if (form != 1) return cause = "its form is " + std::to_string(form) + ", this node knows 1", std::nullopt;
+  if (!(head >> version)) return cause = "it is no kept list", std::nullopt;
+  if (version != 1)
+    return cause = "its form is " + std::to_string(version) + ", this node knows 1", std::nullopt;
   if (!(head >> sum >> size >> written)) return cause = "its first line is damaged", std::nullopt;
   const std::string_view body = std::string_view(text).substr(end + 1);
   if (body.size() != size) {
@@ -79,7 +80,7 @@
   files::ReadResult file = files::read_whole(path);
   if (file.status == files::ReadStatus::kAbsent) return std::nullopt;
   if (file.status == files::ReadStatus::kFailed) return cause = file.cause, std::nullopt;
-  if (file.text.size() > kMostFile) return cause = "it is over 256 MiB", std::nullopt;
+  if (file.text.size() > kMaxFileBytes) return cause = "it is over 256 MiB", std::nullopt;
   return read_saved_list(file.text, cause);
 }
 
@@ -97,24 +98,24 @@
   return busy_;
 }
 
-void SavedListWriter::keep(std::string text) {
+void SavedListWriter::write(std::string text) {
   if (thread_.joinable()) thread_.join();
   {
     const std::lock_guard lock(mutex_);
     busy_ = true;
   }
   thread_ = std::thread([this, text = std::move(text)] {
-    auto trouble = store_saved_list(path_, text);
+    auto error = store_saved_list(path_, text);
     const std::lock_guard lock(mutex_);
-    written_ += trouble ? 0 : 1;
-    trouble_ = std::move(trouble);
+    written_ += error ? 0 : 1;
+    error_ = std::move(error);
     busy_ = false;
   });
 }
 
-std::optional<std::string> SavedListWriter::trouble() {
+std::optional<std::string> SavedListWriter::take_error() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(trouble_, std::nullopt);
+  return std::exchange(error_, std::nullopt);
 }
 
 std::uint64_t SavedListWriter::written() const {
--- a/src/membership/saved_list.h
+++ b/src/membership/saved_list.h
@@ -38,8 +38,8 @@
   ~SavedListWriter();
 
   bool busy() const;
-  void keep(std::string text);           // not while busy
-  std::optional<std::string> trouble();  // of the last writing, told once
+  void write(std::string text);             // not while busy
+  std::optional<std::string> take_error();  // of the last writing, told once
   std::uint64_t written() const;
 
  private:
@@ -48,7 +48,7 @@
   std::thread thread_;
   bool busy_ = false;
   std::uint64_t written_ = 0;
-  std::optional<std::string> trouble_;
+  std::optional<std::string> error_;
 };
 
 }  // namespace shorelead::membership
--- a/src/node/backend_source.cpp
+++ b/src/node/backend_source.cpp
@@ -9,7 +9,7 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kViewEvery = 250;
+constexpr Millis kViewInterval = 250;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
     registry_ = std::make_unique<membership::registry::Client>(
         loop_, *config.registry, *view_, 0, seed,
         membership::registry::Client::Listener{
-            [this](const membership::Update& update) { tell(update); },
+            [this](const membership::Update& update) { report_changes(update); },
             [this] {
               spdlog::info("pool {}: the registry's list is there, {} boxes", config_.name, view_->size());
             },
@@ -45,32 +45,32 @@
 }
 
 BackendSource::~BackendSource() {
-  loop_.cancel(rewatch_);
-  loop_.cancel(view_tick_);
+  loop_.cancel(rewatch_timer_);
+  loop_.cancel(view_timer_);
 }
 
 // With a view, which decides itself what to believe, the list never expires.
-void BackendSource::take_terms() {
+void BackendSource::update_lease_terms() {
   if (lease_ && !view_) lease_->adopt(config_.settings);
 }
 
 void BackendSource::adopt(const Settings& settings) {
   config_.settings = settings;
-  take_terms();
+  update_lease_terms();
 }
 
 void BackendSource::start() {
-  take_terms();
+  update_lease_terms();
   // The saved list may be of any age. The source will correct it; until then failed attempts and probes do.
-  if (const auto kept = saved_list_copy_ ? saved_list_copy_->load() : std::nullopt)
-    hand_on(*kept, ListSource::kStored);
+  if (const auto saved = saved_list_copy_ ? saved_list_copy_->load() : std::nullopt)
+    forward(*saved, ListSource::kStored);
   if (view_) tick_view();
   if (registry_) return registry_->start();
-  if (!discovery_) return take_backends();
+  if (!discovery_) return apply_configured_list();
   if (!config_.settings.list_on_request) discovery_->watch();
 }
 
-void BackendSource::hand_on(const List& list, ListSource from) {
+void BackendSource::forward(const List& list, ListSource from) {
   listener_.list(start_times_.resolve(list), from);
 }
 
@@ -79,38 +79,38 @@
 }
 
 void BackendSource::follow(const PoolConfig& config) {
-  const bool backends = config.known.backends != config_.known.backends;
+  const bool backends_changed = config.known.backends != config_.known.backends;
   const std::optional<Poco::Net::SocketAddress> before = config_.discovery;
   config_ = config;
   if (registry_) return;
   if (!discovery_) {
-    if (backends) take_backends();
+    if (backends_changed) apply_configured_list();
     return;
   }
-  const bool waited = rewatch_ != 0;
-  loop_.cancel(rewatch_);
+  const bool reconnecting = rewatch_timer_ != 0;
+  loop_.cancel(rewatch_timer_);
   watch_backoff_.reset();
-  take_terms();
+  update_lease_terms();
   if (config.discovery != before) lease_->address_changed();
   discovery_->change_address(*config.discovery);
-  if (waited || !config_.settings.list_on_request) discovery_->watch();
+  if (reconnecting || !config_.settings.list_on_request) discovery_->watch();
 }
 
 // The list in the configuration is complete by itself.
-void BackendSource::take_backends() {
+void BackendSource::apply_configured_list() {
   List list = config_.known;
   list.whole = true;
   list_changed(list);
 }
 
-bool BackendSource::told() const {
+bool BackendSource::has_current_list() const {
   if (registry_) return registry_->synced();
   return !discovery_ || discovery_->has_list();
 }
 
 // Passes discovery's lists through the view. A whole list with a version lower than the last one comes from a
 // discovery that lost its state, and begins a new epoch.
-membership::Update BackendSource::through_view(const List& list) {
+membership::Update BackendSource::apply_to_view(const List& list) {
   const Millis now = loop_.now();
   if (list.whole) {
     std::vector<membership::Entry> entries;
@@ -127,17 +127,17 @@
 }
 
 // Passes on the changes that the view has accepted.
-void BackendSource::tell(const membership::Update& update) {
+void BackendSource::report_changes(const membership::Update& update) {
   if (registry_ && registry_->follower().counters().unreadable !=
-                       std::exchange(unreadable_, registry_->follower().counters().unreadable)) {
+                       std::exchange(logged_unreadable_, registry_->follower().counters().unreadable)) {
     spdlog::error("pool {}: a value in the registry is no box, which stays as it was: {}", config_.name,
                   registry_->follower().last_unreadable());
   }
   List list;
-  list.version = ++list_number_;
+  list.version = ++last_list_number_;
   list.backends = update.changes;
   if (!update.changes.empty() || discovery_) {
-    hand_on(list, ListSource::kWatch);
+    forward(list, ListSource::kWatch);
   }
   if (view_->held() > 0) {
     spdlog::warn("pool {}: {} boxes vanished at once and are held to be there until the source says so again",
@@ -148,7 +148,7 @@
 
 // Runs what is due in the view, and logs when its source has become stale or is heard of again.
 void BackendSource::tick_view() {
-  view_tick_ = loop_.after(kViewEvery, [this] {
+  view_timer_ = loop_.after(kViewInterval, [this] {
     tick_view();
     const Millis now = loop_.now();
     const bool stale = view_->last_heard() > 0 && view_->stale(now);
@@ -161,14 +161,14 @@
     const auto due = view_->next();
     if (!due || *due > now) return;
     const membership::Update update = view_->tick(now);
-    if (!update.changes.empty()) tell(update);
+    if (!update.changes.empty()) report_changes(update);
     // A watch from version 0 brings the whole list.
-    if (update.ask_again && discovery_) discovery_->watch_from_start();
+    if (update.refetch && discovery_) discovery_->watch_from_start();
   });
 }
 
 void BackendSource::list_changed(const List& list) {
-  watch_backoff_.told();
+  watch_backoff_.list_received();
   std::size_t ready = 0;
   std::size_t draining = 0;
   for (const ListedBackend& backend : list.backends) {
@@ -177,8 +177,8 @@
   }
   spdlog::info("pool {}: list {}: {}, {} ready, {} draining, {} gone", config_.name, list.version,
                list.whole ? "whole" : "changes", ready, draining, list.backends.size() - ready - draining);
-  if (view_ && discovery_) return tell(through_view(list));
-  hand_on(list, ListSource::kWatch);
+  if (view_ && discovery_) return report_changes(apply_to_view(list));
+  forward(list, ListSource::kWatch);
 }
 
 void BackendSource::watch_ended(Ending ending) {
@@ -189,25 +189,25 @@
       "pool {}: watch on the list ended: {}, begun {:.2f} s and silent {:.2f} s before, {} bytes unfinished",
       config_.name, name_of(ending), end.duration / 1000, end.silence / 1000, end.incomplete_bytes);
   // An agent that is down shows as a connection that ends before any byte of a response, or as silence.
-  const bool in_words =
+  const bool answered =
       ending == Ending::kTurnedAway || ending == Ending::kErred || ending == Ending::kMalformed;
-  unreached_ = !in_words;
+  unreached_ = !answered;
   const double random = std::uniform_real_distribution<double>(0, 1)(jitter_);
-  const auto wait =
-      watch_backoff_.ended(ending, config_.settings.list_on_request, config_.settings.instances, random);
+  const auto wait = watch_backoff_.delay_after(ending, config_.settings.list_on_request,
+                                               config_.settings.instances, random);
   if (!wait) return listener_.watch_ended();
-  loop_.cancel(rewatch_);  // a pending reconnect, overtaken by a call of the policy's
-  rewatch_ = loop_.after(*wait, [this] {
-    rewatch_ = 0;
+  loop_.cancel(rewatch_timer_);  // a pending reconnect, overtaken by a call of the policy's
+  rewatch_timer_ = loop_.after(*wait, [this] {
+    rewatch_timer_ = 0;
     discovery_->watch();
   });
 }
 
-void BackendSource::log_counters(const std::string& before) const {
+void BackendSource::log_counters(const std::string& prefix) const {
   const Millis now = loop_.now();
-  const Millis told = discovery_ ? discovery_->last_received() : now;
-  spdlog::info("counters: {}list version={} age_s={:.1f} watches={} {}", before,
-               discovery_ ? discovery_->version() : 0, told > 0 ? (now - told) / 1000 : -1.0,
+  const Millis received_at = discovery_ ? discovery_->last_received() : now;
+  spdlog::info("counters: {}list version={} age_s={:.1f} watches={} {}", prefix,
+               discovery_ ? discovery_->version() : 0, received_at > 0 ? (now - received_at) / 1000 : -1.0,
                discovery_ ? discovery_->calls() : 0,
                listed(watch_endings_, [](Ending e) { return std::string(name_of(e)); }));
   if (view_) {
@@ -216,7 +216,7 @@
         "counters: {}view boxes={} ready={} held={} stale={} heard_age_s={:.1f} snapshots={} changes={} "
         "older={} "
         "behind={} holds={} believed={} restored={} kept_out={} flaps={} moved={}",
-        before, view_->size(), view_->ready(), view_->held(), view_->stale(now) ? 1 : 0,
+        prefix, view_->size(), view_->ready(), view_->held(), view_->stale(now) ? 1 : 0,
         view_->last_heard() > 0 ? (now - view_->last_heard()) / 1000 : -1.0, v.snapshots, v.changes, v.older,
         v.behind, v.held, v.believed, v.restored, v.kept_out, v.flaps, v.moved);
   }
@@ -225,7 +225,7 @@
     spdlog::info(
         "counters: {}registry revision={} ranges={} watches={} resumed={} compacted={} behind={} epochs={} "
         "deaf={} unreadable={} failures={}",
-        before, view_->revision(0), r.ranges, r.watches, r.resumed, r.compacted, r.behind, r.epochs, r.deaf,
+        prefix, view_->revision(0), r.ranges, r.watches, r.resumed, r.compacted, r.behind, r.epochs, r.deaf,
         r.unreadable, r.failures);
   }
 }
--- a/src/node/backend_source.h
+++ b/src/node/backend_source.h
@@ -43,24 +43,24 @@
 
   // The list known before the start, with start times by the loop's clock.
   List known() { return start_times_.resolve(config_.known); }
-  bool told() const;  // whether it has a list that arrived since the start
+  bool has_current_list() const;  // whether it has a list that arrived since the start
   // Whether no call since the start has reached discovery, so that no list can have arrived.
   bool unreached() const { return unreached_ && discovery_->last_received() == 0; }
   // Whether discovery pushes lists, and no copy of a list is kept for times without it.
   bool pushed() const { return discovery_ && !config_.settings.list_on_request && !saved_list_copy_; }
   // Whether an old list has to be confirmed by health checks.
   bool expires() const { return lease_ && !view_ && config_.settings.drain_grace.has_value(); }
-  void log_counters(const std::string& before) const;
+  void log_counters(const std::string& prefix) const;
 
  private:
-  void hand_on(const List& list, ListSource from);
-  void take_backends();
+  void forward(const List& list, ListSource from);
+  void apply_configured_list();
   void list_changed(const List& list);
   void watch_ended(Ending ending);
-  void tell(const membership::Update& update);
-  membership::Update through_view(const List& list);
+  void report_changes(const membership::Update& update);
+  membership::Update apply_to_view(const List& list);
   void tick_view();
-  void take_terms();
+  void update_lease_terms();
 
   Loop& loop_;
   PoolConfig config_;
@@ -73,11 +73,11 @@
   std::unique_ptr<SavedListCopy> saved_list_copy_;
   bool stale_ = false;
   bool unreached_ = false;
-  std::uint64_t unreadable_ = 0;   // count already reported in the log
-  std::uint64_t epoch_ = 1;        // of discovery's version numbers
-  std::uint64_t list_number_ = 0;  // of lists passed on, where the source has no version
-  Loop::TimerId view_tick_ = 0;
-  Loop::TimerId rewatch_ = 0;
+  std::uint64_t logged_unreadable_ = 0;  // count already reported in the log
+  std::uint64_t epoch_ = 1;              // of discovery's version numbers
+  std::uint64_t last_list_number_ = 0;   // of lists passed on, where the source has no version
+  Loop::TimerId view_timer_ = 0;
+  Loop::TimerId rewatch_timer_ = 0;
   WatchBackoff watch_backoff_;
   std::mt19937_64 jitter_;
   std::map<Ending, std::uint64_t> watch_endings_;
--- a/src/node/endpoint_list.cpp
+++ b/src/node/endpoint_list.cpp
@@ -9,33 +9,34 @@
 namespace {
 
 // Attempts and probes in a row without an answer after which a member's capacity is not counted.
-constexpr int kSilences = 3;
+constexpr int kMaxUnanswered = 3;
 
 }  // namespace
 
 EndpointList::EndpointList(const HostSettings& host, const FleetOptions& fleet) : zones_(host.zones) {
   if (!fleet.subset) return;
-  part_.emplace(*fleet.subset, fleet.place,
-                SubsetSelection::EndpointLookup{
-                    [this](const std::string& zone) { return zone_number(zone); },
-                    [this](const ListedBackend& one) { return state_with_bans(one) == BackendState::kReady; },
-                    [this](const std::string& name) { return numbers_.count(name) > 0; }});
-}
-
-std::optional<EndpointList::Told> EndpointList::take(const List& list, ListKind kind, Millis now) {
-  give_back_numbers();
-  if (!part_) return told(list.backends, kind);
-  const std::vector<ListedBackend> entries = part_->take(list.backends, kind != ListKind::kDelta);
-  if (kind != ListKind::kStored) return told(entries, ListKind::kDelta);
-  const auto drawn = part_->draw(now);
-  return told(drawn.value_or(std::vector<ListedBackend>()), kind);
-}
-
-EndpointList::Told EndpointList::told(const std::vector<ListedBackend>& entries, ListKind kind) {
-  Told told;
-  ListUpdate& update = told.update;
+  subset_.emplace(
+      *fleet.subset, fleet.place,
+      SubsetSelection::EndpointLookup{
+          [this](const std::string& zone) { return zone_number(zone); },
+          [this](const ListedBackend& one) { return state_with_bans(one) == BackendState::kReady; },
+          [this](const std::string& name) { return numbers_.count(name) > 0; }});
+}
+
+std::optional<EndpointList::Changes> EndpointList::take(const List& list, ListKind kind, Millis now) {
+  recycle_numbers();
+  if (!subset_) return make_changes(list.backends, kind);
+  const std::vector<ListedBackend> entries = subset_->take(list.backends, kind != ListKind::kDelta);
+  if (kind != ListKind::kStored) return make_changes(entries, ListKind::kDelta);
+  const auto drawn = subset_->draw(now);
+  return make_changes(drawn.value_or(std::vector<ListedBackend>()), kind);
+}
+
+EndpointList::Changes EndpointList::make_changes(const std::vector<ListedBackend>& entries, ListKind kind) {
+  Changes result;
+  ListUpdate& update = result.update;
   update.kind = kind;
-  update.sharing = part_ ? part_->holders() : 0;
+  update.sharing = subset_ ? subset_->holders() : 0;
   std::vector<char> named(kind == ListKind::kDelta ? 0 : backends_.size(), 0);
   for (const ListedBackend& listed : entries) {
     const std::optional<BackendId> number = number_of(listed);
@@ -49,26 +50,26 @@
     entry.started = bans_.started(listed.host, listed.born);
     entry.size = listed.size;
     if (*number < named.size()) named[*number] = 1;
-    Known& known = backends_[entry.backend];
-    if (known.ready && listed.born > 0 && listed.born != known.listed.born)
+    Endpoint& endpoint = backends_[entry.backend];
+    if (endpoint.ready && listed.born > 0 && listed.born != endpoint.listed.born)
       restarted_.push_back({*number, listed.born});
-    if (!listed.dial.empty()) known.dial = listed.dial;
-    if (&known.listed != &listed) known.listed = listed;
-    const bool was = set_ready(known, entry.state == BackendState::kReady);
-    if (was && !known.ready) told.unwanted.push_back(*number);
-    if (!was && known.ready) known.silences = 0;  // earlier silence says nothing about it now
-    known.gone = false;
-    if (state_of(listed.health) == BackendState::kGone) leave(*number);
+    if (!listed.dial.empty()) endpoint.dial = listed.dial;
+    if (&endpoint.listed != &listed) endpoint.listed = listed;
+    const bool was_ready = set_ready(endpoint, entry.state == BackendState::kReady);
+    if (was_ready && !endpoint.ready) result.unwanted.push_back(*number);
+    if (!was_ready && endpoint.ready) endpoint.unanswered = 0;  // earlier silence says nothing about it now
+    endpoint.gone = false;
+    if (state_of(listed.health) == BackendState::kGone) mark_gone(*number);
     update.entries.push_back(entry);
   }
   for (BackendId number = 0; number < named.size(); ++number) {
-    Known& known = backends_[number];
-    if (named[number] || known.host.empty() || known.gone) continue;
-    if (set_ready(known, false)) told.unwanted.push_back(number);
-    leave(number);
+    Endpoint& endpoint = backends_[number];
+    if (named[number] || endpoint.host.empty() || endpoint.gone) continue;
+    if (set_ready(endpoint, false)) result.unwanted.push_back(number);
+    mark_gone(number);
   }
   ++changes_;
-  return told;
+  return result;
 }
 
 // To the policy a banned backend is draining: it gets no new requests and no probes, and its statistics start
@@ -78,35 +79,36 @@
   return state == BackendState::kReady && bans_.out(listed.host) ? BackendState::kDraining : state;
 }
 
-std::optional<EndpointList::Told> EndpointList::take(const manage::BanSet& bans) {
+std::optional<EndpointList::Changes> EndpointList::take(const manage::BanSet& bans) {
   const manage::BanSet before = std::exchange(bans_, bans);
   const auto changed = [&](const ListedBackend& listed) {
     return before.out(listed.host) != bans.out(listed.host) ||
            before.started(listed.host, listed.born) != bans.started(listed.host, listed.born);
   };
   std::vector<ListedBackend> entries;
-  for (const Known& known : backends_) {
-    if (!known.host.empty() && !known.gone && changed(known.listed)) entries.push_back(known.listed);
+  for (const Endpoint& endpoint : backends_) {
+    if (!endpoint.host.empty() && !endpoint.gone && changed(endpoint.listed))
+      entries.push_back(endpoint.listed);
   }
-  if (part_) {
-    for (const auto& [host, listed] : part_->fleet()) {
-      if (changed(listed)) part_->changed(listed);
+  if (subset_) {
+    for (const auto& [host, listed] : subset_->fleet()) {
+      if (changed(listed)) subset_->changed(listed);
     }
   }
   if (entries.empty()) return std::nullopt;
-  return told(entries, ListKind::kDelta);
+  return make_changes(entries, ListKind::kDelta);
 }
 
 std::vector<ListedBackend> EndpointList::all() const {
   std::vector<ListedBackend> all;
-  if (part_) {
-    for (const auto& [host, listed] : part_->fleet()) all.push_back(listed);
+  if (subset_) {
+    for (const auto& [host, listed] : subset_->fleet()) all.push_back(listed);
     return all;
   }
-  for (const Known& known : backends_) {
-    if (known.host.empty() || known.gone) continue;
-    all.push_back(known.listed);
-    all.back().dial = known.dial;
+  for (const Endpoint& endpoint : backends_) {
+    if (endpoint.host.empty() || endpoint.gone) continue;
+    all.push_back(endpoint.listed);
+    all.back().dial = endpoint.dial;
   }
   return all;
 }
@@ -114,31 +116,33 @@
 std::string EndpointList::text() const { return list_text(all()); }
 
 bool EndpointList::lists(const std::string& host) const {
-  if (part_) return part_->fleet().count(host) > 0;
+  if (subset_) return subset_->fleet().count(host) > 0;
   const auto it = numbers_.find(host);
   return it != numbers_.end() && !backends_[it->second].gone;
 }
 
 std::size_t EndpointList::listed() const {
-  if (part_) return part_->fleet().size();
-  return static_cast<std::size_t>(std::count_if(backends_.begin(), backends_.end(),
-                                                [](const Known& k) { return !k.host.empty() && !k.gone; }));
+  if (subset_) return subset_->fleet().size();
+  return static_cast<std::size_t>(std::count_if(
+      backends_.begin(), backends_.end(), [](const Endpoint& k) { return !k.host.empty() && !k.gone; }));
 }
 
 std::size_t EndpointList::out() const {
-  if (!part_) return listed() - ready_;
+  if (!subset_) return listed() - ready_;
   std::size_t count = 0;
-  for (const auto& [host, listed] : part_->fleet()) count += state_with_bans(listed) != BackendState::kReady;
+  for (const auto& [host, listed] : subset_->fleet())
+    count += state_with_bans(listed) != BackendState::kReady;
   return count;
 }
 
 std::optional<Seen> EndpointList::see(Unit::Kind kind, const std::string& name) {
   if (kind != Unit::Kind::kBackend) {
-    if (std::exchange(units_of_, changes_) != changes_) {
+    if (std::exchange(units_version_, changes_) != changes_) {
       units_.clear();
-      for (const Known& known : backends_) {
-        if (known.host.empty() || known.gone) continue;
-        units_.put(known.listed.site, zone_number(known.listed.site), known.listed.cell, known.ready);
+      for (const Endpoint& endpoint : backends_) {
+        if (endpoint.host.empty() || endpoint.gone) continue;
+        units_.put(endpoint.listed.site, zone_number(endpoint.listed.site), endpoint.listed.cell,
+                   endpoint.ready);
       }
     }
     const Seen* const seen = units_.find(kind, name);
@@ -146,42 +150,42 @@
   }
   const auto it = numbers_.find(name);
   if (it == numbers_.end()) return std::nullopt;
-  const Known& known = backends_[it->second];
+  const Endpoint& endpoint = backends_[it->second];
   using affinity::Standing;
   return Seen{{kind, it->second},
-              known.gone    ? Standing::kGone
-              : known.ready ? Standing::kReady
-                            : Standing::kDraining};
+              endpoint.gone    ? Standing::kGone
+              : endpoint.ready ? Standing::kReady
+                               : Standing::kDraining};
 }
 
 // Returns whether it was ready before.
-bool EndpointList::set_ready(Known& known, bool ready) {
-  const bool was = std::exchange(known.ready, ready);
-  if (ready != was) ready ? ++ready_ : --ready_;
-  return was;
+bool EndpointList::set_ready(Endpoint& endpoint, bool ready) {
+  const bool was_ready = std::exchange(endpoint.ready, ready);
+  if (ready != was_ready) ready ? ++ready_ : --ready_;
+  return was_ready;
 }
 
-void EndpointList::leave(BackendId number) {
-  Known& known = backends_[number];
-  known.gone = true;
-  if (!std::exchange(known.leaving, true)) leaving_.push_back(number);
+void EndpointList::mark_gone(BackendId number) {
+  Endpoint& endpoint = backends_[number];
+  endpoint.gone = true;
+  if (!std::exchange(endpoint.awaiting_recycling, true)) to_recycle_.push_back(number);
 }
 
-std::optional<EndpointList::Told> EndpointList::draw(Millis now) {
-  const auto drawn = part_->draw(now);
+std::optional<EndpointList::Changes> EndpointList::draw(Millis now) {
+  const auto drawn = subset_->draw(now);
   if (!drawn) return std::nullopt;
-  give_back_numbers();
-  return told(*drawn, ListKind::kDelta);
+  recycle_numbers();
+  return make_changes(*drawn, ListKind::kDelta);
 }
 
 // Records whether a member answers, for the subset's count of its capacity. Any answer counts.
 void EndpointList::heard(BackendId backend, Outcome outcome) {
-  if (!part_ || outcome == Outcome::kCalledOff || outcome == Outcome::kNotSent) return;
-  Known& known = backends_[backend];
+  if (!subset_ || outcome == Outcome::kCalledOff || outcome == Outcome::kNotSent) return;
+  Endpoint& endpoint = backends_[backend];
   const bool silent = outcome == Outcome::kNoAnswer || outcome == Outcome::kNoConnection;
-  const int before = std::exchange(known.silences, silent ? known.silences + 1 : 0);
-  if (silent ? known.silences != kSilences : before < kSilences) return;
-  part_->heard(known.host, !silent);
+  const int before = std::exchange(endpoint.unanswered, silent ? endpoint.unanswered + 1 : 0);
+  if (silent ? endpoint.unanswered != kMaxUnanswered : before < kMaxUnanswered) return;
+  subset_->set_answering(endpoint.host, !silent);
 }
 
 // The number by which the policy knows this backend; nothing for one that is gone and was never known.
@@ -189,27 +193,27 @@
   const auto it = numbers_.find(listed.host);
   if (it != numbers_.end()) return it->second;
   if (state_of(listed.health) == BackendState::kGone) return std::nullopt;
-  if (free_.empty()) {
-    free_.push_back(static_cast<BackendId>(backends_.size()));
+  if (free_numbers_.empty()) {
+    free_numbers_.push_back(static_cast<BackendId>(backends_.size()));
     backends_.emplace_back();
   }
-  const BackendId number = free_.back();
-  free_.pop_back();
+  const BackendId number = free_numbers_.back();
+  free_numbers_.pop_back();
   backends_[number].host = listed.host;
   return numbers_[listed.host] = number;
 }
 
 // Recycles the numbers of gone backends that nothing refers to any more; otherwise the table would grow with
 // every replaced backend. Done with the next list, when whoever keeps connections by number has closed them.
-void EndpointList::give_back_numbers() {
-  std::erase_if(leaving_, [this](BackendId number) {
-    Known& known = backends_[number];
-    if (known.gone && known.uses > 0) return false;
-    known.leaving = false;
-    if (!known.gone) return true;  // it is back
-    numbers_.erase(known.host);
-    known = Known{};
-    free_.push_back(number);
+void EndpointList::recycle_numbers() {
+  std::erase_if(to_recycle_, [this](BackendId number) {
+    Endpoint& endpoint = backends_[number];
+    if (endpoint.gone && endpoint.uses > 0) return false;
+    endpoint.awaiting_recycling = false;
+    if (!endpoint.gone) return true;  // it is back
+    numbers_.erase(endpoint.host);
+    endpoint = Endpoint{};
+    free_numbers_.push_back(number);
     return true;
   });
 }
--- a/src/node/endpoint_list.h
+++ b/src/node/endpoint_list.h
@@ -42,12 +42,12 @@
 
   // An update for the policy, and the backends that must receive nothing new from now on but might have
   // before.
-  struct Told {
+  struct Changes {
     ListUpdate update;
     std::vector<BackendId> unwanted;
   };
-  std::optional<Told> take(const List& list, ListKind kind, Millis now);
-  std::optional<Told> take(const manage::BanSet& bans);
+  std::optional<Changes> take(const List& list, ListKind kind, Millis now);
+  std::optional<Changes> take(const manage::BanSet& bans);
   // Backends restarted since the last call that were ready before: connections opened to the old process are
   // of no use.
   struct Restarted {
@@ -56,8 +56,8 @@
   };
   std::vector<Restarted> take_restarted() { return std::exchange(restarted_, {}); }
   // When the next subset is drawn; changes of a large fleet are gathered until then. 0 = there are none.
-  Millis draw_at() const { return part_ ? part_->draw_at() : 0; }
-  std::optional<Told> draw(Millis now);
+  Millis draw_at() const { return subset_ ? subset_->draw_at() : 0; }
+  std::optional<Changes> draw(Millis now);
 
   // Requests, attempts and probes in progress that refer to a number keep it in use.
   void use(BackendId backend) { backends_.at(backend).uses += 1; }
@@ -68,51 +68,51 @@
   const std::string& host(BackendId backend) const { return backends_.at(backend).host; }
   bool wanted(BackendId backend) const { return backends_.at(backend).ready; }
   std::size_t ready() const { return ready_; }  // of those known to the policy
-  std::size_t backends() const { return part_ ? part_->counters().fleet : numbers_.size(); }
+  std::size_t backends() const { return subset_ ? subset_->counters().fleet : numbers_.size(); }
   bool lists(const std::string& host) const;  // whether the current list names it
   std::size_t listed() const;                 // how many backends the list names
   std::size_t out() const;                    // how many of these are not ready: banned or draining
   std::vector<ListedBackend> all() const;     // as in the last list; banned ones as draining
   std::string text() const;                   // in discovery's format
   std::optional<SubsetCounters> subset_counters() const {
-    return part_ ? std::optional(part_->counters()) : std::nullopt;
+    return subset_ ? std::optional(subset_->counters()) : std::nullopt;
   }
   // The current state of the backend, cell or zone of that name; nothing if it is unknown.
   std::optional<Seen> see(Unit::Kind kind, const std::string& name);
   std::uint64_t changes() const { return changes_; }  // number of changes of the list
 
  private:
-  struct Known {
+  struct Endpoint {
     std::string host;  // empty: the number is free
     std::string dial;
     ListedBackend listed;  // as in the last list
     bool ready = false;
     bool gone = false;
-    bool leaving = false;  // its number is to be recycled
-    int uses = 0;          // requests, attempts and probes that refer to it
-    int silences = 0;      // attempts and probes in a row without an answer
+    bool awaiting_recycling = false;  // its number is to be recycled
+    int uses = 0;                     // requests, attempts and probes that refer to it
+    int unanswered = 0;               // attempts and probes in a row without an answer
   };
 
   int zone_number(const std::string& name);
   std::optional<BackendId> number_of(const ListedBackend& listed);
-  void give_back_numbers();
-  Told told(const std::vector<ListedBackend>& entries, ListKind kind);
+  void recycle_numbers();
+  Changes make_changes(const std::vector<ListedBackend>& entries, ListKind kind);
   BackendState state_with_bans(const ListedBackend& listed) const;
-  void leave(BackendId number);
-  bool set_ready(Known& known, bool ready);
+  void mark_gone(BackendId number);
+  bool set_ready(Endpoint& endpoint, bool ready);
 
   std::vector<std::string> zones_;
-  std::vector<Known> backends_;
+  std::vector<Endpoint> backends_;
   manage::BanSet bans_;
   std::unordered_map<std::string, BackendId> numbers_;
-  std::vector<BackendId> free_;
+  std::vector<BackendId> free_numbers_;
   std::size_t ready_ = 0;
   std::vector<Restarted> restarted_;
-  std::vector<BackendId> leaving_;  // numbers of gone backends, to be recycled
+  std::vector<BackendId> to_recycle_;  // numbers of gone backends, to be recycled
   Units units_;
-  std::uint64_t units_of_ = ~std::uint64_t{0};  // value of changes_ that units_ was built from
+  std::uint64_t units_version_ = ~std::uint64_t{0};  // value of changes_ that units_ was built from
   std::uint64_t changes_ = 0;
-  std::optional<SubsetSelection> part_;  // set where the policy sees only a subset
+  std::optional<SubsetSelection> subset_;  // set where the policy sees only a subset
 };
 
 // A whole list in discovery's format, with the version that makes discovery send its own list next.
--- a/src/node/saved_list_copy.h
+++ b/src/node/saved_list_copy.h
@@ -26,7 +26,7 @@
   void changed();                    // the view has changed; it is written soon
 
  private:
-  void write_later();
+  void schedule_write();
 
   Loop& loop_;
   const std::string path_;
@@ -34,7 +34,7 @@
   const membership::View& view_;
   membership::SavedListWriter writer_;
   bool changed_ = false;
-  Loop::TimerId write_at_ = 0;
+  Loop::TimerId write_timer_ = 0;
 };
 
 }  // namespace shorelead::node
--- a/src/node/subset_selection.cpp
+++ b/src/node/subset_selection.cpp
@@ -11,7 +11,7 @@
 
 // Changes of the fleet are gathered for this long before a new selection, as its cost grows with the fleet. A
 // member that drains is reported at once; its replacement follows well before its grace period ends.
-constexpr Millis kDrawEvery = 100;
+constexpr Millis kDrawInterval = 100;
 
 }  // namespace
 
@@ -28,15 +28,15 @@
       missing.back().health = "gone";
     }
   }
-  const auto take_in = [this, &entries](const Listed& listed) {
-    const auto known_as = fleet_.find(listed.host);
-    if (known_as != fleet_.end() && known_as->second == listed) return;  // unchanged
+  const auto apply = [this, &entries](const Listed& listed) {
+    const auto entry = fleet_.find(listed.host);
+    if (entry != fleet_.end() && entry->second == listed) return;  // unchanged
     if (endpoints_.known(listed.host)) entries.push_back(listed);
     put(listed);
   };
-  for (const Listed& listed : missing) take_in(listed);
-  for (const Listed& listed : list) take_in(listed);
-  unsettled_ = true;
+  for (const Listed& listed : missing) apply(listed);
+  for (const Listed& listed : list) apply(listed);
+  changed_ = true;
   std::erase_if(entries, [this](const Listed& listed) {
     return !subset_.holds(listed.host) && state_of(listed.health) == BackendState::kReady;
   });
@@ -58,18 +58,18 @@
 
 void SubsetSelection::changed(const Listed& listed) {
   subset_.put({listed.host, endpoints_.zone_number(listed.site), listed.size, endpoints_.ready(listed)});
-  unsettled_ = true;
+  changed_ = true;
 }
 
-void SubsetSelection::heard(const std::string& host, bool answers) {
+void SubsetSelection::set_answering(const std::string& host, bool answers) {
   subset_.set_answering(host, answers);
-  unsettled_ = true;
+  changed_ = true;
 }
 
-Millis SubsetSelection::draw_at() const { return unsettled_ ? drawn_at_ + kDrawEvery : 0; }
+Millis SubsetSelection::draw_at() const { return changed_ ? drawn_at_ + kDrawInterval : 0; }
 
 std::optional<std::vector<SubsetSelection::Listed>> SubsetSelection::draw(Millis now) {
-  unsettled_ = false;
+  changed_ = false;
   drawn_at_ = now;
   ++counters_.drawings;
   const subset::Change change = subset_.settle();
--- a/src/node/subset_selection.h
+++ b/src/node/subset_selection.h
@@ -40,7 +40,7 @@
   // selection.
   std::vector<Listed> take(const std::vector<Listed>& list, bool whole);
   void changed(const Listed& listed);  // its readiness may have changed
-  void heard(const std::string& host, bool answers);
+  void set_answering(const std::string& host, bool answers);
 
   Millis draw_at() const;  // when to select next; 0 = nothing has changed
   // Selects anew; returns the members to report as added or gone, or nothing if there are none.
@@ -58,7 +58,7 @@
   subset::Subset subset_;
   std::unordered_map<std::string, Listed> fleet_;
   Millis drawn_at_ = 0;
-  bool unsettled_ = false;
+  bool changed_ = false;
   SubsetCounters counters_;
 };
 
--- a/tests/crossings/lists_fleet.h
+++ b/tests/crossings/lists_fleet.h
@@ -82,7 +82,7 @@
   static constexpr Millis kTrouble = 60000;
   struct Process {
     Policy policy;
-    WatchBackoff waits;
+    WatchBackoff backoff;
     Millis listed;
   };
 
@@ -124,13 +124,13 @@
     if (in_time || a_.dead_work) free_ = done;
     if (!in_time) return later(now_ + 2000, [this, &one] { ended(one, net::Ending::kTurnedAway); });
     later(done, [this, &one] {
-      one.waits.told();
+      one.backoff.list_received();
       one.listed = now_;
       feed(one, ListUpdate{ListKind::kDelta, {}});
     });
   }
   void ended(Process& one, net::Ending how) {
-    const auto wait = one.waits.ended(how, true, a_.processes, random_.unit());
+    const auto wait = one.backoff.delay_after(how, true, a_.processes, random_.unit());
     if (!wait) return feed(one, ListUpdate{ListKind::kFailed, {}});
     later(now_ + *wait, [this, &one] { call(one); });
   }
--- a/tests/membership/saved_list_test.cpp
+++ b/tests/membership/saved_list_test.cpp
@@ -42,7 +42,7 @@
   EXPECT_EQ(cause, "");  // none was ever kept
   {
     SavedListWriter writer(folder.file());
-    writer.keep(saved_list_text(three(), 123456));
+    writer.write(saved_list_text(three(), 123456));
   }
   const auto list = load_saved_list(folder.file(), cause);
   ASSERT_TRUE(list) << cause;
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -148,10 +148,10 @@
   const auto module = [&random](Millis wait) { return wait * (0.5 + random.unit()); };
   for (int node = 0; node < silent; ++node) {
     WatchBackoff backoff;
-    backoff.told();
+    backoff.list_received();
     const Millis noticed =
         how == Ending::kSilent ? 3000 - 2000 * random.unit() : Discovery::Timeouts().response;
-    const auto wait = backoff.ended(how, true, kNodes, random.unit());
+    const auto wait = backoff.delay_after(how, true, kNodes, random.unit());
     calls.emplace(noticed + (to_module ? module(5000) : wait.value()), to_module ? 10000 : 5000);
   }
   Silence found;
@@ -180,15 +180,15 @@
   // A small fleet, or a node alone, has nobody to wait for.
   for (const double random : {0.0, 0.99}) {
     WatchBackoff backoff;
-    EXPECT_LE(backoff.ended(Ending::kSilent, true, 3, random).value_or(1e9), 150);
+    EXPECT_LE(backoff.delay_after(Ending::kSilent, true, 3, random).value_or(1e9), 150);
     // Silent again with nothing between: as broken as before, and so is a call that came to no connection.
-    EXPECT_LE(backoff.ended(Ending::kSilent, true, 3, random).value_or(1e9), 150);
-    EXPECT_LE(backoff.ended(Ending::kTimeout, true, 3, random).value_or(1e9), 150);
-    EXPECT_LE(backoff.ended(Ending::kConnectTimeout, true, 3, random).value_or(1e9), 450);
-    EXPECT_LE(backoff.ended(Ending::kConnectTimeout, true, 300, random).value_or(1e9), 3000);
-    backoff.told();
-    EXPECT_FALSE(backoff.ended(Ending::kTurnedAway, true, 3, random)) << "a call that failed";
-    EXPECT_LE(backoff.ended(Ending::kTurnedAway, false, 300, random).value_or(1e9), 300) << "pushed";
+    EXPECT_LE(backoff.delay_after(Ending::kSilent, true, 3, random).value_or(1e9), 150);
+    EXPECT_LE(backoff.delay_after(Ending::kTimeout, true, 3, random).value_or(1e9), 150);
+    EXPECT_LE(backoff.delay_after(Ending::kConnectTimeout, true, 3, random).value_or(1e9), 450);
+    EXPECT_LE(backoff.delay_after(Ending::kConnectTimeout, true, 300, random).value_or(1e9), 3000);
+    backoff.list_received();
+    EXPECT_FALSE(backoff.delay_after(Ending::kTurnedAway, true, 3, random)) << "a call that failed";
+    EXPECT_LE(backoff.delay_after(Ending::kTurnedAway, false, 300, random).value_or(1e9), 300) << "pushed";
   }
 }
 
