--- a/src/membership/registry/client.cpp
+++ b/src/membership/registry/client.cpp
@@ -161,7 +161,7 @@
   tick_at_ = loop_.at(*at, [this] {
     tick_at_ = 0;
     const Update update = view_.tick(loop_.now());
-    const bool again = update.ask_again && follower_.watching();
+    const bool again = update.refetch && follower_.watching();
     take(update);
     if (!again) return;
     follower_.ask_whole();
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -6,7 +6,7 @@
 namespace shorelead::membership {
 namespace {
 
-constexpr std::size_t kMostRoom = 1000000;
+constexpr std::size_t kMaxReserve = 1000000;
 
 bool is_ready(const Member& m) { return m.health == "ready"; }
 bool is_draining(const Member& m) { return m.health == "draining"; }
@@ -36,49 +36,49 @@
     update.behind = true;
     return update;
   }
-  source.heard = now;
+  source.last_heard = now;
   source.epoch = epoch;
   source.revision = revision;
   if (part.first) {
-    ++source.round;
-    // Growing step by step would move all that is there, in the middle of some page.
-    const std::size_t room = std::min(part.expected, kMostRoom);
-    source.records.reserve(room);
-    shown_.reserve(room);
-    by_dial_.reserve(room);
+    ++source.snapshot_number;
+    // Reserved once, as growing step by step would rehash everything in the middle of some page.
+    const std::size_t reserve = std::min(part.expected, kMaxReserve);
+    source.records.reserve(reserve);
+    published_.reserve(reserve);
+    by_dial_.reserve(reserve);
   }
-  std::vector<std::string> touched;
+  std::vector<std::string> changed_hosts;
   for (const Entry& entry : entries) {
     if (entry.unreadable) {
       const auto it = source.records.find(entry.member.host);
-      if (it != source.records.end()) it->second.round = source.round;
+      if (it != source.records.end()) it->second.snapshot_number = source.snapshot_number;
       continue;
     }
-    if (put(source, entry, true, now)) touched.push_back(entry.member.host);
-    source.records.at(entry.member.host).round = source.round;
+    if (put(source, entry, true, now)) changed_hosts.push_back(entry.member.host);
+    source.records.at(entry.member.host).snapshot_number = source.snapshot_number;
   }
   if (part.last) {
     ++counters_.snapshots;
     source.known = true;
     for (auto& [host, record] : source.records) {
-      if (!record.there || record.round == source.round) continue;
-      // Its revision stays that of its last change: the next snapshot may have it again as it was. One of
-      // another epoch says nothing in this one, where any news of it is newer.
+      if (!record.present || record.snapshot_number == source.snapshot_number) continue;
+      // Keeps the revision of its last change, as the next snapshot may have it again unchanged. A record of
+      // another epoch gets revision 0, so that any news of this epoch is newer.
       remove(source, record, record.epoch == epoch ? record.revision : 0, !is_draining(record.member), now);
-      touched.push_back(host);
+      changed_hosts.push_back(host);
     }
   }
-  std::sort(touched.begin(), touched.end());
-  settle(touched, now, update);
-  if (part.last) confirm(now, update);
+  std::sort(changed_hosts.begin(), changed_hosts.end());
+  reconcile(changed_hosts, now, update);
+  if (part.last) expire_holds(now, update);
   return update;
 }
 
 Update View::change(int number, const std::vector<Change>& changes, Millis now) {
   Update update;
   Source& source = sources_[static_cast<std::size_t>(number)];
-  source.heard = now;
-  std::vector<std::string> touched;
+  source.last_heard = now;
+  std::vector<std::string> changed_hosts;
   for (const Change& change : changes) {
     ++counters_.changes;
     const Entry& entry = change.entry;
@@ -86,45 +86,45 @@
     const Member& member = entry.member;
     if (entry.unreadable) continue;
     if (is_ready(member) || is_draining(member)) {
-      if (put(source, entry, false, now)) touched.push_back(member.host);
+      if (put(source, entry, false, now)) changed_hosts.push_back(member.host);
       continue;
     }
-    const auto [it, fresh] = source.records.try_emplace(member.host);
+    const auto [it, added] = source.records.try_emplace(member.host);
     Record& record = it->second;
-    if (fresh) {
+    if (added) {
       record.member = member;
       record.epoch = source.epoch;
     }
-    if (!fresh && record.epoch == source.epoch && entry.revision <= record.revision) {
+    if (!added && record.epoch == source.epoch && entry.revision <= record.revision) {
       counters_.older += entry.revision < record.revision;
       continue;
     }
     remove(source, record, entry.revision, change.vanished && !is_draining(record.member), now);
-    touched.push_back(member.host);
+    changed_hosts.push_back(member.host);
   }
-  std::sort(touched.begin(), touched.end());
-  touched.erase(std::unique(touched.begin(), touched.end()), touched.end());
-  settle(touched, now, update);
+  std::sort(changed_hosts.begin(), changed_hosts.end());
+  changed_hosts.erase(std::unique(changed_hosts.begin(), changed_hosts.end()), changed_hosts.end());
+  reconcile(changed_hosts, now, update);
   return update;
 }
 
-void View::heard(int source, Millis now) { sources_[static_cast<std::size_t>(source)].heard = now; }
+void View::heard(int source, Millis now) { sources_[static_cast<std::size_t>(source)].last_heard = now; }
 
-// Whether the record is another one now.
+// Returns whether the record has changed.
 bool View::put(Source& source, const Entry& entry, bool in_snapshot, Millis now) {
-  const auto [it, fresh] = source.records.try_emplace(entry.member.host);
+  const auto [it, added] = source.records.try_emplace(entry.member.host);
   Record& record = it->second;
-  if (!fresh) {
-    // A snapshot may have again, unchanged, what one before it did not have.
-    const bool again = in_snapshot && !record.there && record.vanished && entry.revision == record.revision;
+  if (!added) {
+    // A snapshot may have, unchanged, what the one before it lacked.
+    const bool again = in_snapshot && !record.present && record.vanished && entry.revision == record.revision;
     if (record.epoch == source.epoch && entry.revision <= record.revision && !again) {
       counters_.older += entry.revision < record.revision;
       return false;
     }
-    const bool left = record.there ? is_draining(record.member) : !record.vanished;
+    const bool left = record.present ? is_draining(record.member) : !record.vanished;
     if (record.epoch != source.epoch && in_snapshot && left && is_ready(entry.member) &&
         entry.member.born <= record.member.born) {
-      // Older news under a new epoch's numbers. It stays as it is, until it is changed in this epoch.
+      // Older news under a new epoch's revisions: ignored until the backend is changed in this epoch.
       ++counters_.kept_out;
       record.epoch = source.epoch;
       record.revision = entry.revision;
@@ -132,93 +132,93 @@
     }
   }
   if (!is_ready(entry.member) && !is_draining(entry.member)) {
-    // A word that no node knows: nothing new goes there.
+    // An unknown health value: nothing new goes there.
     record.member = entry.member;
     record.epoch = source.epoch;
     remove(source, record, entry.revision, false, now);
     return true;
   }
-  const bool same = record.there && record.member == entry.member;
+  const bool same = record.present && record.member == entry.member;
   record.member = entry.member;
   record.epoch = source.epoch;
   record.revision = entry.revision;
-  record.there = true;
+  record.present = true;
   record.vanished = false;
   return !same;
 }
 
 void View::remove(Source& source, Record& record, std::uint64_t revision, bool vanished, Millis now) {
-  record.there = false;
+  record.present = false;
   record.vanished = vanished;
   record.epoch = source.epoch;
   record.revision = revision;
   record.gone_at = now;
-  bury(source, record.member.host, now);
+  add_tombstone(source, record.member.host, now);
 }
 
-// Records of those gone are kept for a while, so that older news does not bring them back.
-void View::bury(Source& source, const std::string& host, Millis now) {
+// Keeps tombstones for a while, so that older news does not bring backends back.
+void View::add_tombstone(Source& source, const std::string& host, Millis now) {
   source.tombstones.emplace_back(now, host);
   while (source.tombstones.front().first + options_.remember < now) {
     const auto it = source.records.find(source.tombstones.front().second);
-    const bool still = it != source.records.end() && !it->second.there &&
+    const bool still = it != source.records.end() && !it->second.present &&
                        it->second.gone_at == source.tombstones.front().first;
     if (still) source.records.erase(it);
     source.tombstones.pop_front();
   }
 }
 
-// What all sources together say of it; `vanished`: that it is gone, but not by its own word.
-std::optional<Member> View::told(const std::string& host, bool& vanished) const {
+// Merges what all sources say of a backend; `vanished`: it is gone, but did not announce it.
+std::optional<Member> View::merged(const std::string& host, bool& vanished) const {
   std::optional<Member> member;
-  bool drains = false;
-  bool by_word = false;
-  Millis left_born = -1;
+  bool draining = false;
+  bool announced = false;
+  Millis last_start = -1;
   for (const Source& source : sources_) {
     const auto it = source.records.find(host);
     if (it == source.records.end()) continue;
     const Record& record = it->second;
-    if (record.there) {
+    if (record.present) {
       if (!member) member = record.member;
-      drains = drains || is_draining(record.member);
+      draining = draining || is_draining(record.member);
     } else if (!record.vanished) {
-      by_word = true;
-      left_born = std::max(left_born, record.member.born);
+      announced = true;
+      last_start = std::max(last_start, record.member.born);
     }
   }
-  vanished = !by_word;
-  if (member && by_word && member->born <= left_born) return std::nullopt;
-  if (member && drains) member->health = "draining";
+  vanished = !announced;
+  if (member && announced && member->born <= last_start) return std::nullopt;
+  if (member && draining) member->health = "draining";
   return member;
 }
 
-void View::settle(const std::vector<std::string>& hosts, Millis now, Update& update) {
+void View::reconcile(const std::vector<std::string>& hosts, Millis now, Update& update) {
   std::vector<std::string> losses;
   for (const std::string& host : hosts) {
     bool vanished = false;
-    std::optional<Member> member = told(host, vanished);
-    const auto it = shown_.find(host);
-    if (!member && vanished && it != shown_.end() && is_ready(it->second.member)) {
+    std::optional<Member> member = merged(host, vanished);
+    const auto it = published_.find(host);
+    if (!member && vanished && it != published_.end() && is_ready(it->second.member)) {
       if (held_.count(host) == 0) losses.push_back(host);
       continue;
     }
-    show(host, std::move(member), now, update);
+    publish(host, std::move(member), now, update);
   }
   if (losses.empty()) return;
   if (!below_floor(losses.size(), now)) {
     for (const std::string& host : losses) {
       losses_.push_back(now);
-      hide(host, update);
+      unpublish(host, update);
     }
     return;
   }
   if (held_.empty()) ++counters_.held;
   for (const std::string& host : losses) held_[host] = now;
-  update.ask_again = true;
-  ask_at_ = now + options_.ask_every;
+  update.refetch = true;
+  refetch_at_ = now + options_.ask_every;
 }
 
-// Whether too few would be left if so many more were lost, of those that there were at the window's begin.
+// Whether too few of the backends ready at the start of the window would be left if `losing` more were lost.
 bool View::below_floor(std::size_t losing, Millis now) {
   while (!losses_.empty() && losses_.front() + options_.window < now) losses_.pop_front();
   const double before = static_cast<double>(ready_ + losses_.size());
@@ -226,8 +226,8 @@
   return options_.floor > 0 && before >= options_.floor_from && left < options_.floor * before;
 }
 
-// After a snapshot: what it has again is there, and what has been held for long enough is believed.
-void View::confirm(Millis now, Update& update) {
+// After a snapshot: losses that have been held for long enough take effect.
+void View::expire_holds(Millis now, Update& update) {
   for (auto it = held_.begin(); it != held_.end();) {
     const std::string host = it->first;
     if (now - it->second < options_.hold) {
@@ -237,7 +237,7 @@
     it = held_.erase(it);
     ++counters_.believed;
     losses_.push_back(now);
-    hide(host, update);
+    unpublish(host, update);
   }
 }
 
@@ -247,14 +247,14 @@
   for (const auto& [host, held] : all) {
     ++counters_.believed;
     losses_.push_back(now);
-    hide(host, update);
+    unpublish(host, update);
   }
   return update;
 }
 
-void View::hide(const std::string& host, Update& update) {
-  const auto it = shown_.find(host);
-  if (it == shown_.end()) return;
+void View::unpublish(const std::string& host, Update& update) {
+  const auto it = published_.find(host);
+  if (it == published_.end()) return;
   const Member& member = it->second.member;
   if (is_ready(member)) {
     --ready_;
@@ -263,88 +263,88 @@
   }
   update.changes.push_back(gone(member));
   returns_[host] = std::move(it->second.returns);
-  shown_.erase(it);
+  published_.erase(it);
 }
 
-void View::show(const std::string& host, std::optional<Member> member, Millis now, Update& update) {
+void View::publish(const std::string& host, std::optional<Member> member, Millis now, Update& update) {
   if (held_.erase(host) > 0) ++counters_.restored;
-  if (!member) return hide(host, update);
-  const bool was_shown = shown_.count(host) > 0;
-  if (!was_shown && is_draining(*member)) {
-    // One that is first heard of as it drains: there is nothing to end, but nodes may know it from elsewhere.
+  if (!member) return unpublish(host, update);
+  const bool was_published = published_.count(host) > 0;
+  if (!was_published && is_draining(*member)) {
+    // First heard of while draining: there are no connections to close, but nodes may know it from elsewhere.
     update.changes.push_back(*member);
-    Shown& fresh = shown_[host];
-    fresh.member = std::move(*member);
+    Published& added = published_[host];
+    added.member = std::move(*member);
     if (const auto old = returns_.find(host); old != returns_.end()) {
-      fresh.returns = std::move(old->second);
+      added.returns = std::move(old->second);
       returns_.erase(old);
     }
     return;
   }
   if (is_ready(*member)) {
-    // An address answers for one backend at a time: the one born last, or else the one told of last.
+    // An address belongs to one backend at a time: the one started last, or else the one heard of last.
     const auto holder = by_dial_.find(member->dial);
     if (holder != by_dial_.end() && holder->second != host) {
       const std::string other = holder->second;
-      if (shown_.at(other).member.born > member->born) return hide(host, update);
+      if (published_.at(other).member.born > member->born) return unpublish(host, update);
       ++counters_.moved;
       held_.erase(other);
-      hide(other, update);
+      unpublish(other, update);
     }
   }
-  pass_on(host, *member, now, update);
+  publish_damped(host, *member, now, update);
 }
 
-// Shows it, but a backend that keeps coming back is shown draining for a while.
-void View::pass_on(const std::string& host, const Member& member, Millis now, Update& update) {
-  const auto found = shown_.find(host);
-  const bool was_ready = found != shown_.end() && is_ready(found->second.member);
-  Shown& shown = shown_[host];
-  bool seen = found != shown_.end();
+// Publishes a member, but one that keeps coming back is published as draining for a while.
+void View::publish_damped(const std::string& host, const Member& member, Millis now, Update& update) {
+  const auto found = published_.find(host);
+  const bool was_ready = found != published_.end() && is_ready(found->second.member);
+  Published& published = published_[host];
+  bool was_seen = found != published_.end();
   if (const auto old = returns_.find(host); old != returns_.end()) {
-    shown.returns = std::move(old->second);
+    published.returns = std::move(old->second);
     returns_.erase(old);
-    seen = true;
+    was_seen = true;
   }
   Member visible = member;
-  if (is_ready(member) && !was_ready && seen) {
-    if (shown.ready_at <= now) {
-      shown.returns.push_back(now);
-      while (shown.returns.front() + options_.flap_window < now) shown.returns.pop_front();
-      const int over = static_cast<int>(shown.returns.size()) - options_.flaps;
-      if (options_.flaps > 0 && over > 0) {
+  if (is_ready(member) && !was_ready && was_seen) {
+    if (published.ready_at <= now) {
+      published.returns.push_back(now);
+      while (published.returns.front() + options_.flap_window < now) published.returns.pop_front();
+      const int excess = static_cast<int>(published.returns.size()) - options_.flaps;
+      if (options_.flaps > 0 && excess > 0) {
         Millis wait = options_.flap_wait;
-        for (int n = 1; n < over && wait < options_.flap_most; ++n) wait *= 2;
-        shown.ready_at = now + std::min(wait, options_.flap_most);
-        waiting_.emplace(shown.ready_at, host);
+        for (int n = 1; n < excess && wait < options_.flap_most; ++n) wait *= 2;
+        published.ready_at = now + std::min(wait, options_.flap_most);
+        flapping_.emplace(published.ready_at, host);
         ++counters_.flaps;
       }
     }
-    if (shown.ready_at > now) visible.health = "draining";
+    if (published.ready_at > now) visible.health = "draining";
   }
-  if (shown.member == visible) return;
+  if (published.member == visible) return;
   if (was_ready) {
     --ready_;
-    const auto dial = by_dial_.find(shown.member.dial);
+    const auto dial = by_dial_.find(published.member.dial);
     if (dial != by_dial_.end() && dial->second == host) by_dial_.erase(dial);
   }
   if (is_ready(visible)) {
     ++ready_;
     by_dial_[visible.dial] = host;
   }
-  shown.member = visible;
+  published.member = visible;
   update.changes.push_back(visible);
 }
 
 Update View::tick(Millis now) {
   Update update;
-  while (!waiting_.empty() && waiting_.begin()->first <= now) {
-    const std::string host = waiting_.begin()->second;
-    waiting_.erase(waiting_.begin());
-    const auto it = shown_.find(host);
-    if (it == shown_.end() || it->second.ready_at > now) continue;
+  while (!flapping_.empty() && flapping_.begin()->first <= now) {
+    const std::string host = flapping_.begin()->second;
+    flapping_.erase(flapping_.begin());
+    const auto it = published_.find(host);
+    if (it == published_.end() || it->second.ready_at > now) continue;
     bool vanished = false;
-    auto member = told(host, vanished);
+    auto member = merged(host, vanished);
     if (!member || !is_ready(*member) || is_ready(it->second.member)) continue;
     const auto holder = by_dial_.find(member->dial);
     if (holder != by_dial_.end() && holder->second != host) continue;
@@ -353,12 +353,12 @@
     by_dial_[member->dial] = host;
     update.changes.push_back(std::move(*member));
   }
-  if (!held_.empty() && now >= ask_at_) {
-    update.ask_again = true;
-    ask_at_ = now + options_.ask_every;
+  if (!held_.empty() && now >= refetch_at_) {
+    update.refetch = true;
+    refetch_at_ = now + options_.ask_every;
   }
-  // Those that are gone and came back too long ago to count.
-  if (returns_.size() > shown_.size() + 1024) {
+  // Drops return times of absent members that are too old to count.
+  if (returns_.size() > published_.size() + 1024) {
     std::erase_if(returns_, [&](const auto& one) {
       return one.second.empty() || one.second.back() + options_.flap_window < now;
     });
@@ -368,14 +368,14 @@
 
 std::optional<Millis> View::next() const {
   std::optional<Millis> at;
-  if (!waiting_.empty()) at = waiting_.begin()->first;
-  if (!held_.empty()) at = at ? std::min(*at, ask_at_) : ask_at_;
+  if (!flapping_.empty()) at = flapping_.begin()->first;
+  if (!held_.empty()) at = at ? std::min(*at, refetch_at_) : refetch_at_;
   return at;
 }
 
 Millis View::last_heard() const {
   Millis last = 0;
-  for (const Source& source : sources_) last = std::max(last, source.heard);
+  for (const Source& source : sources_) last = std::max(last, source.last_heard);
   return last;
 }
 
@@ -383,8 +383,8 @@
 
 std::vector<Member> View::members() const {
   std::vector<Member> all;
-  all.reserve(shown_.size());
-  for (const auto& [host, shown] : shown_) all.push_back(shown.member);
+  all.reserve(published_.size());
+  for (const auto& [host, published] : published_) all.push_back(published.member);
   std::sort(all.begin(), all.end(), [](const Member& a, const Member& b) { return a.host < b.host; });
   return all;
 }
--- a/tests/membership/follower_test.cpp
+++ b/tests/membership/follower_test.cpp
@@ -245,7 +245,7 @@
         shown[m.host] = m;
       }
     }
-    if (update.ask_again && open) {
+    if (update.refetch && open) {
       follower.ask_whole();
       cut();
     }
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -74,10 +74,10 @@
   view.snapshot(0, 7, 5, ten(), 0);
   Update update = view.snapshot(0, 7, 6, {}, 1000);
   EXPECT_EQ(said(update), "");
-  EXPECT_TRUE(update.ask_again);
+  EXPECT_TRUE(update.refetch);
   EXPECT_EQ(view.held(), 10U);
   EXPECT_EQ(view.next(), 1000 + options.ask_every);
-  EXPECT_TRUE(view.tick(*view.next()).ask_again);
+  EXPECT_TRUE(view.tick(*view.next()).refetch);
   EXPECT_EQ(said(view.snapshot(0, 7, 6, {}, 1000 + options.hold - 1)), "");
   // The truth comes back, with the revisions of before.
   EXPECT_EQ(said(view.snapshot(0, 7, 7, ten(), 9000)), "");
