--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -1,5 +1,4 @@
-// One backend as a source of backends names it. Owns no code; it must never hold what only one kind of source
-// knows.
+// A backend as described by any source of backends. Holds only what is common to all kinds of sources.
 #pragma once
 
 #include <string>
@@ -11,12 +10,13 @@
 struct Member {
   std::string host;  // the same at every node and after a restart
   std::string dial;
-  std::string health;  // "ready", "draining", "gone"; another word counts as gone
+  std::string health;  // "ready", "draining" or "gone"; any other value counts as gone
   std::string site;
   int cell = 0;
   double size = 1;
-  Millis born = 0;  // when it last started: by the wall clock as its source labels it, by the loop's clock
-                    // once a BackendSource has handed it on; 0 = long past
+  // When it last started: by the wall clock as labelled by its source, by the loop's clock once a
+  // BackendSource has passed it on; 0 = long ago.
+  Millis born = 0;
 
   bool operator==(const Member&) const = default;
 };
--- a/src/membership/registry/client.cpp
+++ b/src/membership/registry/client.cpp
@@ -7,9 +7,9 @@
 namespace shorelead::membership::registry {
 namespace {
 
-constexpr Millis kAnswerWithin = 5000;  // a range; of a watch, its head
+constexpr Millis kAnswerWithin = 5000;  // of a range; of a watch, for its head
 constexpr Millis kCheckWithin = 1000;
-constexpr std::size_t kMostLine = 16U << 20;  // bytes of one line of a watch
+constexpr std::size_t kMostLine = 16U << 20;  // bytes of one message of a watch
 
 }  // namespace
 
@@ -29,7 +29,7 @@
   if (!tls_) throw std::runtime_error(cause);
 }
 
-// As the files are now; the old ones where they are of no use.
+// Reloads changed key files; keeps the old keys if the new ones are unusable.
 std::shared_ptr<const net::TlsContext> Client::keys() {
 #ifdef SHORELEAD_TLS
   std::string cause;
@@ -104,7 +104,7 @@
     std::string cause;
     const auto line = parse_line(std::move(one), cause);
     if (!line) {
-      // Passing over one line would leave the view wrong for good; a watch from the same place brings it
+      // Skipping a message would leave the view wrong for good; a new watch from the same revision brings it
       // again.
       listener_.trouble("a watch's line could not be read: " + cause);
       return leave();
@@ -130,7 +130,7 @@
   const std::string why = call_->trouble();
   listener_.trouble(std::string("the registry's answer ended: ") + net::name_of(ending) +
                     (why.empty() ? "" : ", " + why));
-  loop_.later([call = std::shared_ptr<Exchange>(std::move(call_))] {});  // it is the one that called
+  loop_.later([call = std::shared_ptr<Exchange>(std::move(call_))] {});  // it may be the caller
   loop_.cancel(check_at_);
   follower_.ended(loop_.now());
   go_on();
@@ -153,7 +153,7 @@
   plan_tick();
 }
 
-// What the view has held, or made to wait.
+// Sets the timer for what is due in the view.
 void Client::plan_tick() {
   loop_.cancel(tick_at_);
   const auto at = view_.next();
--- a/src/membership/registry/client.h
+++ b/src/membership/registry/client.h
@@ -1,6 +1,5 @@
-// A registry followed over sockets: the follower's questions asked, its answers brought to the view. Owns the
-// two calls, the one at hand and the check beside a watch. It must never decide what to ask, when, or what an
-// answer means.
+// Runs a follower over sockets: sends its calls and passes the responses on. Owns two exchanges, the current
+// call and the check beside a watch. It decides neither what to call and when, nor what a response means.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -29,12 +28,12 @@
 class Client {
  public:
   struct Listener {
-    std::function<void(const Update&)> changed;  // only where there are changes
-    std::function<void()> synced;                // the first whole list is there
+    std::function<void(const Update&)> changed;  // only if there are changes
+    std::function<void()> synced;                // the first whole list has arrived
     std::function<void(const std::string&)> trouble;
   };
 
-  // Throws std::runtime_error where keys are of no use.
+  // Throws std::runtime_error if the TLS keys are unusable.
   Client(net::Loop& loop, const Spec& spec, View& view, int source, std::uint64_t seed, Listener listener,
          const FollowerOptions& options = {});
   ~Client();
--- a/src/membership/registry/exchange.cpp
+++ b/src/membership/registry/exchange.cpp
@@ -23,7 +23,7 @@
   loop_.cancel(deadline_);
   if (!stream_) return;
   stream_->close();
-  loop_.later([stream = std::move(stream_)] {});  // it may be the one that called
+  loop_.later([stream = std::move(stream_)] {});  // this stream's handler may be the caller
 }
 
 void Exchange::post(const std::string& path, const std::string& body, bool stream, Millis within) {
@@ -68,7 +68,7 @@
   stream_->send(pieces);
 }
 
-// What came in, through TLS; whether there is anything to be read, and the connection of use.
+// Decrypts the input; returns whether there is anything to read and the connection is still usable.
 bool Exchange::decrypt() {
 #ifdef SHORELEAD_TLS
   const std::string came = std::exchange(stream_->input(), {});
@@ -76,7 +76,7 @@
   const bool good = session_ && session_->feed(came, plain_);
   const std::string out = session_ ? session_->take() : std::string();
   if (!out.empty()) {
-    const std::array<std::string_view, 1> pieces = {out};  // the handshake, or why it failed
+    const std::array<std::string_view, 1> pieces = {out};  // the handshake, or an alert
     stream_->send(pieces);
   }
   if (!good) {
@@ -92,7 +92,7 @@
 
 void Exchange::on_input(net::Stream&) {
   if (tls_ && !decrypt()) return;
-  if (!busy_) return end(net::Ending::kMalformed);  // it speaks unasked
+  if (!busy_) return end(net::Ending::kMalformed);  // unsolicited input
   take(false);
 }
 
--- a/src/membership/registry/exchange.h
+++ b/src/membership/registry/exchange.h
@@ -1,5 +1,6 @@
-// One POST to a registry's gateway and its answer: whole, or as a stream that stays open. Owns its connection
-// and the framing. It must never know what is asked or answered, nor call anybody once it was closed.
+// One POST request to a registry's gateway and its response, read whole or as a stream that stays open. Owns
+// the connection and the HTTP framing. It does not interpret bodies, and makes no calls after its
+// destruction.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -18,22 +19,23 @@
 class Exchange : public net::Stream::Handler {
  public:
   struct Listener {
-    std::function<void(int status, std::string body)> answered;  // whole; the connection may be used again
-    std::function<void(std::string part)> part;                  // of a stream with status 200
-    std::function<void(net::Ending)> ended;                      // without, or behind, a whole answer
+    // The whole response; the connection may be reused.
+    std::function<void(int status, std::string body)> answered;
+    std::function<void(std::string part)> part;  // of a stream with status 200
+    std::function<void(net::Ending)> ended;      // before, or after, a whole response
   };
 
-  // With `tls` nothing is said or heard but through it.
+  // With `tls` all traffic is encrypted.
   Exchange(net::Loop& loop, const Poco::Net::SocketAddress& address, Listener listener,
            std::shared_ptr<const net::TlsContext> tls = nullptr);
   ~Exchange() override;
 
-  // `path` as in "/v3/kv/range"; with `stream` the body is passed on as it comes. `within` is for the whole
-  // answer, or of a stream for its head.
+  // `path` as in "/v3/kv/range"; with `stream` the body is passed on as it arrives. `within`: time limit for
+  // the whole response, or for the head of a stream.
   void post(const std::string& path, const std::string& body, bool stream, Millis within);
-  // From now on something has to come within so long; 0 = whenever.
+  // Ends the call unless something arrives within this time; 0 = no limit.
   void expect(Millis within);
-  const std::string& trouble() const { return trouble_; }  // of TLS, where that ended it
+  const std::string& trouble() const { return trouble_; }  // the TLS error that ended the call
   bool usable() const { return stream_ && stream_->open() && !busy_; }
 
  private:
@@ -51,8 +53,9 @@
   std::shared_ptr<net::Stream> stream_;
   net::Parser parser_;
   const std::shared_ptr<const net::TlsContext> tls_;
-  std::shared_ptr<net::TlsSession> session_;  // not unique_ptr: a build without TLS has no destructor of it
-  std::string plain_;                         // what came in through TLS
+  // Shared: unique_ptr would need the destructor, which a build without TLS lacks.
+  std::shared_ptr<net::TlsSession> session_;
+  std::string plain_;  // decrypted input
   std::string trouble_;
   std::string request_;
   bool streaming_ = false;
--- a/src/membership/registry/follower.cpp
+++ b/src/membership/registry/follower.cpp
@@ -53,7 +53,7 @@
   return entry;
 }
 
-// Everything anew, at whatever revision there is then.
+// Starts over with a new snapshot at the then current revision.
 void Follower::resync() {
   mode_ = Mode::kRange;
   page_revision_ = 0;
@@ -63,11 +63,11 @@
   suspect_since_.reset();
 }
 
-// Whether the answer is of a history that ends before what was seen. Says so until every endpoint has been
-// for long enough.
+// Returns whether the response comes from a history that ends before what was seen, until all endpoints have
+// been behind for long enough.
 bool Follower::too_old(const Header& header, Millis now) {
   if (cluster_ != 0 && header.cluster != cluster_) {
-    // Another cluster: its numbers say nothing beside the old ones.
+    // Another cluster: its revisions are unrelated to the old ones.
     ++counters_.epochs;
     cluster_ = header.cluster;
     salt_ = 0;
@@ -94,7 +94,7 @@
   return false;
 }
 
-// Nothing of what is under way is of use in another history, but a first page.
+// Calls in progress are of no use in another history, except for a first page.
 void Follower::begin_anew() {
   reached_ = 0;
   if (mode_ == Mode::kRange && page_revision_ == 0) return;
@@ -178,14 +178,14 @@
       change.entry.member.host = host;
       change.entry.member.health = "gone";
       change.entry.revision = event.item.revision;
-      change.vanished = true;  // the registry does not say whether a lease ran out
+      change.vanished = true;  // the registry does not say whether a lease expired
     } else {
       change.entry = entry_of(event.item);
     }
     changes.push_back(std::move(change));
   }
-  // A notice of progress, and the header that comes with events, say that nothing before was left out; the
-  // header of a watch just made does not.
+  // A progress notification, and the header that comes with events, guarantee that nothing before was left
+  // out; the header of a watch just created does not.
   if (line.events.empty() && !line.created) reached_ = std::max(reached_, line.header.revision);
   return changes.empty() ? Update{} : view_.change(source_, changes, now);
 }
@@ -193,7 +193,7 @@
 void Follower::range_failed(bool compacted, Millis now) {
   ++counters_.failures;
   if (compacted) {
-    // The revision of the pages went while they were read: from the first one, at a newer.
+    // The pages' revision was compacted while they were read: starts again with the first page.
     ++counters_.compacted;
     resync();
   }
@@ -212,7 +212,7 @@
   fragment_.clear();
   suspect_since_.reset();
   const bool stood = mode_ == Mode::kWatch && began_ > 0 && now - began_ >= options_.stood;
-  // Pages at one revision can go on elsewhere; a watch resumes behind what it has told.
+  // Pages at one revision can continue at another endpoint; a watch resumes after its last change.
   if (!stood) return turn(now);
   failures_ = 0;
   endpoint_ = (endpoint_ + 1) % endpoints_;
@@ -231,7 +231,7 @@
   check_lines_ = lines_;
 }
 
-// The watch is deaf if a check knows of a change, and no line has come since it knew for `deaf_for`.
+// The watch is deaf if a check knows of a change and no message has arrived for `deaf_for` since.
 void Follower::checked(const Page& page, Millis now) {
   if (mode_ != Mode::kWatch || page.header.cluster != cluster_) return;
   const bool differs = !page.items.empty() || page.count != keys_.size();
--- a/src/membership/registry/follower.h
+++ b/src/membership/registry/follower.h
@@ -1,14 +1,16 @@
-// How a registry is followed: when to ask for what at which endpoint, and what its answers mean to the view.
-// Pure: answers and ends in with the time, what to ask next out. Owns the revision reached, paging, resuming,
-// compaction, back-off, endpoints that lag, and watches that went deaf. It must never go back behind what was
-// seen, believe half a snapshot's silence, or ask in step with other clients.
+// Follows a registry: decides when to send which call to which endpoint, and applies the responses to the
+// view. Pure: responses and ends of calls come in with their time, the next call goes out. Owns the revision
+// reached, paging, resuming, compaction, back-off, lagging endpoints, and watches that stopped delivering. It
+// never goes back behind a revision that it has seen, never takes a partial snapshot for a whole one, and
+// spreads its calls so that many clients do not call in step.
 //
-//     kRange (pages at one revision) -> kWatch from the revision behind it -> cut: kWatch again from there
+//     kRange (pages at one revision) -> kWatch from the next revision on -> cut: kWatch again from there
 //                                        -> compacted, another cluster, deaf: kRange
 //
-// etcd v3: revisions number the whole store; a watch from N tells every change from N on, or that N has been
-// compacted away. A stale member answers with an older revision in its header: it is left for another. Where
-// all endpoints stay behind for `behind_for`, the registry has lost history: a new epoch of the view.
+// etcd v3: revisions number the whole store; a watch from N delivers every change from N on, or reports that
+// N was compacted. A stale member responds with an older revision in its header, and another endpoint is
+// tried. Where all endpoints stay behind for `behind_for`, the registry has lost history: the view gets a new
+// epoch.
 #pragma once
 
 #include <cstdint>
@@ -24,26 +26,28 @@
 namespace shorelead::membership::registry {
 
 struct FollowerOptions {
-  std::size_t page = 250;  // keys asked for at a time
-  Millis backoff = 100;    // the first wait is drawn from up to this, then up to twice as much each time
+  std::size_t page = 250;  // keys per range request
+  Millis backoff = 100;    // the first delay is drawn from up to this; the bound doubles each time
   Millis backoff_most = 5000;
-  Millis spread = 1000;    // after a watch that stood: so many clients of one registry do not come together
-  Millis stood = 2000;     // for so long, that is
-  Millis silence = 15000;  // a watch that says nothing for longer is left, whatever its connection says
-  Millis check_every = 2000;  // how often it is asked whether the watch has gone deaf; 0 = never
-  Millis deaf_for = 500;      // that a change may be known to a check and not told by the watch
-  Millis behind_for = 5000;   // that all endpoints are behind before they are believed
+  // Reconnects after an established watch are spread over this time, so that clients do not reconnect at
+  // once.
+  Millis spread = 1000;
+  Millis stood = 2000;        // duration after which a watch counts as established
+  Millis silence = 15000;     // a watch silent for longer is closed, even if its connection is open
+  Millis check_every = 2000;  // interval of checks whether the watch still delivers; 0 = never
+  Millis deaf_for = 500;      // how long a check may know of a change that the watch has not delivered
+  Millis behind_for = 5000;   // how long all endpoints must be behind before they are believed
 };
 
 struct FollowerCounters {
   std::uint64_t ranges = 0;
   std::uint64_t watches = 0;
-  std::uint64_t resumed = 0;    // watches from where the one before ended
-  std::uint64_t compacted = 0;  // gaps: what was asked for was forgotten
-  std::uint64_t behind = 0;     // answers of members that had not got so far
-  std::uint64_t epochs = 0;     // other clusters, or histories lost
+  std::uint64_t resumed = 0;    // watches that continued where the last one ended
+  std::uint64_t compacted = 0;  // gaps: the revision asked for was compacted
+  std::uint64_t behind = 0;     // responses of members that lag
+  std::uint64_t epochs = 0;     // other clusters, or lost histories
   std::uint64_t deaf = 0;
-  std::uint64_t unreadable = 0;  // values of backends; those stay as they were
+  std::uint64_t unreadable = 0;  // values of backends; those backends stay as they were
   std::uint64_t failures = 0;
 };
 
@@ -56,30 +60,30 @@
     enum class Kind { kRange, kWatch };
     Kind kind = Kind::kRange;
     int endpoint = 0;
-    Millis at = 0;  // not before
+    Millis at = 0;  // earliest time
     std::string body;
   };
-  // What to ask once no call is open.
+  // The next call to make once none is open.
   Ask next() const;
 
-  Update page(const Page& page, Millis now);       // to a range
-  Update line(const WatchLine& line, Millis now);  // of a watch
-  // Whether the call that is open is to be left, after page() or line().
+  Update page(const Page& page, Millis now);       // response to a range
+  Update line(const WatchLine& line, Millis now);  // message of a watch
+  // Whether the open call must be closed; check after page() and line().
   bool leave() const { return leave_; }
-  void range_failed(bool compacted, Millis now);  // an error came for an answer
-  void ended(Millis now);                         // no call is open any more: a cut, a time-out, a leaving
+  void range_failed(bool compacted, Millis now);  // the response was an error
+  void ended(Millis now);  // no call is open any more: cut, timed out or closed by this side
 
-  // The view wants the whole list again; the call that is open is to be left.
+  // The view needs the whole list again; the open call must be closed.
   void ask_whole() { resync(); }
 
-  // The check beside a watch: a range of what changed since; nothing where none is due.
+  // The check beside a watch: a range of the changes since; nothing where none is due.
   std::optional<Millis> check_at() const;
   std::string check_body() const;
   void check_begun(Millis now);
   void checked(const Page& page, Millis now);
   void check_failed(Millis now);
 
-  bool synced() const { return synced_; }  // has had a whole snapshot
+  bool synced() const { return synced_; }  // has received a whole snapshot
   bool watching() const { return mode_ == Mode::kWatch; }
   Millis silence() const { return options_.silence; }
   const FollowerCounters& counters() const { return counters_; }
@@ -90,7 +94,7 @@
 
   void resync();
   void begin_anew();
-  void turn(Millis now);  // to another endpoint, after a wait
+  void turn(Millis now);  // tries another endpoint after a delay
   bool too_old(const Header& header, Millis now);
   Entry entry_of(const KeyValue& item);
   std::string host_of(const std::string& key) const;
@@ -109,14 +113,14 @@
   bool leave_ = false;
   bool synced_ = false;
   // paging
-  std::uint64_t page_revision_ = 0;  // 0 = the first page is still to come
+  std::uint64_t page_revision_ = 0;  // 0 = the first page has not arrived
   std::string page_from_;
   std::unordered_set<std::string> paged_;
   // the watch
   std::uint64_t reached_ = 0;  // every change up to here is in the view
-  Millis began_ = 0;           // when the watch stood
+  Millis began_ = 0;           // when the watch was established
   std::vector<Event> fragment_;
-  std::unordered_set<std::string> keys_;  // that there are, to tell a deletion that was not told
+  std::unordered_set<std::string> keys_;  // existing keys, to detect a deletion that was not delivered
   std::uint64_t lines_ = 0;
   // history
   std::uint64_t cluster_ = 0;
--- a/src/membership/registry/messages.cpp
+++ b/src/membership/registry/messages.cpp
@@ -92,7 +92,7 @@
     const Json* const kv = event.IsObject() ? find(event, "kv") : nullptr;
     if (kv == nullptr) return cause = "an event has no key", std::nullopt;
     if (!item(*kv, line.events[n].item, cause)) return std::nullopt;
-    // An event without a type is a put: the mapping leaves out what has its first value.
+    // An event without a type is a put: the mapping leaves out default values.
     const Json* const type = find(event, "type");
     if (type == nullptr) continue;
     const std::string_view word = type->IsString() ? type->GetString() : "?";
--- a/src/membership/registry/writes.cpp
+++ b/src/membership/registry/writes.cpp
@@ -58,7 +58,7 @@
   return true;
 }
 
-// A gone lease's is left out, or below 0.
+// The TTL of an expired lease is missing or negative.
 bool seconds(const Json& object, std::int64_t& out, std::string& cause) {
   const Json* const found = find(object, "TTL");
   const bool below = found != nullptr && ((found->IsString() && found->GetString()[0] == '-') ||
--- a/src/membership/registry/writes.h
+++ b/src/membership/registry/writes.h
@@ -1,5 +1,5 @@
-// What is said to a registry to change it and what it answers: etcd v3's JSON gateway (txn, leases), as in
-// its published rpc.proto. Pure. It must never take an answer for one that does not fit what was asked.
+// Requests that change a registry, and its responses: etcd v3's JSON gateway (txn, leases), as in its
+// published rpc.proto. Pure. A response that does not fit its request is an error.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace shorelead::membership::registry {
 
-// A key's revision at creation, or at its last change, is this number (0: there is no such key).
+// Compares a key's create or last-change revision with this number (0: the key does not exist).
 struct Compare {
   enum class Of { kCreated, kChanged };
   std::string key;
@@ -35,7 +35,7 @@
 };
 using Step = std::variant<Put, Get, Delete>;
 
-// Where all comparisons hold, `success`; else `failure`. All of it happens at one revision.
+// Runs `success` if all comparisons hold, else `failure`; atomically, at one revision.
 struct Txn {
   std::vector<Compare> compare;
   std::vector<Step> success;
@@ -44,27 +44,27 @@
 struct TxnAnswer {
   Header header;
   bool succeeded = false;
-  std::vector<Page> pages;  // of the steps of the branch that was taken, empty for others than ranges
+  std::vector<Page> pages;  // of the steps of the executed branch; empty for steps other than ranges
 };
 
 struct LeaseAnswer {
   Header header;
   std::int64_t id = 0;
-  std::int64_t seconds = 0;  // as the registry chose; of one that was to be kept: 0 = it is gone
+  std::int64_t seconds = 0;  // as granted by the registry; in a keep-alive response 0 = the lease is gone
 };
 
-// An answer that is no success: what it says.
+// An error response.
 struct Refusal {
-  int code = 0;  // of gRPC; 0 = not told
+  int code = 0;  // of gRPC; 0 = unknown
   std::string text;
 };
 inline constexpr int kNotFound = 5;
 
 std::string txn_request(const Txn& txn);
 std::string grant_request(std::int64_t seconds);
-std::string lease_request(std::int64_t id);  // to keep it alive, or to revoke it
+std::string lease_request(std::int64_t id);  // for a keep-alive or a revocation
 
-// Nothing and the cause where the text is none, or answers something else.
+// Return nothing and the cause if the text is not valid or answers another request.
 std::optional<TxnAnswer> parse_txn(const Txn& asked, std::string text, std::string& cause);
 std::optional<LeaseAnswer> parse_grant(std::string text, std::string& cause);
 std::optional<LeaseAnswer> parse_kept(std::int64_t id, std::string text, std::string& cause);
--- a/src/membership/saved_list.cpp
+++ b/src/membership/saved_list.cpp
@@ -28,7 +28,7 @@
 
 std::string saved_list_text(const std::vector<Member>& members, Millis now) {
   std::string body;
-  // The host goes first, apart from the rest: a name may hold anything but the end of a line.
+  // The host is encoded apart from the JSON, as a name may hold any character but a newline.
   for (const Member& member : members) {
     body.append(registry::base64(member.host))
         .append(" ")
--- a/src/membership/saved_list.h
+++ b/src/membership/saved_list.h
@@ -1,10 +1,10 @@
-// The last good list on disk, so that a node can start while its source is away. Owns the file's form:
+// The last good list on disk, so that a node can start while its source is unavailable. Format of the file:
 //
-//     "shorelead-list 1 " checksum " " bytes " " when "\n" and then `bytes` bytes: one backend a line, JSON
+//     "shorelead-list 1 " checksum " " bytes " " when "\n", then `bytes` bytes: one backend a line, as JSON
 //
-// checksum: XXH3 of what follows the first line, 16 hexadecimal digits; when: Unix time in ms. It is written
-// whole beside its place, synced, and renamed; so the file is the old list or the new one. It must never give
-// out a list from a file that is torn, of another form or newer than it knows.
+// checksum: XXH3 of everything after the first line, 16 hexadecimal digits; when: Unix time in ms. The file
+// is written under another name, synced and renamed, so it always holds the old list or the new one. A file
+// that is truncated, of another format or of a newer version is rejected.
 #pragma once
 
 #include <mutex>
@@ -22,24 +22,25 @@
   Millis written = 0;
 };
 
-// The text of a file; and what it holds, or nothing and the cause.
+// Formats a file's text; parses one, or returns nothing and the cause.
 std::string saved_list_text(const std::vector<Member>& members, Millis now);
 std::optional<SavedList> read_saved_list(const std::string& text, std::string& cause);
 
-// From the disk. A file that is not there is no list and no cause.
+// Reads the file. A missing file gives neither a list nor a cause.
 std::optional<SavedList> load_saved_list(const std::string& path, std::string& cause);
-// Blocks until it is on the disk; the cause where it is not, and the old file is as it was.
+// Writes the file and blocks until it is on the disk. Returns the error, after which the old file is
+// unchanged.
 std::optional<std::string> store_saved_list(const std::string& path, const std::string& text);
 
-// Writes in a thread of its own, one list at a time; the newest wins.
+// Writes lists in its own thread, one at a time.
 class SavedListWriter {
  public:
   explicit SavedListWriter(std::string path) : path_(std::move(path)) {}
   ~SavedListWriter();
 
   bool busy() const;
-  void write(std::string text);             // not while busy
-  std::optional<std::string> take_error();  // of the last writing, told once
+  void write(std::string text);             // must not be busy
+  std::optional<std::string> take_error();  // error of the last write, returned once
   std::uint64_t written() const;
 
  private:
