--- a/fuzz/registry_fuzz.cpp
+++ b/fuzz/registry_fuzz.cpp
@@ -33,7 +33,7 @@
     } else if (const auto line = registry::parse_line(part, cause)) {
       follower.line(*line, now);
     }
-    if (follower.leave()) follower.ended(now);
+    if (follower.must_close()) follower.ended(now);
     must(!follower.next().body.empty());
     must(follower.next().at <= now + 10000);
     must(view.ready() <= view.size());
--- a/src/membership/registry/client.h
+++ b/src/membership/registry/client.h
@@ -38,23 +38,23 @@
          const FollowerOptions& options = {});
   ~Client();
 
-  void start() { go_on(); }
+  void start() { schedule_call(); }
   bool synced() const { return follower_.synced(); }
   const Follower& follower() const { return follower_; }
 
  private:
-  void go_on();
-  void ask();
-  void answered(int status, std::string body);
-  void part(std::string text);
-  void ended(net::Ending ending);
-  void leave();
-  void take(const Update& update);
-  void plan_check();
-  void check();
-  void plan_tick();
+  void schedule_call();
+  void send_call();
+  void on_answered(int status, std::string body);
+  void on_part(std::string text);
+  void on_ended(net::Ending ending);
+  void close_call();
+  void apply(const Update& update);
+  void schedule_check();
+  void run_check();
+  void schedule_tick();
 
-  std::shared_ptr<const net::TlsContext> keys();
+  std::shared_ptr<const net::TlsContext> load_tls_keys();
 
   net::Loop& loop_;
   const Spec spec_;
@@ -66,12 +66,12 @@
   std::unique_ptr<Exchange> call_;
   int call_endpoint_ = -1;
   std::unique_ptr<Exchange> check_;
-  std::string lines_;
+  std::string buffer_;
   std::size_t searched_ = 0;
-  bool told_synced_ = false;
-  net::Loop::TimerId ask_at_ = 0;
-  net::Loop::TimerId check_at_ = 0;
-  net::Loop::TimerId tick_at_ = 0;
+  bool reported_synced_ = false;
+  net::Loop::TimerId call_timer_ = 0;
+  net::Loop::TimerId check_timer_ = 0;
+  net::Loop::TimerId tick_timer_ = 0;
 };
 
 }  // namespace shorelead::membership::registry
--- a/src/membership/registry/exchange.cpp
+++ b/src/membership/registry/exchange.cpp
@@ -7,7 +7,7 @@
 namespace shorelead::membership::registry {
 namespace {
 
-constexpr std::size_t kMostBody = 16U << 20;
+constexpr std::size_t kMaxBodyBytes = 16U << 20;
 
 }  // namespace
 
@@ -16,7 +16,7 @@
     : loop_(loop),
       address_(address),
       listener_(std::move(listener)),
-      parser_(net::Parser::Kind::kResponse, kMostBody),
+      parser_(net::Parser::Kind::kResponse, kMaxBodyBytes),
       tls_(std::move(tls)) {}
 
 Exchange::~Exchange() {
@@ -34,7 +34,7 @@
              "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) +
              "\r\n\r\n" + body;
   expect(within);
-  if (stream_) return say();
+  if (stream_) return write_request();
   stream_ = std::make_shared<net::Stream>(loop_, *this, address_);
   if (!stream_->open()) {
     loop_.cancel(deadline_);
@@ -51,10 +51,10 @@
 #ifdef SHORELEAD_TLS
   if (tls_) session_ = std::make_shared<net::TlsSession>(*tls_, address_.host().toString());
 #endif
-  say();
+  write_request();
 }
 
-void Exchange::say() {
+void Exchange::write_request() {
   std::string_view out = request_;
 #ifdef SHORELEAD_TLS
   std::string encrypted;
@@ -72,8 +72,8 @@
 bool Exchange::decrypt() {
 #ifdef SHORELEAD_TLS
   const std::string came = std::exchange(stream_->input(), {});
-  const std::size_t before = plain_.size();
-  const bool good = session_ && session_->feed(came, plain_);
+  const std::size_t before = decrypted_.size();
+  const bool good = session_ && session_->feed(came, decrypted_);
   const std::string out = session_ ? session_->take() : std::string();
   if (!out.empty()) {
     const std::array<std::string_view, 1> pieces = {out};  // the handshake, or an alert
@@ -84,7 +84,7 @@
     end(net::Ending::kMalformed);
     return false;
   }
-  return plain_.size() > before;
+  return decrypted_.size() > before;
 #else
   return false;
 #endif
@@ -93,11 +93,11 @@
 void Exchange::on_input(net::Stream&) {
   if (tls_ && !decrypt()) return;
   if (!busy_) return end(net::Ending::kMalformed);  // unsolicited input
-  take(false);
+  read_response(false);
 }
 
-void Exchange::take(bool over) {
-  std::string& input = tls_ ? plain_ : stream_->input();
+void Exchange::read_response(bool over) {
+  std::string& input = tls_ ? decrypted_ : stream_->input();
   net::Parser::State state = parser_.advance(input);
   if (over && state != net::Parser::State::kDone) state = parser_.finish();
   if (state == net::Parser::State::kBad) return end(net::Ending::kMalformed);
@@ -125,7 +125,7 @@
 
 void Exchange::on_end(net::Stream&, net::Ending ending) {
   if (busy_ && !streaming_ && parser_.has_head()) {
-    take(true);
+    read_response(true);
     return;
   }
   end(ending);
--- a/src/membership/registry/exchange.h
+++ b/src/membership/registry/exchange.h
@@ -42,8 +42,8 @@
   void on_connected(net::Stream&) override;
   void on_input(net::Stream& stream) override;
   void on_end(net::Stream&, net::Ending ending) override;
-  void take(bool over);
-  void say();
+  void read_response(bool over);
+  void write_request();
   bool decrypt();
   void end(net::Ending ending);
 
@@ -55,7 +55,7 @@
   const std::shared_ptr<const net::TlsContext> tls_;
   // Shared: unique_ptr would need the destructor, which a build without TLS lacks.
   std::shared_ptr<net::TlsSession> session_;
-  std::string plain_;  // decrypted input
+  std::string decrypted_;  // input, decrypted
   std::string trouble_;
   std::string request_;
   bool streaming_ = false;
--- a/src/membership/registry/follower.cpp
+++ b/src/membership/registry/follower.cpp
@@ -6,7 +6,7 @@
 namespace shorelead::membership::registry {
 namespace {
 
-constexpr std::size_t kMostRoom = 1000000;
+constexpr std::size_t kMaxReserve = 1000000;
 
 }  // namespace
 
@@ -22,14 +22,14 @@
       endpoint_(static_cast<int>(random_() % static_cast<std::uint64_t>(endpoints))),
       page_from_(prefix_) {}
 
-Follower::Ask Follower::next() const {
-  Ask ask;
-  ask.kind = mode_ == Mode::kWatch ? Ask::Kind::kWatch : Ask::Kind::kRange;
-  ask.endpoint = endpoint_;
-  ask.at = at_;
-  ask.body = mode_ == Mode::kWatch ? watch_request(prefix_, end_, reached_ + 1)
-                                   : range_request(page_from_, end_, options_.page, page_revision_, 0);
-  return ask;
+Follower::Call Follower::next() const {
+  Call call;
+  call.kind = mode_ == Mode::kWatch ? Call::Kind::kWatch : Call::Kind::kRange;
+  call.endpoint = endpoint_;
+  call.at = call_at_;
+  call.body = mode_ == Mode::kWatch ? watch_request(prefix_, end_, reached_ + 1)
+                                    : range_request(page_from_, end_, options_.page, page_revision_, 0);
+  return call;
 }
 
 std::string Follower::host_of(const std::string& key) const {
@@ -58,21 +58,21 @@
   mode_ = Mode::kRange;
   page_revision_ = 0;
   page_from_ = prefix_;
-  paged_.clear();
+  paged_keys_.clear();
   fragment_.clear();
   suspect_since_.reset();
 }
 
 // Returns whether the response comes from a history that ends before what was seen, until all endpoints have
 // been behind for long enough.
-bool Follower::too_old(const Header& header, Millis now) {
+bool Follower::is_behind(const Header& header, Millis now) {
   if (cluster_ != 0 && header.cluster != cluster_) {
     // Another cluster: its revisions are unrelated to the old ones.
     ++counters_.epochs;
     cluster_ = header.cluster;
-    salt_ = 0;
+    history_ = 0;
     behind_since_.reset();
-    begin_anew();
+    restart_history();
     return false;
   }
   cluster_ = header.cluster;
@@ -87,64 +87,64 @@
   if (!behind_since_) behind_since_ = now;
   if (now - *behind_since_ < options_.behind_for || behind_in_row_ < endpoints_) return true;
   ++counters_.epochs;
-  ++salt_;
+  ++history_;
   behind_since_.reset();
   behind_in_row_ = 0;
-  begin_anew();
+  restart_history();
   return false;
 }
 
 // Calls in progress are of no use in another history, except for a first page.
-void Follower::begin_anew() {
+void Follower::restart_history() {
   reached_ = 0;
   if (mode_ == Mode::kRange && page_revision_ == 0) return;
   resync();
-  leave_ = true;
+  must_close_ = true;
 }
 
 Update Follower::page(const Page& page, Millis now) {
-  leave_ = false;
+  must_close_ = false;
   const bool first = page_revision_ == 0;
-  if (too_old(page.header, now)) leave_ = true;
-  if (leave_) return {};
+  if (is_behind(page.header, now)) must_close_ = true;
+  if (must_close_) return {};
   if (first) {
     ++counters_.ranges;
     page_revision_ = std::max<std::uint64_t>(page.header.revision, 1);
-    paged_.reserve(std::min<std::size_t>(page.count, kMostRoom));
+    paged_keys_.reserve(std::min<std::size_t>(page.count, kMaxReserve));
   }
   std::vector<Entry> entries;
   entries.reserve(page.items.size());
   for (const KeyValue& item : page.items) {
-    paged_.insert(item.key);
+    paged_keys_.insert(item.key);
     if (host_of(item.key).empty()) continue;
     entries.push_back(entry_of(item));
   }
   const bool last = !page.more || page.items.empty();
-  Update update = view_.page(source_, cluster_ ^ (salt_ * 0x9E3779B97F4A7C15ULL), page_revision_, entries,
+  Update update = view_.page(source_, cluster_ ^ (history_ * 0x9E3779B97F4A7C15ULL), page_revision_, entries,
                              {first, last, page.count}, now);
   if (update.behind) {
-    leave_ = true;
+    must_close_ = true;
     return update;
   }
   if (!last) {
     page_from_ = page.items.back().key + std::string(1, '\0');
-    at_ = now;
+    call_at_ = now;
     return update;
   }
   reached_ = page_revision_;
-  keys_ = std::move(paged_);
+  keys_ = std::move(paged_keys_);
   synced_ = true;
   resync();
   mode_ = Mode::kWatch;
-  at_ = now;
+  call_at_ = now;
   return update;
 }
 
 Update Follower::line(const WatchLine& line, Millis now) {
-  leave_ = false;
+  must_close_ = false;
   ++lines_;
   if (line.canceled) {
-    leave_ = true;
+    must_close_ = true;
     if (line.compacted > 0) {
       ++counters_.compacted;
       resync();
@@ -155,15 +155,15 @@
   }
   if (line.created) {
     ++counters_.watches;
-    counters_.resumed += began_ > 0 ? 1 : 0;
-    began_ = now;
+    counters_.resumed += up_since_ > 0 ? 1 : 0;
+    up_since_ = now;
     check_at_ = now + options_.check_every;
     suspect_since_.reset();
   }
-  if (too_old(line.header, now)) leave_ = true;
-  if (leave_) return {};
+  if (is_behind(line.header, now)) must_close_ = true;
+  if (must_close_) return {};
   view_.heard(source_, now);
-  failures_ = now - began_ >= options_.stood ? 0 : failures_;
+  failures_ = now - up_since_ >= options_.established ? 0 : failures_;
   fragment_.insert(fragment_.end(), line.events.begin(), line.events.end());
   if (line.fragment) return {};
   std::vector<View::Change> changes;
@@ -197,30 +197,30 @@
     ++counters_.compacted;
     resync();
   }
-  turn(now);
+  switch_endpoint(now);
 }
 
-void Follower::turn(Millis now) {
+void Follower::switch_endpoint(Millis now) {
   endpoint_ = (endpoint_ + 1) % endpoints_;
-  Millis most = options_.backoff;
-  for (int n = 0; n < failures_ && most < options_.backoff_most; ++n) most *= 2;
+  Millis max = options_.backoff;
+  for (int n = 0; n < failures_ && max < options_.backoff_most; ++n) max *= 2;
   ++failures_;
-  at_ = now + std::uniform_real_distribution<double>(0, std::min(most, options_.backoff_most))(random_);
+  call_at_ = now + std::uniform_real_distribution<double>(0, std::min(max, options_.backoff_most))(random_);
 }
 
 void Follower::ended(Millis now) {
   fragment_.clear();
   suspect_since_.reset();
-  const bool stood = mode_ == Mode::kWatch && began_ > 0 && now - began_ >= options_.stood;
+  const bool established = mode_ == Mode::kWatch && up_since_ > 0 && now - up_since_ >= options_.established;
   // Pages at one revision can continue at another endpoint; a watch resumes after its last change.
-  if (!stood) return turn(now);
+  if (!established) return switch_endpoint(now);
   failures_ = 0;
   endpoint_ = (endpoint_ + 1) % endpoints_;
-  at_ = now + std::uniform_real_distribution<double>(0, options_.spread)(random_);
+  call_at_ = now + std::uniform_real_distribution<double>(0, options_.spread)(random_);
 }
 
 std::optional<Millis> Follower::check_at() const {
-  if (mode_ != Mode::kWatch || began_ == 0 || options_.check_every <= 0) return std::nullopt;
+  if (mode_ != Mode::kWatch || up_since_ == 0 || options_.check_every <= 0) return std::nullopt;
   return suspect_since_ ? std::min(check_at_, *suspect_since_ + options_.deaf_for) : check_at_;
 }
 
@@ -248,7 +248,7 @@
   if (now - *suspect_since_ < options_.deaf_for) return;
   ++counters_.deaf;
   resync();
-  leave_ = true;
+  must_close_ = true;
 }
 
 void Follower::check_failed(Millis now) { check_at_ = now + options_.check_every; }
--- a/src/membership/registry/follower.h
+++ b/src/membership/registry/follower.h
@@ -32,7 +32,7 @@
   // Reconnects after an established watch are spread over this time, so that clients do not reconnect at
   // once.
   Millis spread = 1000;
-  Millis stood = 2000;        // duration after which a watch counts as established
+  Millis established = 2000;  // duration after which a watch counts as established
   Millis silence = 15000;     // a watch silent for longer is closed, even if its connection is open
   Millis check_every = 2000;  // interval of checks whether the watch still delivers; 0 = never
   Millis deaf_for = 500;      // how long a check may know of a change that the watch has not delivered
@@ -56,7 +56,7 @@
   Follower(View& view, int source, std::string prefix, int endpoints, std::uint64_t seed,
            const FollowerOptions& options = {});
 
-  struct Ask {
+  struct Call {
     enum class Kind { kRange, kWatch };
     Kind kind = Kind::kRange;
     int endpoint = 0;
@@ -64,17 +64,17 @@
     std::string body;
   };
   // The next call to make once none is open.
-  Ask next() const;
+  Call next() const;
 
   Update page(const Page& page, Millis now);       // response to a range
   Update line(const WatchLine& line, Millis now);  // message of a watch
   // Whether the open call must be closed; check after page() and line().
-  bool leave() const { return leave_; }
+  bool must_close() const { return must_close_; }
   void range_failed(bool compacted, Millis now);  // the response was an error
   void ended(Millis now);  // no call is open any more: cut, timed out or closed by this side
 
   // The view needs the whole list again; the open call must be closed.
-  void ask_whole() { resync(); }
+  void fetch_whole() { resync(); }
 
   // The check beside a watch: a range of the changes since; nothing where none is due.
   std::optional<Millis> check_at() const;
@@ -93,9 +93,9 @@
   enum class Mode { kRange, kWatch };
 
   void resync();
-  void begin_anew();
-  void turn(Millis now);  // tries another endpoint after a delay
-  bool too_old(const Header& header, Millis now);
+  void restart_history();
+  void switch_endpoint(Millis now);  // tries another endpoint after a delay
+  bool is_behind(const Header& header, Millis now);
   Entry entry_of(const KeyValue& item);
   std::string host_of(const std::string& key) const;
 
@@ -108,23 +108,23 @@
   std::mt19937_64 random_;
   Mode mode_ = Mode::kRange;
   int endpoint_ = 0;
-  Millis at_ = 0;
+  Millis call_at_ = 0;
   int failures_ = 0;  // in a row
-  bool leave_ = false;
+  bool must_close_ = false;
   bool synced_ = false;
   // paging
   std::uint64_t page_revision_ = 0;  // 0 = the first page has not arrived
   std::string page_from_;
-  std::unordered_set<std::string> paged_;
+  std::unordered_set<std::string> paged_keys_;
   // the watch
   std::uint64_t reached_ = 0;  // every change up to here is in the view
-  Millis began_ = 0;           // when the watch was established
+  Millis up_since_ = 0;        // when the watch was established
   std::vector<Event> fragment_;
   std::unordered_set<std::string> keys_;  // existing keys, to detect a deletion that was not delivered
   std::uint64_t lines_ = 0;
   // history
   std::uint64_t cluster_ = 0;
-  std::uint64_t salt_ = 0;
+  std::uint64_t history_ = 0;
   std::optional<Millis> behind_since_;
   int behind_in_row_ = 0;
   // the check
--- a/src/membership/registry/messages.cpp
+++ b/src/membership/registry/messages.cpp
@@ -9,8 +9,8 @@
 
 using namespace json;
 
-constexpr double kMostSize = 1e6;
-constexpr int kMostCell = 1000000;
+constexpr double kMaxSize = 1e6;
+constexpr int kMaxCell = 1000000;
 
 }  // namespace
 
@@ -112,26 +112,27 @@
   if (!parse(document, value, cause)) return std::nullopt;
   Member member;
   member.host = host;
-  const auto word = [&](const char* name, std::string& out, bool needed) {
+  const auto string_field = [&](const char* name, std::string& out, bool needed) {
     const Json* const found = find(document, name);
     if (found == nullptr && !needed) return true;
     if (found == nullptr || !found->IsString()) return cause = std::string(name) + " is not told", false;
     out.assign(found->GetString(), found->GetStringLength());
     return true;
   };
-  const auto figure = [&](const char* name, double least, double most, double& out) {
+  const auto number_field = [&](const char* name, double min, double max, double& out) {
     const Json* const found = find(document, name);
     if (found == nullptr) return true;
-    if (!found->IsNumber() || !(found->GetDouble() >= least && found->GetDouble() <= most)) {
+    if (!found->IsNumber() || !(found->GetDouble() >= min && found->GetDouble() <= max)) {
       return cause = std::string(name) + " is out of its bounds", false;
     }
     out = found->GetDouble();
     return true;
   };
   double cell = 0;
-  const bool read = word("dial", member.dial, true) && word("health", member.health, true) &&
-                    word("site", member.site, false) && figure("block", 0, kMostCell, cell) &&
-                    figure("share", 1e-6, kMostSize, member.size) && figure("born_ms", 0, 1e15, member.born);
+  const bool read = string_field("dial", member.dial, true) && string_field("health", member.health, true) &&
+                    string_field("site", member.site, false) && number_field("block", 0, kMaxCell, cell) &&
+                    number_field("share", 1e-6, kMaxSize, member.size) &&
+                    number_field("born_ms", 0, 1e15, member.born);
   if (!read) return std::nullopt;
   if (cell != std::floor(cell)) return cause = "block is no whole number", std::nullopt;
   member.cell = static_cast<int>(cell);
--- a/tests/membership/follower_test.cpp
+++ b/tests/membership/follower_test.cpp
@@ -152,24 +152,24 @@
   // back here by what they must hold.
   void act() {
     if (open) return;
-    const Follower::Ask ask = follower.next();
-    if (ask.at > world.now) return;
-    endpoint = ask.endpoint;
-    if (ask.kind == Follower::Ask::Kind::kWatch) {
+    const Follower::Call call = follower.next();
+    if (call.at > world.now) return;
+    endpoint = call.endpoint;
+    if (call.kind == Follower::Call::Kind::kWatch) {
       open = true;
       created = false;
       deaf = false;
-      sent = number_in(ask.body, "start_revision") - 1;
+      sent = number_in(call.body, "start_revision") - 1;
       return;
     }
-    const std::uint64_t revision = number_in(ask.body, "revision");
-    const auto page = world.range(endpoint, key_in(ask.body), number_in(ask.body, "limit"), revision, 0);
+    const std::uint64_t revision = number_in(call.body, "revision");
+    const auto page = world.range(endpoint, key_in(call.body), number_in(call.body, "limit"), revision, 0);
     if (!page) {
       follower.range_failed(true, world.now);
       return;
     }
     take(follower.page(*page, world.now));
-    if (follower.leave()) follower.ended(world.now);
+    if (follower.must_close()) follower.ended(world.now);
   }
 
   // Some of what the watch has to tell; `most` changes, perhaps in fragments.
@@ -213,7 +213,7 @@
         world.range(endpoint, kPrefix, 1, 0, number_in(follower.check_body(), "min_mod_revision"));
     if (!page) return follower.check_failed(world.now);
     follower.checked(*page, world.now);
-    if (follower.leave()) cut();
+    if (follower.must_close()) cut();
   }
 
   // Some seconds in which all goes well.
@@ -234,7 +234,7 @@
 
   void give(const WatchLine& line) {
     take(follower.line(line, world.now));
-    if (follower.leave()) cut();
+    if (follower.must_close()) cut();
   }
 
   void take(const Update& update) {
@@ -246,7 +246,7 @@
       }
     }
     if (update.refetch && open) {
-      follower.ask_whole();
+      follower.fetch_whole();
       cut();
     }
   }
