--- a/src/node/descriptor_room.cpp
+++ b/src/node/descriptor_room.cpp
@@ -7,13 +7,14 @@
 
 namespace shorelead::node {
 
-// Guards against a system's limit under the stated one: idle clients took all up to it, and then neither
-// discovery nor a backend could be called.
-int allowed_descriptors(int stated) {
+// Without this check, where the system's limit is below the configured one, idle clients could take all
+// descriptors and neither discovery nor a backend could be called.
+int allowed_descriptors(int configured) {
   rlimit limit{};
-  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= static_cast<rlim_t>(stated)) return stated;
+  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= static_cast<rlim_t>(configured))
+    return configured;
   spdlog::warn("{} sockets are stated, and the system allows this process {} descriptors: these count",
-               stated, limit.rlim_cur);
+               configured, limit.rlim_cur);
   return static_cast<int>(limit.rlim_cur);
 }
 
@@ -36,10 +37,10 @@
   return oldest != nullptr && oldest->evict_idle();
 }
 
-// Busy clients may take all the others: a request for which no descriptor is left is refused at once, which
-// makes its client idle.
+// Clients with open requests may hold all descriptors: a request for which none is left is refused at once,
+// which makes its client's connection idle.
 bool DescriptorRoom::make(limits::Purpose purpose, Front& front) {
-  most_seen_ = std::max(most_seen_, Stream::open_count());
+  max_seen_ = std::max(max_seen_, Stream::open_count());
   while (true) {
     switch (rules().step(purpose, counts())) {
       case limits::Step::kOpen:
--- a/src/node/descriptor_room.h
+++ b/src/node/descriptor_room.h
@@ -1,5 +1,6 @@
-// Descriptors that clients and all pools share: who may have one, and who gives way. Owns the counting over
-// the pools; what is to be done it asks of limits/. It must never close what is in use.
+// Shares file descriptors between the clients and all pools: who may open one, and which idle connection is
+// evicted for it. Counts connections over the pools; limits::Descriptors decides. Connections in use are
+// never closed.
 #pragma once
 
 #include <functional>
@@ -12,28 +13,28 @@
 
 namespace shorelead::node {
 
-// What this process may open: as stated, or what the system allows it now where that is less. It reads that
-// limit and never raises it.
-int allowed_descriptors(int stated);
+// The number of descriptors that this process may open: the configured one, or the system's limit if that is
+// lower. Reads that limit and never raises it.
+int allowed_descriptors(int configured);
 
 class DescriptorRoom {
  public:
-  // `most`: descriptors for clients and backends now. `pools` are the node's, as they come and go.
-  DescriptorRoom(const std::vector<std::shared_ptr<Pool>>& pools, std::function<int()> most)
-      : pools_(pools), most_(std::move(most)) {}
+  // `max`: current limit for clients and backends. `pools` refers to the node's changing list of pools.
+  DescriptorRoom(const std::vector<std::shared_ptr<Pool>>& pools, std::function<int()> max)
+      : pools_(pools), max_(std::move(max)) {}
 
-  limits::Descriptors rules() const { return limits::Descriptors(most_()); }
+  limits::Descriptors rules() const { return limits::Descriptors(max_()); }
   limits::DescriptorCounts counts() const;
   bool keep(limits::Purpose purpose) const { return rules().keep(purpose, counts()); }
-  // Frees a descriptor where that is to be; whether there is one.
+  // Evicts an idle connection if needed; returns whether a descriptor is available.
   bool make(limits::Purpose purpose, Front& front);
-  bool evict_of_pools();  // the connection that was unused for longest, whoever's it is
-  int most_seen() const { return most_seen_; }
+  bool evict_of_pools();  // closes the connection of any pool that has been idle for longest
+  int most_seen() const { return max_seen_; }
 
  private:
   const std::vector<std::shared_ptr<Pool>>& pools_;
-  const std::function<int()> most_;
-  int most_seen_ = 0;
+  const std::function<int()> max_;
+  int max_seen_ = 0;
 };
 
 }  // namespace shorelead::node
--- a/src/node/recorder.cpp
+++ b/src/node/recorder.cpp
@@ -12,7 +12,7 @@
 
 using guard::What;
 
-constexpr std::uint64_t kMostDumps = 8;  // of the last events, a process's life long
+constexpr std::uint64_t kMaxDumps = 8;  // dumps of the recent events during the life of a process
 
 const char* name_of(manage::RequestEnd end) {
   switch (end) {
@@ -28,7 +28,7 @@
   return "unknown";
 }
 
-// The first 16 digits of a name that is a hexadecimal number, as clients' names are; else 0.
+// The first 16 digits of a hexadecimal request ID, such as clients send; 0 for any other.
 std::uint64_t number_of(std::string_view name) {
   std::uint64_t number = 0;
   const std::string_view digits = name.substr(0, 16);
@@ -50,7 +50,7 @@
 void Recorder::violated(guard::Rule rule, RequestId request) {
   add(What::kViolation, request, 0, static_cast<std::uint8_t>(rule));
   spdlog::error("rule broken: {}, request {}", guard::name_of(rule), request);
-  if (++dumps_ <= kMostDumps) events_.write_to(log_descriptor(), loop_.now());
+  if (++dumps_ <= kMaxDumps) events_.write_to(log_descriptor(), loop_.now());
 }
 
 void Recorder::taken(RequestId request, std::string_view named, Millis came, Millis due) {
--- a/src/node/recorder.h
+++ b/src/node/recorder.h
@@ -1,6 +1,6 @@
-// What happened at this node, written down once: into the ring of last events, into the checker of the rules,
-// and at debug level into the log. Owns all three's state; it must never decide anything, nor allocate on a
-// request's way. A violation is told in the log with the request's number, and the last events with it.
+// Records each event at this node once: in the ring of recent events, in the checker of the rules, and at
+// debug level in the log. Owns the state of all three. It decides nothing and does not allocate while a
+// request is handled. A violated rule is logged with the request's number and followed by the recent events.
 #pragma once
 
 #include <memory>
@@ -20,27 +20,28 @@
   explicit Recorder(Loop& loop);
 
   // ---- a request ----
-  // `named`: its X-Request-ID; `came`: when the system had it. What the settings say of it follows once its
+  // `named`: its X-Request-ID; `came`: when the system received it. Its rules follow with ruled(), once its
   // pool is known.
   void taken(RequestId request, std::string_view named, Millis came, Millis due);
   void ruled(RequestId request, const guard::RequestRules& rules);
   void due(RequestId request, Millis due) { checker_.due(request, due); }
   void attempt_decided(RequestId request, int attempt, std::string_view host, BackendId backend);
   void attempt_denied(RequestId request, int attempt, guard::Reason reason);
-  // `withdrawn`: its backend was to get nothing new by then; `told`: the time that it tells its backend.
-  // `at`: the clock as it was read before the write, and by which `told` was counted.
+  // `withdrawn`: the backend was to get nothing new by then; `told`: the remaining time sent to the backend;
+  // `at`: the clock reading before the write from which `told` was computed.
   void attempt_written(RequestId request, int attempt, BackendId backend, bool withdrawn, Millis told,
                        Millis at);
-  // `never_ran`: of one that was written, its outcome proves that.
+  // `never_ran`: the outcome of a written attempt proves that it was not processed.
   void attempt_over(RequestId request, int attempt, Ending ending, bool written, bool never_ran);
-  void ended(RequestId request, manage::RequestEnd end);  // with its final answer, or without
+  void ended(RequestId request, manage::RequestEnd end);  // with or without a final response
   void handler_threw(RequestId request);
 
   // ---- a connection ----
   void client_opened(const Stream& stream);
-  // `begun`: since when part of a request has lain there; 0: none does.
+  // `begun`: since when a part of a request has been buffered; 0 = none is.
   void client_closed(const Stream& stream, Ending why, Millis begun);
-  // A client left while its request waited for an answer, so long after its due time; negative: before it.
+  // A client closed while its request waited for a response; `late`: time since the due time, negative before
+  // it.
   void client_left(RequestId request, Ending why, Millis late) const;
   void closed_unanswered(RequestId request) { checker_.closed_unanswered(request); }
   void backend_opened(BackendId backend);
@@ -50,9 +51,9 @@
   void list(std::uint64_t version, bool whole);
   void generation(std::uint64_t number);
   void phase(guard::ProcessPhase phase);
-  // The answer to whoever asked whether it is ready; the first yes is a change of its state.
+  // Records the response to a readiness check; the first positive one changes the process's phase.
   bool reported_ready(bool ready);
-  // The last events go to standard error when a signal ends the process as crashed.
+  // Writes the recent events to standard error when a signal crashes the process.
   void write_at_crash() const { events_.write_at_crash(); }
 
   const guard::Checker& checker() const { return checker_; }
@@ -67,12 +68,12 @@
   guard::EventLog events_;
   guard::Checker checker_;
   guard::ProcessPhase phase_ = guard::ProcessPhase::kStopped;
-  std::uint64_t list_version_ = 0;  // of the last list that any pool took in
+  std::uint64_t list_version_ = 0;  // of the last list that any pool applied
   std::uint64_t dumps_ = 0;
   std::uint64_t thrown_ = 0;
 };
 
-// The node's recorder for one of its parts; one of its own where nobody gave any, as in tests of a part.
+// The node's recorder for one of its parts, or an own recorder where none was given, as in unit tests.
 class RecorderHandle {
  public:
   RecorderHandle(Loop& loop, Recorder* shared)
