--- a/src/membership/registry/client.cpp
+++ b/src/membership/registry/client.cpp
@@ -33,8 +33,8 @@
 std::shared_ptr<const net::TlsContext> Client::load_tls_keys() {
 #ifdef SHORELEAD_TLS
   std::string cause;
-  if (tls_ && tls_->refresh(cause)) listener_.trouble("keys were read again");
-  if (!cause.empty()) listener_.trouble("keys were not read again: " + cause);
+  if (tls_ && tls_->refresh(cause)) listener_.trouble("TLS keys were reloaded");
+  if (!cause.empty()) listener_.trouble("TLS keys were not reloaded: " + cause);
 #endif
   return tls_;
 }
@@ -78,7 +78,7 @@
   if (!page) {
     const bool compacted = status != 200 && says_compacted(body);
     if (status != 200) cause = "status " + std::to_string(status) + (compacted ? ", compacted" : "");
-    listener_.trouble("a range was not answered: " + cause);
+    listener_.trouble("a range request failed: " + cause);
     follower_.range_failed(compacted, now);
     return schedule_call();
   }
@@ -86,7 +86,7 @@
   apply(update);
   if (follower_.must_close()) {
     listener_.trouble("endpoint " + spec_.endpoints[static_cast<std::size_t>(call_endpoint_)].toString() +
-                      " is behind what was seen");
+                      " is behind the revision already seen");
     return close_call();
   }
   schedule_call();
@@ -106,7 +106,7 @@
     if (!line) {
       // Skipping a message would leave the view wrong for good; a new watch from the same revision brings it
       // again.
-      listener_.trouble("a watch's line could not be read: " + cause);
+      listener_.trouble("a watch message is invalid: " + cause);
       return close_call();
     }
     if (line->canceled) {
@@ -120,7 +120,7 @@
   buffer_.erase(0, from);
   searched_ = buffer_.size();
   if (buffer_.size() > kMaxLineBytes) {
-    listener_.trouble("a watch's line is over 16 MiB");
+    listener_.trouble("a watch message is larger than 16 MiB");
     return close_call();
   }
   schedule_check();
@@ -128,7 +128,7 @@
 
 void Client::on_ended(net::Ending ending) {
   const std::string why = call_->trouble();
-  listener_.trouble(std::string("the registry's answer ended: ") + net::name_of(ending) +
+  listener_.trouble(std::string("the registry's response ended: ") + net::name_of(ending) +
                     (why.empty() ? "" : ", " + why));
   loop_.later([call = std::shared_ptr<Exchange>(std::move(call_))] {});  // it may be the caller
   loop_.cancel(check_timer_);
@@ -195,7 +195,7 @@
                            page ? follower_.checked(*page, loop_.now()) : follower_.check_failed(loop_.now());
                            over();
                            if (page && follower_.must_close()) {
-                             listener_.trouble("the watch says nothing of what the registry knows");
+                             listener_.trouble("the watch does not deliver changes that the registry has");
                              return close_call();
                            }
                            schedule_check();
--- a/src/node/backend_source.cpp
+++ b/src/node/backend_source.cpp
@@ -28,7 +28,8 @@
         membership::registry::Client::Listener{
             [this](const membership::Update& update) { report_changes(update); },
             [this] {
-              spdlog::info("pool {}: the registry's list is there, {} boxes", config_.name, view_->size());
+              spdlog::info("pool {}: the registry's list was received, {} backends", config_.name,
+                           view_->size());
             },
             [this](const std::string& what) { spdlog::warn("pool {}: registry: {}", config_.name, what); }});
     return;
@@ -130,8 +131,8 @@
 void BackendSource::report_changes(const membership::Update& update) {
   if (registry_ && registry_->follower().counters().unreadable !=
                        std::exchange(logged_unreadable_, registry_->follower().counters().unreadable)) {
-    spdlog::error("pool {}: a value in the registry is no box, which stays as it was: {}", config_.name,
-                  registry_->follower().last_unreadable());
+    spdlog::error("pool {}: a backend's value in the registry is invalid, the backend stays as it was: {}",
+                  config_.name, registry_->follower().last_unreadable());
   }
   List list;
   list.version = ++last_list_number_;
@@ -140,7 +141,7 @@
     forward(list, ListSource::kWatch);
   }
   if (view_->held() > 0) {
-    spdlog::warn("pool {}: {} boxes vanished at once and are held to be there until the source says so again",
+    spdlog::warn("pool {}: {} backends vanished at once and are kept until the source confirms it",
                  config_.name, view_->held());
   }
   if (saved_list_copy_ && !update.changes.empty()) saved_list_copy_->changed();
@@ -153,9 +154,9 @@
     const Millis now = loop_.now();
     const bool stale = view_->last_heard() > 0 && view_->stale(now);
     if (stale != std::exchange(stale_, stale)) {
-      stale ? spdlog::error("pool {}: nothing heard of its list for {:.0f} s, it goes on with the last one",
+      stale ? spdlog::error("pool {}: nothing heard from the list's source for {:.0f} s, using the last list",
                             config_.name, (now - view_->last_heard()) / 1000)
-            : spdlog::info("pool {}: its list is heard of again", config_.name);
+            : spdlog::info("pool {}: the list's source is heard from again", config_.name);
     }
     if (registry_) return;  // the registry client runs the view's timer
     const auto due = view_->next();
--- a/src/node/descriptor_room.cpp
+++ b/src/node/descriptor_room.cpp
@@ -13,8 +13,9 @@
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= static_cast<rlim_t>(configured))
     return configured;
-  spdlog::warn("{} sockets are stated, and the system allows this process {} descriptors: these count",
-               configured, limit.rlim_cur);
+  spdlog::warn(
+      "{} sockets are configured, but the system allows this process only {} descriptors: using these",
+      configured, limit.rlim_cur);
   return static_cast<int>(limit.rlim_cur);
 }
 
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -81,7 +81,7 @@
   last_byte_at_ = loop_.now();
   const Parser::State state = parser_.advance(stream.input());
   if (state == Parser::State::kBad) {
-    spdlog::warn("discovery: malformed answer: {}", parser_.cause());
+    spdlog::warn("discovery: malformed response: {}", parser_.cause());
     return end(Ending::kMalformed);
   }
   if (!parser_.has_head()) return;
@@ -167,8 +167,8 @@
 
 void Discovery::apply(const List& list) {
   if (!list.whole && list.version < version_) {
-    spdlog::warn("discovery: changes numbered {} after {}: not the one that told the list", list.version,
-                 version_);
+    spdlog::warn("discovery: changes of version {} after version {}: not the discovery that sent the list",
+                 list.version, version_);
     version_ = 0;  // the next watch brings the whole list
     return end(Ending::kMalformed);
   }
@@ -176,7 +176,7 @@
     listener_.changed(list);
   } catch (const std::exception& error) {
     // The list may have been applied in part: the next watch brings the whole list.
-    spdlog::error("discovery: list {} could not be taken in: {}", list.version, error.what());
+    spdlog::error("discovery: list {} could not be applied: {}", list.version, error.what());
     version_ = 0;
     return end(Ending::kMalformed);
   }
@@ -186,7 +186,7 @@
 
 // Skipping a list would leave the view wrong for good; a new watch brings what is missing.
 void Discovery::reject(const FieldError& error) {
-  spdlog::error("discovery: list refused: {}", error.what());
+  spdlog::error("discovery: list rejected: {}", error.what());
   end(Ending::kMalformed);
 }
 
--- a/src/node/discovery_lease.cpp
+++ b/src/node/discovery_lease.cpp
@@ -54,8 +54,9 @@
 void DiscoveryLease::report() {
   last_ = lease_.validity();
   const Millis now = loop_.now();
-  spdlog::debug("pool {}: the list holds for {:.2f} s, then who has passed a health check within {:.2f} s",
-                pool_, (last_.until - now) / 1000, last_.confirmed_for / 1000);
+  spdlog::debug(
+      "pool {}: the list is valid for {:.2f} s, then backends with a passed health check within {:.2f} s",
+      pool_, (last_.until - now) / 1000, last_.confirmed_for / 1000);
   listener_(last_);
 }
 
--- a/src/node/list_reader.cpp
+++ b/src/node/list_reader.cpp
@@ -19,7 +19,7 @@
   if (document.HasParseError()) throw FieldError(rapidjson::GetParseError_En(document.GetParseError()));
 }
 
-[[noreturn]] void cut_short() { throw FieldError("the list ends in the middle"); }
+[[noreturn]] void cut_short() { throw FieldError("the list is truncated"); }
 
 }  // namespace
 
--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -102,7 +102,7 @@
 bool Pool::serves_as(const PoolConfig& config) const { return same_structure(config_, config); }
 
 void Pool::follow(const PoolConfig& config) {
-  if (config.name != config_.name) spdlog::info("pool {} is now called {}", config_.name, config.name);
+  if (config.name != config_.name) spdlog::info("pool {} was renamed to {}", config_.name, config.name);
   config_ = config;
   source_->follow(config);
 }
--- a/src/node/recorder.cpp
+++ b/src/node/recorder.cpp
@@ -117,9 +117,9 @@
 void Recorder::client_closed(const Stream& stream, Ending why, Millis begun) {
   add(What::kClientClosed, 0, 0, static_cast<std::uint8_t>(why),
       static_cast<std::uint64_t>(stream.descriptor()));
-  spdlog::debug("client's connection {} closed: {}", stream.descriptor(), name_of(why));
+  spdlog::debug("client connection {} closed: {}", stream.descriptor(), name_of(why));
   if (begun > 0) {
-    spdlog::info("client's connection closed ({}) with {} bytes of a request, begun {:.0f} ms before",
+    spdlog::info("client connection closed ({}) with {} bytes of a request, begun {:.0f} ms before",
                  name_of(why), stream.held(), loop_.now() - begun);
   }
 }
--- a/src/node/saved_list_copy.cpp
+++ b/src/node/saved_list_copy.cpp
@@ -20,11 +20,11 @@
   std::string cause;
   const auto saved = membership::load_saved_list(path_, cause);
   if (!saved) {
-    if (!cause.empty()) spdlog::error("pool {}: {} is not used: {}", pool_, path_, cause);
+    if (!cause.empty()) spdlog::error("pool {}: the saved list {} is not used: {}", pool_, path_, cause);
     return std::nullopt;
   }
-  spdlog::info("pool {}: starts from {}: {} boxes, {:.0f} s old", pool_, path_, saved->members.size(),
-               (loop_.now() - loop_.from_wall(saved->written)) / 1000);
+  spdlog::info("pool {}: starting from the saved list {}: {} backends, {:.0f} s old", pool_, path_,
+               saved->members.size(), (loop_.now() - loop_.from_wall(saved->written)) / 1000);
   List list;
   list.whole = true;
   list.backends = saved->members;
@@ -42,7 +42,7 @@
   write_timer_ = loop_.after(kWriteInterval, [this] {
     write_timer_ = 0;
     if (const auto error = writer_.take_error())
-      spdlog::error("pool {}: the list is not kept: {}", pool_, *error);
+      spdlog::error("pool {}: the list was not saved: {}", pool_, *error);
     if (!std::exchange(changed_, false)) return;
     if (writer_.busy()) {
       changed_ = true;
