--- a/src/membership/registry/json.cpp
+++ b/src/membership/registry/json.cpp
@@ -14,7 +14,7 @@
             rapidjson::GetParseError_En(document.GetParseError());
     return false;
   }
-  if (!document.IsObject()) cause = "what came is no JSON object";
+  if (!document.IsObject()) cause = "the text is not a JSON object";
   return document.IsObject();
 }
 
@@ -36,7 +36,7 @@
     const auto [rest, error] = std::from_chars(found->GetString(), end, value);
     if (error == std::errc() && rest == end) return true;
   }
-  cause = std::string(name) + " is no whole number";
+  cause = std::string(name) + " is not a whole number";
   return false;
 }
 
@@ -74,7 +74,7 @@
 
 bool item(const Json& object, KeyValue& out, std::string& cause) {
   if (!object.IsObject()) {
-    cause = "a key is no object";
+    cause = "a key is not an object";
     return false;
   }
   return bytes(object, "key", out.key, cause) && bytes(object, "value", out.value, cause) &&
@@ -92,7 +92,7 @@
   if (!flag(object, "more", out.more, cause) || !number(object, "count", out.count, cause)) return false;
   bool bad = false;
   const Json* const items = array(object, "kvs", bad);
-  if (bad) return cause = "kvs is no list", false;
+  if (bad) return cause = "kvs is not a list", false;
   if (items == nullptr) return true;
   out.items.resize(items->Size());
   for (rapidjson::SizeType n = 0; n < items->Size(); ++n) {
--- a/src/membership/registry/messages.cpp
+++ b/src/membership/registry/messages.cpp
@@ -84,7 +84,7 @@
   if (reason != nullptr && reason->IsString()) line.reason = reason->GetString();
   bool bad = false;
   const Json* const events = array(*result, "events", bad);
-  if (bad) return cause = "events is no list", std::nullopt;
+  if (bad) return cause = "events is not a list", std::nullopt;
   if (events == nullptr) return line;
   line.events.resize(events->Size());
   for (rapidjson::SizeType n = 0; n < events->Size(); ++n) {
@@ -108,14 +108,14 @@
 
 std::optional<Member> parse_member(std::string_view host, std::string value, std::string& cause) {
   Document document;
-  if (host.empty()) return cause = "a key without a host", std::nullopt;
+  if (host.empty()) return cause = "a key has no host", std::nullopt;
   if (!parse(document, value, cause)) return std::nullopt;
   Member member;
   member.host = host;
   const auto string_field = [&](const char* name, std::string& out, bool needed) {
     const Json* const found = find(document, name);
     if (found == nullptr && !needed) return true;
-    if (found == nullptr || !found->IsString()) return cause = std::string(name) + " is not told", false;
+    if (found == nullptr || !found->IsString()) return cause = std::string(name) + " is missing", false;
     out.assign(found->GetString(), found->GetStringLength());
     return true;
   };
@@ -123,7 +123,7 @@
     const Json* const found = find(document, name);
     if (found == nullptr) return true;
     if (!found->IsNumber() || !(found->GetDouble() >= min && found->GetDouble() <= max)) {
-      return cause = std::string(name) + " is out of its bounds", false;
+      return cause = std::string(name) + " is out of range", false;
     }
     out = found->GetDouble();
     return true;
@@ -134,7 +134,7 @@
                     number_field("share", 1e-6, kMaxSize, member.size) &&
                     number_field("born_ms", 0, 1e15, member.born);
   if (!read) return std::nullopt;
-  if (cell != std::floor(cell)) return cause = "block is no whole number", std::nullopt;
+  if (cell != std::floor(cell)) return cause = "block is not a whole number", std::nullopt;
   member.cell = static_cast<int>(cell);
   return member;
 }
--- a/src/membership/registry/writes.cpp
+++ b/src/membership/registry/writes.cpp
@@ -52,7 +52,7 @@
   std::uint64_t id = 0;
   if (!number(object, "ID", id, cause)) return false;
   if (id == 0 || id > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max())) {
-    return cause = "ID is no lease's", false;
+    return cause = "ID is not a lease ID", false;
   }
   out = static_cast<std::int64_t>(id);
   return true;
@@ -65,7 +65,7 @@
                                           (found->IsInt64() && found->GetInt64() < 0));
   std::uint64_t value = 0;
   if (!below && !number(object, "TTL", value, cause)) return false;
-  if (value > 1'000'000'000'000ULL) return cause = "TTL is out of its bounds", false;
+  if (value > 1'000'000'000'000ULL) return cause = "TTL is out of range", false;
   out = static_cast<std::int64_t>(value);
   return true;
 }
@@ -110,7 +110,7 @@
   const std::vector<Step>& steps = answer.succeeded ? asked.success : asked.failure;
   bool bad = false;
   const Json* const responses = array(document, "responses", bad);
-  if (bad) return cause = "responses is no list", std::nullopt;
+  if (bad) return cause = "responses is not a list", std::nullopt;
   if ((responses == nullptr ? 0 : responses->Size()) != steps.size()) {
     return cause = "there are not as many responses as steps", std::nullopt;
   }
@@ -118,7 +118,8 @@
   for (rapidjson::SizeType n = 0; n < steps.size(); ++n) {
     const Json& one = (*responses)[n];
     const Json* const found = one.IsObject() ? find(one, response_to(steps[n])) : nullptr;
-    if (found == nullptr || !found->IsObject()) return cause = "a response is not to its step", std::nullopt;
+    if (found == nullptr || !found->IsObject())
+      return cause = "a response does not fit its step", std::nullopt;
     const bool range = std::holds_alternative<Get>(steps[n]);
     if (range && !page(*found, answer.pages[n], cause)) return std::nullopt;
     answer.pages[n].header = answer.header;
@@ -133,7 +134,7 @@
       !lease_id(document, answer.id, cause) || !seconds(document, answer.seconds, cause)) {
     return std::nullopt;
   }
-  if (answer.seconds == 0) return cause = "a lease of no length", std::nullopt;
+  if (answer.seconds == 0) return cause = "the lease has no duration", std::nullopt;
   return answer;
 }
 
--- a/src/membership/saved_list.cpp
+++ b/src/membership/saved_list.cpp
@@ -42,21 +42,23 @@
 }
 
 std::optional<SavedList> read_saved_list(const std::string& text, std::string& cause) {
-  if (text.compare(0, kMagic.size(), kMagic) != 0) return cause = "it is no kept list", std::nullopt;
+  if (text.compare(0, kMagic.size(), kMagic) != 0) return cause = "it is not a saved list", std::nullopt;
   const std::size_t end = text.find('\n');
-  if (end == std::string::npos) return cause = "it is torn", std::nullopt;
+  if (end == std::string::npos) return cause = "it is truncated", std::nullopt;
   std::istringstream head(text.substr(kMagic.size(), end - kMagic.size()));
   int version = 0;
   std::string sum;
   std::size_t size = 0;
   long long written = 0;
-  if (!(head >> version)) return cause = "it is no kept list", std::nullopt;
+  if (!(head >> version)) return cause = "it is not a saved list", std::nullopt;
   if (version != 1)
-    return cause = "its form is " + std::to_string(version) + ", this node knows 1", std::nullopt;
+    return cause = "its format version is " + std::to_string(version) + ", this node supports 1",
+           std::nullopt;
   if (!(head >> sum >> size >> written)) return cause = "its first line is damaged", std::nullopt;
   const std::string_view body = std::string_view(text).substr(end + 1);
   if (body.size() != size) {
-    return cause = "it is torn: " + std::to_string(body.size()) + " of " + std::to_string(size) + " bytes",
+    return cause =
+               "it is truncated: " + std::to_string(body.size()) + " of " + std::to_string(size) + " bytes",
            std::nullopt;
   }
   if (checksum(body) != sum) return cause = "its checksum is wrong", std::nullopt;
@@ -68,7 +70,8 @@
     from = line_end + 1;
     const std::size_t blank = line.find(' ');
     const auto host = registry::from_base64(line.substr(0, blank));
-    if (!host || blank == std::string_view::npos) return cause = "a line of it names no box", std::nullopt;
+    if (!host || blank == std::string_view::npos)
+      return cause = "a line of it names no backend", std::nullopt;
     auto member = registry::parse_member(*host, std::string(line.substr(blank + 1)), cause);
     if (!member) return std::nullopt;
     list.members.push_back(std::move(*member));
--- a/tests/membership/follower_test.cpp
+++ b/tests/membership/follower_test.cpp
@@ -56,12 +56,12 @@
   EXPECT_TRUE(line->events.at(1).deleted);
   const std::pair<const char*, const char*> bad_pages[] = {
       {"", "broken JSON"},
-      {"[]", "no JSON object"},
+      {"[]", "not a JSON object"},
       {"{}", "no header"},
-      {R"({"header":{"revision":"x"}})", "revision is no whole number"},
-      {R"({"header":{"revision":"-1"}})", "revision is no whole number"},
-      {R"({"header":{},"kvs":{}})", "kvs is no list"},
-      {R"({"header":{},"kvs":[3]})", "a key is no object"},
+      {R"({"header":{"revision":"x"}})", "revision is not a whole number"},
+      {R"({"header":{"revision":"-1"}})", "revision is not a whole number"},
+      {R"({"header":{},"kvs":{}})", "kvs is not a list"},
+      {R"({"header":{},"kvs":[3]})", "a key is not an object"},
       {R"({"header":{},"kvs":[{"key":"?"}]})", "key is not in base64"},
       {R"({"header":{},"more":1})", "more is neither"}};
   for (const auto& [text, words] : bad_pages) {
@@ -71,7 +71,7 @@
   const std::pair<const char*, const char*> bad_lines[] = {
       {R"({"error":{"message":"no leader"}})", "the watch failed: no leader"},
       {R"({"result":3})", "no result"},
-      {R"({"result":{"header":{},"events":3}})", "events is no list"},
+      {R"({"result":{"header":{},"events":3}})", "events is not a list"},
       {R"({"result":{"header":{},"events":[{}]}})", "an event has no key"},
       {R"({"result":{"header":{},"events":[{"type":"MOVE","kv":{}}]}})", "unknown type"}};
   for (const auto& [text, words] : bad_lines) {
@@ -79,11 +79,11 @@
     EXPECT_NE(cause.find(words), std::string::npos) << text << ": " << cause;
   }
   const std::pair<const char*, const char*> bad_backends[] = {
-      {"{}", "dial is not told"},
-      {R"({"dial":"a:1"})", "health is not told"},
-      {R"({"dial":"a:1","health":"ready","block":1.5})", "block is no whole number"},
-      {R"({"dial":"a:1","health":"ready","share":0})", "share is out of its bounds"},
-      {R"({"dial":"a:1","health":"ready","born_ms":-5})", "born_ms is out of its bounds"}};
+      {"{}", "dial is missing"},
+      {R"({"dial":"a:1"})", "health is missing"},
+      {R"({"dial":"a:1","health":"ready","block":1.5})", "block is not a whole number"},
+      {R"({"dial":"a:1","health":"ready","share":0})", "share is out of range"},
+      {R"({"dial":"a:1","health":"ready","born_ms":-5})", "born_ms is out of range"}};
   for (const auto& [text, words] : bad_backends) {
     EXPECT_FALSE(parse_member("b", text, cause)) << text;
     EXPECT_NE(cause.find(words), std::string::npos) << text << ": " << cause;
--- a/tests/membership/saved_list_test.cpp
+++ b/tests/membership/saved_list_test.cpp
@@ -74,11 +74,11 @@
 
 TEST(SavedList, OtherFormsAreNamed) {
   const std::pair<std::string, const char*> cases[] = {
-      {"", "no kept list"},
-      {"{\"seq\":1}\n", "no kept list"},
-      {"shorelead-list 2 0 0 0\n", "form is 2, this node knows 1"},
+      {"", "not a saved list"},
+      {"{\"seq\":1}\n", "not a saved list"},
+      {"shorelead-list 2 0 0 0\n", "format version is 2, this node supports 1"},
       {"shorelead-list 1 x\n", "first line is damaged"},
-      {saved_list_text(three(), 1) + "more", "torn"}};
+      {saved_list_text(three(), 1) + "more", "truncated"}};
   for (const auto& [text, words] : cases) {
     std::string cause;
     EXPECT_FALSE(read_saved_list(text, cause));
--- a/tests/membership/writes_test.cpp
+++ b/tests/membership/writes_test.cpp
@@ -100,11 +100,11 @@
       {R"({"succeeded":true,"responses":[)" + good + "]}", "no header"},
       {R"({"header":{},"succeeded":true})", "not as many responses"},
       {R"({"header":{},"responses":[)" + good + "]}", "not as many responses"},
-      {R"({"header":{},"responses":[{"response_put":{}}]})", "not to its step"},
+      {R"({"header":{},"responses":[{"response_put":{}}]})", "does not fit its step"},
       {R"({"header":{},"succeeded":1})", "succeeded is neither"},
-      {R"({"header":{},"succeeded":true,"responses":[3,4]})", "not to its step"},
+      {R"({"header":{},"succeeded":true,"responses":[3,4]})", "does not fit its step"},
       {R"({"header":{},"succeeded":true,"responses":[{"response_put":{}},{"response_range":{"kvs":3}}]})",
-       "kvs is no list"},
+       "kvs is not a list"},
   };
   for (const auto& [text, words] : bad) {
     EXPECT_FALSE(parse_txn(asked, text, cause)) << text;
