--- a/tests/connection_statistics_test.cpp
+++ b/tests/connection_statistics_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Guards against writing to connections that the other side has given up unheard.
-TEST(IdleConnectionRecord, AnAgeAtWhichRequestsBreakIsUnfitForAWhile) {
+TEST(IdleConnectionRecord, IdleTimeWithManyFailuresIsUnusableForAWhile) {
   IdleConnectionRecord record;
   Millis now = 1000;
   EXPECT_TRUE(record.usable(59000, now));
@@ -25,7 +25,7 @@
 }
 
 // Where new connections break as often, age is not the cause.
-TEST(IdleConnectionRecord, BreaksAtAllAgesLeaveEveryAgeFit) {
+TEST(IdleConnectionRecord, FailuresAtAllIdleTimesLeaveEachUsable) {
   IdleConnectionRecord record;
   for (int i = 0; i < 60; ++i) {
     record.record_outcome(0, i % 4 == 0, 1000);
@@ -34,7 +34,7 @@
   EXPECT_TRUE(record.usable(150, 1000));
 }
 
-TEST(ConnectTimeout, GivesUpOnTheSilentAndNotOnTheFarNorForGood) {
+TEST(ConnectTimeout, ShortensForSilentBackendsButNotForDistantOnesOrForEver) {
   // From a day at size: a zone was lost without a word, and each request that opened a connection there
   // waited until its own 110 ms were over, though it could have gone elsewhere.
   ConnectTimeout timeout(200);
@@ -55,7 +55,7 @@
   EXPECT_EQ(timeout.limit(3, false), 20) << "near again";
 }
 
-TEST(Upstream, LoadReportsAreReadWithCare) {
+TEST(Upstream, InvalidLoadReportsAreRejectedAsAWhole) {
   EXPECT_FALSE(parse_load(""));
   EXPECT_FALSE(parse_load("nonsense"));
   EXPECT_FALSE(parse_load("inflight=x,queue=,=3"));
--- a/tests/crossings/attempts_test.cpp
+++ b/tests/crossings/attempts_test.cpp
@@ -9,7 +9,7 @@
 
 // Rule "no effect twice": decided within the window of the attempt before it, but its connection came up
 // after.
-TEST(Attempts, ARepeatIsNotWrittenAfterItsWindow) {
+TEST(Attempts, RepeatIsNotWrittenAfterItsWindow) {
   Peer peer;
   Backends b;
   b.send(peer, kLong, post_of(1), b.loop.now() + kSoon);
@@ -19,7 +19,7 @@
   EXPECT_EQ(there.rest(), "");
 }
 
-TEST(Attempts, ARepeatWaitsForAConnectionNoLongerThanItsWindow) {
+TEST(Attempts, RepeatWaitsForAConnectionNoLongerThanItsWindow) {
   FullPeer peer;
   Backends b;
   const Millis began = b.loop.now();
@@ -29,7 +29,7 @@
 }
 
 // A backend begins a request with its last byte.
-TEST(Attempts, ARepeatThatTheSocketTookInPartEndsWithItsWindow) {
+TEST(Attempts, PartlyWrittenRepeatEndsWithItsWindow) {
   Peer peer;
   Backends b;
   const auto message = post_of(kMuch);
@@ -41,7 +41,7 @@
   EXPECT_LT(there.rest().size(), kMuch);
 }
 
-TEST(Attempts, ARepeatsBodyThatEndsAfterItsWindowIsNotEndedThere) {
+TEST(Attempts, RepeatsBodyEndingAfterTheWindowIsNotCompleted) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts();
@@ -58,7 +58,7 @@
 }
 
 // Rule "one final answer": nothing is sent for a request after its time.
-TEST(Attempts, NothingIsWrittenOnceItsTimeIsUp) {
+TEST(Attempts, NothingIsWrittenAfterTheDueTime) {
   Peer peer;
   Backends b;
   b.send(peer, kSoon);
@@ -69,7 +69,7 @@
 }
 
 // The time that a backend is told is what is left when its connection is there.
-TEST(Attempts, TheTimeToldIsWhatIsLeftAtTheWrite) {
+TEST(Attempts, TimeSentToTheBackendIsWhatIsLeftAtTheWrite) {
   Peer peer;
   Backends b;
   b.send(peer, kLong);
@@ -86,7 +86,7 @@
 }
 
 // Each would get a part of it, and the one with the end would run on that part.
-TEST(Attempts, TwoDoNotShareABodyThatComesByParts) {
+TEST(Attempts, TwoAttemptsDoNotShareAStreamedBody) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts();
@@ -114,7 +114,7 @@
 
 // The limit of a body that was whole at once, on a connection used again, outlived its attempt: it ended the
 // next one there, or found none.
-TEST(Attempts, ALimitEndsWithItsAttempt) {
+TEST(Attempts, TimerEndsWithItsAttempt) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts(4);
@@ -143,7 +143,7 @@
 }
 
 // The same where nothing is under way there by then: it was a crash.
-TEST(Attempts, ALimitDoesNotReachAConnectionThatStandsUnused) {
+TEST(Attempts, TimerDoesNotFireOnAnIdleConnection) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts(4);
@@ -166,7 +166,7 @@
 }
 
 // Answer and time-out in the same turn: more of it than one read takes.
-TEST(Attempts, ALongAnswerThatHasComeIsNotLate) {
+TEST(Attempts, LongResponseAlreadyReceivedAtTheDeadlineIsServed) {
   Peer peer;
   Backends b;
   b.send(peer, kLong);
@@ -187,7 +187,7 @@
 }
 
 // Answer and call-off in the same turn: one end, and the connection goes with the answer unread.
-TEST(Attempts, AnAnswerAndItsCallOffInOneTurnAreOneEnd) {
+TEST(Attempts, ResponseAndCancellationInOneTurnEndTheAttemptOnce) {
   Peer peer;
   Backends b;
   b.send(peer, kLong);
@@ -204,7 +204,7 @@
 }
 
 // The connection is up, but the loop has not seen it yet: given up, over, or its backend withdrawn.
-TEST(Attempts, AConnectionThatComesUpAfterItWasGivenUpCarriesNothing) {
+TEST(Attempts, ConnectionEstablishedAfterItWasGivenUpCarriesNothing) {
   for (int n = 0; n < 3; ++n) {
     Peer peer;
     Backends b;
@@ -221,7 +221,7 @@
 }
 
 // For drains a send counts from its first byte.
-TEST(Attempts, ABodyThatGoesOutWhenItsBackendIsWithdrawnGoesOn) {
+TEST(Attempts, BodyBeingSentContinuesAfterTheBackendsWithdrawal) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts();
--- a/tests/crossings/cold_test.cpp
+++ b/tests/crossings/cold_test.cpp
@@ -38,7 +38,7 @@
   }
 };
 
-TEST_P(Crossings, ABurstUnderWhichColdBackendsJoinOrReturn) {
+TEST_P(Crossings, BurstWhileColdBackendsJoinOrReturn) {
   expect_none_falls("one", [](Case& c) { c.burst = 10; });
   expect_none_falls("five", [](Case& c) { c.burst = 3, c.cold = 5; });
   expect_none_falls("back", [](Case& c) { c.burst = 3, c.returns = true, c.told_within = 500; });
@@ -46,13 +46,13 @@
 
 // Guards against turns that stay open for long at processes with little traffic: a burst found them all open
 // at once, 2.2 times N at 300 processes and 1.9 times at 20.
-TEST_P(Crossings, ABurstWhereEachProcessHadLittleTraffic) {
+TEST_P(Crossings, BurstAfterLittleTrafficPerProcess) {
   expect_none_falls("half a request a second", [](Case& c) { c.rate = 0.5, c.burst = 20; });
 }
 
 // Guards against a new process that takes its first moment for a second with one request: its turns were open
 // some ten times too long, and its part went out twice.
-TEST_P(Crossings, ProcessesReplacedOrJoiningUnderABurst) {
+TEST_P(Crossings, ProcessesReplacedOrJoiningDuringABurst) {
   const double second = 1000.0 / GetParam();
   expect_none_falls("in turn", [=](Case& c) { c.burst = 3, c.replace_every = 4 * second; });
   expect_none_falls("beside", [=](Case& c) { c.burst = 3, c.replace_every = 4 * second, c.beside = true; });
@@ -60,7 +60,7 @@
   expect_none_falls("all new", [](Case& c) { c.burst = 3, c.all_new = true; });
 }
 
-TEST_P(Crossings, ACountOfProcessesThatIsWrongOrChanges) {
+TEST_P(Crossings, WrongOrChangingCountOfProcesses) {
   expect_none_falls("twice as many join", [](Case& c) { c.burst = 3, c.joiners = c.stated = c.processes; });
   expect_none_falls("half are there", [](Case& c) { c.burst = 3, c.stated = 2 * c.processes; });
   expect_none_falls("told as they join", [](Case& c) {
@@ -69,7 +69,7 @@
 }
 
 // Guards against a part that began anew each time the backend was said to be ready again: 2.5 times N.
-TEST_P(Crossings, AColdBackendThatLeavesTheListAndReturns) {
+TEST_P(Crossings, ColdBackendThatLeavesTheListAndReturns) {
   expect_none_falls("each 0.2 s", [](Case& c) { c.burst = 3, c.flap_every = 200; });
 }
 
--- a/tests/crossings/connections_test.cpp
+++ b/tests/crossings/connections_test.cpp
@@ -30,7 +30,7 @@
 };
 
 // A reset is no end: also where it lies behind the bytes unread, over several reads.
-TEST(Connections, AResetIsNoEndOfAnAnswerWithoutLength) {
+TEST(Connections, ResetDoesNotCompleteAResponseWithoutLength) {
   for (const std::size_t size : {4U, 40000U}) {
     for (const bool reset : {false, true}) {
       Peer peer;
@@ -49,7 +49,7 @@
 }
 
 // Nor of one that is already passed on.
-TEST(Connections, AResetCutsAnAnswerThatIsPassedOn) {
+TEST(Connections, ResetCutsAStreamedResponse) {
   for (const bool reset : {false, true}) {
     Peer peer;
     Backends b;
@@ -75,7 +75,7 @@
 
 // The system tells of a reset once: where a write has met it, the read behind it sees but an end, and part of
 // an answer would have passed for all of it.
-TEST(Connections, AResetThatAWriteHasMetIsNoEnd) {
+TEST(Connections, ResetSeenByAWriteDoesNotCompleteTheResponse) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts();
@@ -93,7 +93,7 @@
 }
 
 // "It breaks before the request's last byte is written: never run"; behind it, it may have.
-TEST(Connections, AResetTellsByTheLastByteWhetherItMayHaveRun) {
+TEST(Connections, ResetAfterTheLastByteMayHaveRunAndBeforeItHasNot) {
   for (const auto& [size, ending] :
        {std::pair{kMuch, Ending::kBrokenUnsent}, std::pair{std::size_t{1}, Ending::kBroken}}) {
     Peer peer;
@@ -109,7 +109,7 @@
 }
 
 // The last part is written to a connection that was reset in the same turn: nothing of it has gone.
-TEST(Connections, ALastPartThatCouldNotBeWrittenHasNotRun) {
+TEST(Connections, LastPartThatCouldNotBeWrittenHasNotRun) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts(9);
@@ -127,7 +127,7 @@
 
 // What came on a new connection before its request was written is no answer to it, and an end proves that it
 // cannot have run.
-TEST(Connections, WhatComesBeforeTheRequestMeansThatItCannotHaveRun) {
+TEST(Connections, InputBeforeTheRequestMeansThatItCannotHaveRun) {
   for (const std::string& first : {std::string(), std::string("HTTP/1.1 408 Timeout\r\n"), kEmptyOk}) {
     Peer peer;
     Backends b;
@@ -142,7 +142,7 @@
 }
 
 // Closed or spoken on while it stood unused, and not read yet: another one is made.
-TEST(Connections, WhatWasEndedUnreadIsNotUsedAgain) {
+TEST(Connections, IdleConnectionWithUnreadInputIsNotReused) {
   const std::vector<std::function<void(Line&)>> surprises = {[](Line& there) { there.close(); },
                                                              [](Line& there) { there.reset(); },
                                                              [](Line& there) { there.write("HTTP/1"); }};
@@ -173,7 +173,7 @@
 }
 
 // Right after the write: it may have run, and is told so.
-TEST(Connections, OneUsedAgainThatIsResetUnderItsRequestMayHaveRun) {
+TEST(Connections, ResetOfAReusedConnectionAfterTheWriteMayHaveRun) {
   Peer peer;
   Backends b;
   b.send(peer, kLong);
@@ -191,7 +191,7 @@
 }
 
 // The backend may close it after the stated time; half of that is left to what is on its way.
-TEST(Connections, OneIsUsedAgainForHalfOfTheTimeThatItsBackendKeepsIt) {
+TEST(Connections, ConnectionIsReusedForHalfOfTheBackendsIdleTimeout) {
   constexpr Millis kKeeps = 100;
   Peer peer;
   Backends b(kKeeps);
--- a/tests/crossings/descriptors_test.cpp
+++ b/tests/crossings/descriptors_test.cpp
@@ -80,17 +80,17 @@
   expect_return(node, discovery, *kept);
 }
 
-TEST(Crossings, IdleClientsFillTheDescriptorsThatAreStatedWhileDiscoveryIsDown) {
+TEST(Crossings, IdleClientsFillTheConfiguredDescriptorsWhileDiscoveryIsDown) {
   fill_while_discovery_is_down(1024, 64);
 }
 
 // Guards against a system's limit under the stated one: all went to clients, and discovery's call got none.
-TEST(Crossings, IdleClientsFillTheDescriptorsThatTheSystemAllowsWhileDiscoveryIsDown) {
+TEST(Crossings, IdleClientsFillTheSystemsDescriptorsWhileDiscoveryIsDown) {
   fill_while_discovery_is_down(64, 1024);
 }
 
 // The same where the system's limit comes down while the node runs: it counts with the next reload.
-TEST(Crossings, IdleClientsFillTheDescriptorsThatAReloadFindsWhileDiscoveryIsDown) {
+TEST(Crossings, IdleClientsFillTheDescriptorsLoweredByAReloadWhileDiscoveryIsDown) {
   DownAddress first;
   DownAddress second;
   second.rise();
--- a/tests/crossings/list_answers_test.cpp
+++ b/tests/crossings/list_answers_test.cpp
@@ -81,7 +81,7 @@
   std::uint64_t version;
 };
 
-TEST(ListAnswers, WhereverTheyBreakOffTheWatchEndsOnceAndWhatCameWholeCounts) {
+TEST(ListAnswers, CutResponseEndsTheWatchOnceAndWholeListsApply) {
   const std::string whole = chunk(kWhole + "\n");
   const std::string half = whole.substr(0, whole.size() / 2);
   const Case cases[] = {
@@ -163,7 +163,7 @@
 }
 
 // Guards against a head that trickles in and holds the call for as long as it likes.
-TEST(ListAnswers, AHeadThatTricklesInIsNoSignOfLife) {
+TEST(ListAnswers, SlowHeadDoesNotKeepTheCallOpen) {
   std::vector<std::string> bytes;
   for (int n = 0; n < 2000; ++n) bytes.emplace_back(n == 0 ? "HTTP/1.1 200 OK\r\nX: " : "x");
   Answers a({kLong, kSoon, kLong});
@@ -171,7 +171,7 @@
   EXPECT_EQ(a.endings, std::vector<Ending>{Ending::kTimeout});
 }
 
-TEST(ListAnswers, AnIndentedListInPiecesAtEveryByteIsTakenIn) {
+TEST(ListAnswers, IndentedListSplitAtEveryByteIsApplied) {
   const std::string list =
       "{\n  \"seq\": 6,\n  \"whole\": true,\n  \"hosts\": [\n    {\n      \"host\": \"s-1\",\n"
       "      \"dial\": \"127.0.0.9:81\",\n      \"health\": \"ready\"\n    }\n  ]\n}\n";
@@ -189,7 +189,7 @@
 }
 
 // Guards against a list that is read in slices and dropped, call after call, as its answer has ended.
-TEST(ListAnswers, ALongListCountsAlsoWhereItsAnswerHasEnded) {
+TEST(ListAnswers, LongListIsAppliedAfterItsResponseEnded) {
   std::string list = R"({"seq":6,"whole":true,"hosts":[)";
   for (int n = 0; n < 3000; ++n) {
     if (n > 0) list += ',';
@@ -202,7 +202,7 @@
   EXPECT_EQ(a.lists[0].backends.size(), 3000U);
 }
 
-TEST(ListAnswers, NobodyThereIsARefusal) {
+TEST(ListAnswers, ClosedPortEndsAsRefused) {
   Answers a;
   a.peer.close();
   a.discovery.watch();
@@ -211,7 +211,7 @@
 }
 
 // Changes with lower numbers are of another discovery: on top of this list they would be wrong for good.
-TEST(ListAnswers, ChangesNumberedLowerLeadToTheWholeList) {
+TEST(ListAnswers, ChangesOfALowerVersionFetchTheWholeList) {
   Answers a;
   a.play({kHead, chunk("{\"seq\":3,\"whole\":false,\"hosts\":[]}\n")}, Then::kSilence);
   EXPECT_EQ(a.endings, std::vector<Ending>{Ending::kMalformed});
@@ -221,7 +221,7 @@
 
 // What the old discovery still writes after a move does not count, and the watch there is left without a
 // word.
-TEST(ListAnswers, AMoveInTheMiddleOfAnAnswerLeavesItAlone) {
+TEST(ListAnswers, AddressChangeDuringAResponseDropsTheOldWatch) {
   Peer other;
   Answers a;
   std::optional<Line> next;
@@ -232,7 +232,8 @@
     a.line->write(kHead + chunk(kWhole + "\n").substr(0, 30));
     a.loop.after(1, [&] {
       a.line->write(chunk(kWhole + "\n").substr(30));
-      a.discovery.move(Poco::Net::SocketAddress("127.0.0.1", other.port()));  // before that was read
+      a.discovery.change_address(
+          Poco::Net::SocketAddress("127.0.0.1", other.port()));  // before that was read
       next = other.accept();
       once_readable(a.loop, *next, [&] {
         EXPECT_TRUE(holds(next->request(), "from=5 "));
--- a/tests/crossings/list_node_test.cpp
+++ b/tests/crossings/list_node_test.cpp
@@ -43,7 +43,7 @@
 }
 
 // What a whole list does not name is gone, also where it still answers, and the connection kept there ends.
-TEST(ListCrossings, WhatTheFirstWholeListLeavesOutGetsNothingNew) {
+TEST(ListCrossings, BackendMissingInTheFirstWholeListGetsNothingNew) {
   Peer gone;
   Peer stays;
   Node node;
@@ -69,7 +69,7 @@
 }
 
 // SIGHUP while the old discovery is in the middle of an answer, and drains at the new one right after.
-TEST(ListCrossings, AMoveInMidAnswerAndDrainsRightAfter) {
+TEST(ListCrossings, DiscoveryChangeDuringAResponseAppliesTheNewDrains) {
   Peer drains;
   Peer stays;
   Peer elsewhere;
@@ -103,7 +103,7 @@
 }
 
 // A configuration that moves nothing leaves a call alone that is under way, and so does one that is broken.
-TEST(ListCrossings, AReloadInMidCallLeavesItAlone) {
+TEST(ListCrossings, ReloadDuringACallLeavesItOpen) {
   Peer backend;
   Node node;
   node.know("s-1", backend);
@@ -147,7 +147,7 @@
 
 // While discovery is down it learns nothing, so nothing can have been told since: the list of earlier will
 // do.
-TEST(ListCrossings, WherePushedListsAreOutOfReachTheListOfEarlierWillDo) {
+TEST(ListCrossings, UnreachableDiscoveryLeavesTheStoredListInUse) {
   for (const bool refused : {true, false}) {
     Pushed p;
     if (refused) p.node.discovery.close();
@@ -163,7 +163,7 @@
 }
 
 // But not where discovery answers, in whatever way: it has what counts.
-TEST(ListCrossings, WherePushedListsAreOnTheirWayTheyAreWaitedFor) {
+TEST(ListCrossings, ReachableDiscoveryIsWaitedFor) {
   const std::string news = first_line(list(8, true, ""));
   const std::string answers[] = {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
                                  news.substr(0, news.size() - 9)};
@@ -186,7 +186,7 @@
 }
 
 // With the waits as they are, in real time; each figure is printed.
-TEST(ListCrossings, AStartIsReadyWithinTheTermWhateverDiscoveryDoes) {
+TEST(ListCrossings, NodeIsReadyInTimeWhateverDiscoveryDoes) {
   enum class Does { kRefuses, kSaysNothing, kTurnsAway, kBegins };
   const char* const names[] = {"refuses calls", "says nothing", "turns calls away", "begins an answer"};
   for (const bool pushed : {false, true}) {
--- a/tests/crossings/list_trickle_test.cpp
+++ b/tests/crossings/list_trickle_test.cpp
@@ -54,21 +54,21 @@
                       {.connect = 1000, .first = 1000, .silence = kSilence}};
 };
 
-TEST(ListTrickle, AListThatNeverBecomesWholeIsASilentWatch) {
+TEST(ListTrickle, ListThatStaysIncompleteEndsAsSilent) {
   Watched w;
   w.run(kHead + "8\r\n{\"seq\":9\r\n", "1\r\n \r\n");
   EXPECT_EQ(w.ending, Ending::kSilent);
 }
 
 // Nor do the beginnings of a piece say anything.
-TEST(ListTrickle, APieceThatNeverBeginsIsNoSignOfLife) {
+TEST(ListTrickle, ChunkHeaderWithoutDataIsNoSignOfLife) {
   Watched w;
   w.run(kHead + "1\r\n\n\r\n", "0");
   EXPECT_TRUE(w.ending.has_value());
 }
 
 // Lists that follow each other, each read ending within one: none of them trickles.
-TEST(ListTrickle, OneListAfterTheOtherIsNoTrickle) {
+TEST(ListTrickle, ConsecutiveListsKeepTheWatch) {
   Watched w;
   std::array<char, 32> size{};
   std::snprintf(size.data(), size.size(), "%zx\r\n", kList.size());
@@ -86,7 +86,7 @@
 }
 
 // One that could not be taken in is not known, so its number is not reached.
-TEST(ListTrickle, AListThatCannotBeTakenInIsAskedForAnew) {
+TEST(ListTrickle, ListThatCannotBeAppliedIsFetchedAgain) {
   Watched w;
   w.refuses = true;
   std::array<char, 32> size{};
--- a/tests/crossings/lists_sim_test.cpp
+++ b/tests/crossings/lists_sim_test.cpp
@@ -38,7 +38,7 @@
 
 constexpr Millis kMeasured = 1000 / 46.0;  // a call at 300 nodes
 
-TEST(ListsSim, SmallFleetsHaveTheirListsInTimeAfterEveryTrouble) {
+TEST(ListsSim, SmallFleetsHaveTheirListsInTimeAfterEveryFault) {
   for (const int processes : {1, 3, 30}) {
     for (const Trouble trouble : kAll) {
       for (const Millis lasts : {0.0, 3000.0, 8000.0}) {
@@ -74,7 +74,7 @@
 }
 
 // Repeated too soon, calls would keep it at those given up long ago for good.
-TEST(ListsSim, AllGetTheirListsAlsoWhereDiscoveryIsFarBehind) {
+TEST(ListsSim, AllGetTheirListsWhenDiscoveryIsOverloaded) {
   for (const Millis all : {5000.0, 8000.0}) {
     for (const int processes : {30, 300}) {
       for (const Trouble trouble : kAll) {
--- a/tests/crossings/outdated_list_test.cpp
+++ b/tests/crossings/outdated_list_test.cpp
@@ -69,7 +69,7 @@
 
 // Drains that discovery has had for longer than that count as told from a process's first moment, whatever
 // list it was given.
-TEST(OutdatedList, AProcessGivenAnOldListSendsNothingToWhoDrainsByNow) {
+TEST(OutdatedList, StartWithAnOldListSendsNothingToDrainingBackends) {
   const std::atomic<bool> drains{true};
   const std::atomic<bool> serves{false};
   AnsweringPeer first(backend_that(drains));
@@ -84,7 +84,7 @@
 }
 
 // The same where all that it was given drain: there is nobody to send to, and clients hear so at once.
-TEST(OutdatedList, AProcessWhoseWholeListDrainsRefusesAtOnce) {
+TEST(OutdatedList, StartWithOnlyDrainingBackendsRefusesAtOnce) {
   const std::atomic<bool> drains{true};
   AnsweringPeer only(backend_that(drains));
   const RefusedNode node(entry("s-1", only), true);
@@ -95,7 +95,7 @@
 
 // Where checks are not allowed either, a process is not ready by a list of unknown age: it waits for one of
 // now.
-TEST(OutdatedList, AProcessThatMayNotCheckIsReadyOnceItHasAList) {
+TEST(OutdatedList, WithoutHealthChecksReadyOnlyWithACurrentList) {
   const std::atomic<bool> serves{false};
   std::atomic<bool> told{false};
   AnsweringPeer backend(backend_that(serves));
@@ -119,7 +119,7 @@
 
 // A backend that drains while the process runs and is refused every list: from the bound and the grace on it
 // gets nothing new, though its list still names it.
-TEST(OutdatedList, AProcessThatIsRefusedListsSendsNothingToWhoBeganToDrain) {
+TEST(OutdatedList, WithoutNewListsNothingGoesToABackendThatBeganToDrain) {
   std::atomic<bool> drains{false};
   AnsweringPeer leaving(backend_that(drains));
   const RefusedNode node(entry("s-1", leaving), true);
--- a/tests/crossings/reborn_test.cpp
+++ b/tests/crossings/reborn_test.cpp
@@ -39,7 +39,7 @@
   std::optional<Line> before;
 };
 
-TEST(Reborn, ConnectionsKeptToTheProcessBeforeAreNotUsed) {
+TEST(Reborn, ConnectionsToTheOldProcessAreNotReused) {
   Kept kept(0);
   EXPECT_EQ(kept.before->rest(), "") << "closed by the node with nothing more on it";
   kept.s.client.write(post("/unsafe", "x"));
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -49,26 +49,26 @@
 
 const std::string kWatchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-TEST(Discovery, ASilentWatchIsDead) {
+TEST(Discovery, SilentWatchEndsAsSilent) {
   Watched w({kLong, kLong, kSoon});
   w.answer(kWatchHead + "1\r\n\n\r\n");
   EXPECT_EQ(w.ending, Ending::kSilent);
   EXPECT_FALSE(w.discovery.watching());
 }
 
-TEST(Discovery, ACallWithoutAnswerIsGivenUp) {
+TEST(Discovery, CallWithoutResponseTimesOut) {
   Watched w({kLong, kSoon, kLong});
   w.loop.run();
   EXPECT_EQ(w.ending, Ending::kTimeout);
 }
 
-TEST(Discovery, ATurnedAwayCallEndsTheWatch) {
+TEST(Discovery, RejectedCallEndsTheWatch) {
   Watched w;
   w.answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
   EXPECT_EQ(w.ending, Ending::kTurnedAway);
 }
 
-TEST(Discovery, LinesMaySpanChunks) {
+TEST(Discovery, ListsMaySpanChunks) {
   Watched w;
   w.answer(kWatchHead + "8\r\n{\"seq\":6\r\n1a\r\n,\"whole\":true,\"hosts\":[]}\n\r\n");
   ASSERT_EQ(w.lists.size(), 1U);
@@ -78,7 +78,7 @@
 }
 
 // Guards against a list that is wrong for good: a line that cannot be read is not passed over.
-TEST(Discovery, ALineThatCannotBeReadEndsTheWatch) {
+TEST(Discovery, InvalidListEndsTheWatch) {
   for (const std::string line : {"7\r\n{\"seq\"}\r\n1\r\n\n\r\n", "9\r\n{\"seq\":6}\r\n1\r\n\n\r\n"}) {
     Watched w;
     w.answer(kWatchHead + line);
--- a/tests/membership/follower_test.cpp
+++ b/tests/membership/follower_test.cpp
@@ -18,25 +18,25 @@
   return "{\"dial\":\"" + dial + "\",\"health\":\"" + health + "\",\"born_ms\":" + std::to_string(born) + "}";
 }
 
-TEST(Messages, Base64IsItsOwnInverse) {
+TEST(Messages, Base64RoundTrip) {
   EXPECT_EQ(base64(""), "");
   EXPECT_EQ(base64("f"), "Zg==");
   EXPECT_EQ(base64("fo"), "Zm8=");
   EXPECT_EQ(base64("foobar"), "Zm9vYmFy");
   for (const char* bad : {"Zg=", "Zg==Zg==", "Z===", "Z!==", "=Zg="}) EXPECT_FALSE(from_base64(bad)) << bad;
 }
-RC_GTEST_PROP(Messages, AnyBytesComeBack, (const std::string& bytes)) {
+RC_GTEST_PROP(Messages, AnyBytesSurviveBase64, (const std::string& bytes)) {
   RC_ASSERT(from_base64(base64(bytes)) == bytes);
 }
 
-TEST(Messages, ThePrefixesEnd) {
+TEST(Messages, PrefixEndIsTheNextKey) {
   EXPECT_EQ(prefix_end("/a"), "/b");
   EXPECT_EQ(prefix_end("a\xff"), "b");
   EXPECT_EQ(prefix_end("\xff\xff"), std::string(1, '\0'));
 }
 
 // What comes is taken, numbers in either form, or refused with a cause; nothing is passed over.
-TEST(Messages, EachIsReadOrRefusedWithItsCause) {
+TEST(Messages, ValidMessagesAreParsedAndOthersRejectedWithACause) {
   std::string cause;
   const auto page = parse_page(
       R"({"header":{"cluster_id":"7","member_id":"2","revision":"12"},"kvs":[{"key":"L2E=","create_revision":"3","mod_revision":9,"value":"e30="}],"more":true,"count":"4"})",
@@ -92,7 +92,7 @@
   EXPECT_FALSE(parse_page(std::move(deep), cause));
 }
 
-RC_GTEST_PROP(Messages, ABackendIsReadAsItWasWritten, ()) {
+RC_GTEST_PROP(Messages, BackendValueRoundTrip, ()) {
   Member m;
   m.host = "h";
   m.dial = *rc::gen::element<std::string>("1.2.3.4:5", "a\"b", "\\");
@@ -275,7 +275,7 @@
 
 // Where nothing goes on failing, the view comes to what the registry has; until then revisions never go back,
 // and whoever was seen to drain in this history is never shown ready but by newer news.
-RC_GTEST_PROP(FollowerModel, ComesToWhatTheRegistryHas, ()) {
+RC_GTEST_PROP(FollowerModel, ConvergesToTheRegistry, ()) {
   World world;
   Options options;
   options.floor = *rc::gen::element(0.0, 0.5);
@@ -373,7 +373,7 @@
 
 // Guards against missing what happened in a break: the watched revision is compacted away while two backends
 // drain and one comes back under its old name with a new start.
-TEST(Follower, ABreakOverACompactionMissesNoDrain) {
+TEST(Follower, CutAcrossACompactionMissesNoDrain) {
   World world;
   for (int n = 0; n < 8; ++n) world.store.put(kPrefix + host_of(n), value(host_of(n) + ":1", "ready", 0));
   Following client(world, 3, {}, 3);
@@ -395,7 +395,7 @@
 }
 
 // Guards against waiting at a member that has not got as far as what was seen.
-TEST(Follower, AMemberThatLagsIsLeftForAnother) {
+TEST(Follower, LaggingEndpointIsReplacedByAnother) {
   World world;
   for (int n = 0; n < 8; ++n) world.store.put(kPrefix + host_of(n), value(host_of(n) + ":1", "ready", 0));
   Following client(world, 3, {}, 3);
@@ -411,7 +411,7 @@
 }
 
 // Guards against taking the first part of a fragmented answer for all of it, where the rest never comes.
-TEST(Follower, AFragmentCutOffIsAskedForAgain) {
+TEST(Follower, TruncatedFragmentIsFetchedAgain) {
   World world;
   for (int n = 0; n < 8; ++n) world.store.put(kPrefix + host_of(n), value(host_of(n) + ":1", "ready", 0));
   Following client(world, 3, {}, 3);
@@ -426,7 +426,7 @@
 
 // Guards against a watch that stands and tells nothing: a check finds a change, or a deletion by the count of
 // keys, and the whole list is read again.
-TEST(Follower, ADeafWatchIsFoundOut) {
+TEST(Follower, DeafWatchIsDetected) {
   for (const bool deletion : {false, true}) {
     World world;
     for (int n = 0; n < 8; ++n) {
@@ -450,7 +450,7 @@
 
 // 200 clients of one registry that restarts: nobody comes before its lot, and the first second's worst tenth
 // sees no more than three times its share.
-TEST(Follower, ManyClientsDoNotComeBackTogether) {
+TEST(Follower, ManyClientsSpreadTheirReconnects) {
   World world;
   world.store.put(kPrefix + "b0", value("b0:1", "ready", 0));
   std::vector<std::unique_ptr<Following>> clients;
--- a/tests/membership/list_lease_test.cpp
+++ b/tests/membership/list_lease_test.cpp
@@ -32,7 +32,7 @@
   return lease;
 }
 
-TEST(ListLease, WithoutAStatedGraceAListIsGoodForEver) {
+TEST(ListLease, WithoutAConfiguredGraceAListIsValidForEver) {
   ListLease lease;
   EXPECT_EQ(lease.validity(), ListValidity());
   lease.call_begun(kStart);
@@ -41,7 +41,7 @@
   EXPECT_EQ(lease.validity(), ListValidity());
 }
 
-TEST(ListLease, WhatAProcessIsGivenAtItsStartIsOfNoKnownAge) {
+TEST(ListLease, ListGivenAtTheStartIsNotValid) {
   ListLease lease = lease_on_request();
   EXPECT_LT(lease.validity().until, 0);
   lease.call_begun(kStart);
@@ -50,14 +50,14 @@
   EXPECT_LT(lease.validity().until, 0);
 }
 
-TEST(ListLease, AnAnswerCountsFromItsCall) {
+TEST(ListLease, ValidityCountsFromTheStartOfTheCall) {
   ListLease lease = lease_on_request();
   lease.call_begun(kStart);
   lease.call_answered();
   EXPECT_EQ(lease.validity().until, kStart + ListLease::kMaxAge + kAllowance);
 }
 
-TEST(ListLease, AWatchThatShowsLifeHoldsOn) {
+TEST(ListLease, KeepAlivesExtendTheLease) {
   ListLease lease = watching();
   for (Millis now = kStart; now < kStart + 60000; now += ListLease::kSignInterval) {
     lease.sign_of_life(now);
@@ -66,12 +66,12 @@
 }
 
 // Silence: 6 s from the last sign at most, of which what was on its way then takes a part.
-TEST(ListLease, AWatchThatFallsSilentHoldsForLessThanTheTimeForSilence) {
+TEST(ListLease, SilentWatchHoldsTheLeaseNoLongerThanMaxAge) {
   EXPECT_LE(watching().validity().until, kStart + ListLease::kMaxAge);
   EXPECT_LE(watching(true).validity().until, kStart + ListLease::kMaxAge);
 }
 
-TEST(ListLease, AfterItsWatchAProcessHasAQuarterOfTheTimeUntilACallHasEnded) {
+TEST(ListLease, AfterTheWatchTheHoldIsAQuarterUntilACallEnds) {
   ListLease lease = watching();
   lease.call_ended(CallEnd::kWatchEnded, kStart + 100);
   const Millis held_until = kStart + 100 + ListLease::kMaxHoldWithoutCall + kAllowance;
@@ -87,7 +87,7 @@
   EXPECT_EQ(lease.validity().confirmed_for, ListLease::kMaxAge + kAllowance);
 }
 
-TEST(ListLease, ACallAfterOneThatFailedHoldsNoLongerThanOneThatIsTheFirst) {
+TEST(ListLease, CallAfterAFailedOneHoldsNoLongerThanAFirstCall) {
   ListLease lease = watching();
   lease.call_ended(CallEnd::kWatchEnded, kStart);
   lease.call_begun(kStart + 10);
@@ -96,7 +96,7 @@
   EXPECT_EQ(lease.validity().until, kStart + 30 + ListLease::kMaxHoldWithoutCall + kAllowance);
 }
 
-TEST(ListLease, ACallThatFailsAfterTheLeaseRanOutDoesNotRenewIt) {
+TEST(ListLease, CallFailingAfterExpiryDoesNotRenewTheLease) {
   ListLease lease = watching();
   lease.call_ended(CallEnd::kWatchEnded, kStart + 100);
   const Millis held_until = kStart + 100 + ListLease::kMaxHoldWithoutCall;
@@ -109,7 +109,7 @@
   EXPECT_EQ(lease.validity().until, held_until + 400 + ListLease::kMaxAge + kAllowance);
 }
 
-TEST(ListLease, SettingsThatWantListsMoreOftenCount) {
+TEST(ListLease, ShorterConfiguredIntervalShortensTheHold) {
   ListLease lease = lease_on_request(800);
   lease.call_begun(kStart);
   lease.call_answered();
@@ -120,7 +120,7 @@
   EXPECT_EQ(lease.validity().until, kStart + 3200 + kAllowance);
 }
 
-TEST(ListLease, AListThatHasBegunToComeBindsAndOutdatesEarlierChecksUntilOneIsWhole) {
+TEST(ListLease, IncompleteListEndsValidityAndOutdatesEarlierChecksUntilOneIsWhole) {
   ListLease lease = watching();
   lease.list_incomplete(kStart + 100);
   lease.list_incomplete(kStart + 140);
@@ -138,7 +138,7 @@
   EXPECT_LT(lease.validity().confirmed_after, 0);
 }
 
-TEST(ListLease, WherePushedTheEndOfTheWatchEndsTheLease) {
+TEST(ListLease, WithPushedListsTheEndOfTheWatchEndsTheLease) {
   ListLease lease = watching(true);
   lease.call_ended(CallEnd::kWatchEnded, kStart + 100);
   EXPECT_EQ(lease.validity().until, kStart + 100 + kAllowance);
@@ -151,7 +151,7 @@
   EXPECT_EQ(lease.validity().until, kStart + 400 + ListLease::kMaxAge + kAllowance);
 }
 
-TEST(ListLease, AMoveOfDiscoveryBindsByItsOwnTime) {
+TEST(ListLease, DiscoveryChangeLimitsTheLease) {
   ListLease lease = watching();
   lease.discovery_changed(kStart + 100);
   EXPECT_LE(lease.validity().until, kStart + 100 + ListLease::kDiscoveryChangeDelay + kAllowance);
@@ -160,7 +160,7 @@
   EXPECT_LE(lease.validity().until, kStart + 100 + ListLease::kDiscoveryChangeDelay + kAllowance);
 }
 
-TEST(ListLease, AGraceShorterThanAProcessMayBeHeldUpAllowsNothing) {
+TEST(ListLease, GraceShorterThanTheMaxPauseAddsNothing) {
   ListLease lease;
   lease.adopt({.grace = 100, .pushed = false, .ask_every = 10000});
   lease.call_begun(kStart);
@@ -208,7 +208,7 @@
   }
 }
 
-TEST(ListLease, NoLeaseOutlivesItsProof) { EXPECT_TRUE(rc::check(no_lease_outlives_its_proof)); }
+TEST(ListLease, LeaseNeverOutlivesTheLastNews) { EXPECT_TRUE(rc::check(no_lease_outlives_its_proof)); }
 
 }  // namespace
 }  // namespace shorelead::membership
--- a/tests/membership/saved_list_test.cpp
+++ b/tests/membership/saved_list_test.cpp
@@ -35,7 +35,7 @@
   std::string path;
 };
 
-TEST(SavedList, ComesBackAsItWasWritten) {
+TEST(SavedList, RoundTrip) {
   const Folder folder;
   std::string cause;
   EXPECT_FALSE(load_saved_list(folder.file(), cause));
@@ -52,7 +52,7 @@
 }
 
 // A file cut at any byte, or with any byte changed, is refused; never a list with something missing.
-TEST(SavedList, TornAnywhereOrDamagedAnywhereIsRefused) {
+TEST(SavedList, TruncatedOrDamagedFileIsRejected) {
   const std::string text = saved_list_text(three(), 123456);
   const std::size_t body = text.find('\n') + 1;
   for (std::size_t size = 0; size < text.size(); ++size) {
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(SavedList, OtherFormsAreNamed) {
+TEST(SavedList, OtherFormatsAreRejectedWithACause) {
   const std::pair<std::string, const char*> cases[] = {
       {"", "not a saved list"},
       {"{\"seq\":1}\n", "not a saved list"},
@@ -87,7 +87,7 @@
 }
 
 // A disk that takes nothing leaves the old file as it was, and says why.
-TEST(SavedList, WhatCannotBeWrittenLeavesTheOldOne) {
+TEST(SavedList, FailedWriteLeavesTheOldFile) {
   const Folder folder;
   ASSERT_FALSE(store_saved_list(folder.file(), saved_list_text(three(), 1)));
   std::filesystem::create_directory(folder.beside());  // in the way
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -43,7 +43,7 @@
 
 // The watched revision was compacted away: what the snapshot has no longer is a loss, what drained in between
 // drains, and one that came back under its old name is cold again.
-TEST(View, ASnapshotAfterAGapIsADifference) {
+TEST(View, SnapshotAfterAGapYieldsOnlyTheDifference) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
   std::vector<Entry> entries = ten(2);
@@ -68,7 +68,7 @@
 }
 
 // An empty or halved answer is held and asked for again; it counts only once it has lasted.
-TEST(View, ALossBeyondTheFloorIsHeld) {
+TEST(View, LossBeyondTheFloorIsHeld) {
   Options options;
   View view(options);
   view.snapshot(0, 7, 5, ten(), 0);
@@ -91,7 +91,7 @@
 
 // Leases that all expire at once, because the registry was away, are held as well: five of ten at most go at
 // once. But a drain is believed whatever is held, and who is told to be there again is there.
-TEST(View, LossesInAWindowCountTogetherAndDrainsAlwaysCount) {
+TEST(View, LossesInAWindowAddUpAndDrainsAlwaysTakeEffect) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
   std::string gone;
@@ -108,7 +108,7 @@
   EXPECT_EQ(said(view.believe(230)), "b7=gone");
 }
 
-TEST(View, FewBackendsHaveNoFloorAndZeroIsNone) {
+TEST(View, FewBackendsOrAZeroFloorHoldNothing) {
   View few;
   few.snapshot(0, 7, 5, {at(1, backend("a")), at(1, backend("b"))}, 0);
   EXPECT_EQ(said(few.snapshot(0, 7, 6, {}, 10)), "a=gone b=gone");
@@ -121,7 +121,7 @@
 
 // A registry that restarts in the middle of a deploy with an older history: another epoch. Whoever was told
 // draining or gone stays so, unless born later, or changed in the new epoch.
-TEST(View, ANewEpochBringsNobodyBack) {
+TEST(View, NewEpochDoesNotBringBackDrainedBackends) {
   View view;
   view.snapshot(0, 7, 50, ten(), 0);
   view.change(0,
@@ -138,7 +138,7 @@
 }
 
 // An address that passes to a new id: the old one gets nothing more, though its source still lists it.
-TEST(View, AnAddressAnswersForOneBackend) {
+TEST(View, AddressBelongsToOneBackend) {
   View view;
   view.snapshot(0, 7, 5, {at(1, backend("old", "ready", 10, "x:1")), at(2, backend("other"))}, 0);
   EXPECT_EQ(said(view.change(0, {to(6, backend("new", "ready", 500, "x:1"))}, 10)), "old=gone new=ready");
@@ -147,7 +147,7 @@
 }
 
 // A backend that comes and goes is told draining for longer and longer; each drain counts at once.
-TEST(View, AFlappingBackendWaits) {
+TEST(View, FlappingBackendReturnsWithADelay) {
   Options options;
   options.flaps = 2;
   View view(options);
@@ -167,7 +167,7 @@
 
 // The first source that names a backend says what it is; a drain by any of them counts, and what one saw
 // leave after its drain the other does not bring back.
-TEST(View, SourcesByPrecedence) {
+TEST(View, FirstSourceDescribesAndAnySourceDrains) {
   View view({}, 2);
   Member far = backend("a");
   far.site = "far";
@@ -183,7 +183,7 @@
   EXPECT_EQ(said(view.change(1, {to(4, backend("a"))}, 60)), "");
 }
 
-TEST(View, AnUnreadableEntryLeavesTheBackendAsItWas) {
+TEST(View, UnreadableEntryLeavesTheBackendUnchanged) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
   std::vector<Entry> entries = ten();
@@ -197,7 +197,7 @@
 
 // What the registry really went through: every backend's last change, and what a client was told of it.
 // Drains told and not overturned by newer news are the ones that must never be missed.
-RC_GTEST_PROP(ViewModel, ConvergesMissesNoDrainAndResurrectsNobody, ()) {
+RC_GTEST_PROP(ViewModel, ConvergesWithoutMissingADrain, ()) {
   Options options;
   options.floor = *rc::gen::element(0.0, 0.5);
   options.flaps = 0;
@@ -309,7 +309,7 @@
 
 // Across epochs: registries that restart with any older history bring nobody back that was told draining or
 // gone by its own word, however they mix. Only a later birth or a change in the new epoch does.
-RC_GTEST_PROP(ViewModel, NoEpochBringsBackWhoWasToldToLeave, ()) {
+RC_GTEST_PROP(ViewModel, NoEpochBringsBackDrainedBackends, ()) {
   Options options;
   options.floor = 0;
   options.flaps = 0;
--- a/tests/membership/writes_test.cpp
+++ b/tests/membership/writes_test.cpp
@@ -47,7 +47,7 @@
   return etcd::head(store.cluster(), 0, result.revision) + etcd::tail(asked, result) + "}";
 }
 
-RC_GTEST_PROP(Writes, ATransactionMeansTheSameToBothSides, ()) {
+RC_GTEST_PROP(Writes, TransactionMeansTheSameToTheSimulatedRegistry, ()) {
   lab::KeyStore store;
   store.grant(7, 1000, 0);
   store.put("/f/a", "1", 7);
@@ -90,7 +90,7 @@
   RC_ASSERT(!cause.empty());
 }
 
-TEST(Writes, WhatDoesNotFitIsRefusedWithItsCause) {
+TEST(Writes, ResponsesThatDoNotFitAreRejectedWithACause) {
   const Txn asked{{}, {Put{"a", "b"}, Get{"a", ""}}, {Delete{"a"}}};
   const std::string good = R"({"response_put":{}},{"response_range":{"count":"1","kvs":[{"key":"YQ=="}]}})";
   std::string cause;
@@ -112,7 +112,7 @@
   }
 }
 
-TEST(Writes, LeasesAreReadAsPublished) {
+TEST(Writes, LeaseResponsesAreParsed) {
   std::string cause;
   const auto granted =
       parse_grant(R"({"header":{"cluster_id":"3","revision":"5"},"ID":"7587848390","TTL":"5"})", cause);
--- a/tests/pools_test.cpp
+++ b/tests/pools_test.cpp
@@ -122,7 +122,7 @@
 
 // Guards against a reload that touches what is under way: a charge taken under the old generation ends where
 // it was, once, though its pool is gone from the file; the next goes to the new one; and the old pool ends.
-TEST(Pools, ARequestEndsUnderTheGenerationThatReadIt) {
+TEST(Pools, RequestEndsUnderTheGenerationThatReadIt) {
   Peer old;
   Peer fresh;
   Node node(kHead + pool("a", backend(old)) + route("charge", "pool a"));
@@ -145,7 +145,7 @@
 
 // The same with a backend that dies under the charge after the pool was taken out: it may have run, so it is
 // answered as failed, and no backend of the new pool sees it.
-TEST(Pools, AChargeOfAPoolThatWasTakenOutIsNotSentElsewhere) {
+TEST(Pools, UnsafeRequestOfARemovedPoolIsNotSentElsewhere) {
   Peer old;
   Peer fresh;
   Node node(kHead + pool("a", backend(old)) + route("charge", "pool a"));
@@ -166,7 +166,7 @@
 }
 
 // Without keyed classes nothing holds a generation that is over: its pool ends as soon as it has nothing.
-TEST(Pools, AnEmptyPoolEnds) {
+TEST(Pools, RemovedPoolWithoutRequestsEnds) {
   Peer old;
   Peer fresh;
   std::string head = kHead;
@@ -178,7 +178,7 @@
 
 // Guards against losing what a pool has learnt, and its connections, where other things are told anew or its
 // name is: the connection of before carries the request after.
-TEST(Pools, APoolThatIsToldAsBeforeGoesOnUnderAnyName) {
+TEST(Pools, UnchangedPoolKeepsItsConnectionsAcrossReloadAndRename) {
   Peer a;
   Peer b;
   const std::string pools = pool("a", backend(a)) + pool("b", backend(b));
@@ -197,7 +197,7 @@
 }
 
 // A backend that the file now says drains gets nothing new, and the pool goes on.
-TEST(Pools, AFileCanDrainABackend) {
+TEST(Pools, ReloadedFileDrainsABackend) {
   Peer a;
   Peer b;
   Node node(kHead + pool("a", backend(a)) + route("look", "pool a"));
@@ -220,7 +220,7 @@
 
 // Guards against refusing what the old generation could serve: a pool whose list is not there yet is waited
 // for.
-TEST(Pools, ANewGenerationWaitsForTheListsOfItsPools) {
+TEST(Pools, NewGenerationWaitsForTheListsOfItsPools) {
   Peer a;
   Peer discovery;
   Peer b;
@@ -242,7 +242,7 @@
 }
 
 // Guards against a file with a mistake: nothing changes, and requests go on.
-TEST(Pools, ABadFileChangesNothing) {
+TEST(Pools, InvalidFileChangesNothing) {
   Peer a;
   Node node(kHead + pool("a", backend(a)) + route("look", "pool a"));
   node.reload(kHead + pool("a", backend(a)) + route("look", "pool nobody"));
@@ -252,7 +252,7 @@
 }
 
 // The same where the mistake shows only when a pool is made: keys that cannot be read.
-TEST(Pools, KeysOfNoUseChangeNothing) {
+TEST(Pools, UnusableTlsKeysChangeNothing) {
   Peer a;
   Node node(kHead + pool("a", backend(a)) + route("look", "pool a"));
   node.reload(kHead + pool("b", "registry { endpoints 127.0.0.1:1; prefix /b/; ca /nowhere/ca.pem }") +
@@ -265,7 +265,7 @@
 
 // Who stands in: for a pool with nobody ready, for new keys, but not for a client's repeat of a keyed
 // request, whose first try may have run where its own pool knows the key.
-TEST(Pools, AnotherPoolStandsInButNotForARepeat) {
+TEST(Pools, FallbackPoolServesNewKeysButNoRepeats) {
   Peer away;
   Peer spare;
   Node node(kHead + pool("a", backend(away, "; draining yes ") + "; fallback b") + pool("b", backend(spare)) +
@@ -283,7 +283,7 @@
 
 // The same where it had somebody and has nobody any more, and where it has again: a count that went wrong by
 // one drain would keep its requests.
-TEST(Pools, AnotherPoolStandsInForAsLongAsNobodyIsReady) {
+TEST(Pools, FallbackPoolServesOnlyWhileNoBackendIsReady) {
   Peer a;
   Peer spare;
   const auto text = [&](const std::string& drains) {
@@ -309,7 +309,7 @@
 
 // Guards against a key that runs in two pools: after a swap a client's repeat of a keyed request goes where
 // its first try went, for the window; what is new goes by the new generation.
-TEST(Pools, ARepeatAfterASwapGoesWhereItsFirstTryWent) {
+TEST(Pools, RepeatAfterASwapGoesToThePoolOfTheFirstTry) {
   Peer a;
   Peer b;
   const std::string pools = pool("a", backend(a)) + pool("b", backend(b));
@@ -326,7 +326,7 @@
 }
 
 // A node that starts while its registry is away serves from the list that it kept.
-TEST(Pools, StartsFromTheKeptListWhileTheRegistryIsAway) {
+TEST(Pools, StartsFromTheSavedListWhileTheRegistryIsDown) {
   Peer a;
   Peer nobody;
   const std::string away = nobody.dial();
@@ -345,7 +345,7 @@
 }
 
 // A client keeps its side of a split, by the header's value, over connections and reloads.
-TEST(Pools, ASplitKeepsItsClients) {
+TEST(Pools, SplitKeepsItsClients) {
   Peer a;
   Peer b;
   const auto text = [&](int part) {
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -22,7 +22,7 @@
 const std::string kOneLine = "{\"seq\":7,\"whole\":false,\"hosts\":[]}\n";
 
 // Lists may be indented; and one that is cut off must not take in what follows it.
-TEST(ListStream, ListsComeOutWholeAtEverySplit) {
+TEST(ListStream, ListsAreReturnedWholeAtEverySplit) {
   struct Case {
     std::string come;
     std::vector<std::string> texts;
@@ -85,7 +85,7 @@
                       {20000, 20000, 20000}};
 };
 
-TEST(Terms, AnIndentedListIsTakenIn) {
+TEST(Terms, IndentedListIsApplied) {
   Watched w;
   const Line there = w.answered("\n" + kIndented);
   ASSERT_EQ(w.lists.size(), 1U) << name_of(w.ending);
@@ -96,7 +96,7 @@
 }
 
 // Guards against a watch that waits for good for the rest of a list while it is told nothing.
-TEST(Terms, AListCutOffEndsTheWatch) {
+TEST(Terms, TruncatedListEndsTheWatch) {
   Watched w;
   const Line there = w.answered("{\n  \"seq\": 6,\n\n");
   EXPECT_EQ(w.ending, Ending::kMalformed);
@@ -110,7 +110,7 @@
 
 // Where lists are pushed, what is there counts as told from a process's first moment: it must not serve by
 // the list of the process before it. Where they are asked for, that list may stand for a while.
-TEST(Terms, APushedListIsWaitedForBeforeClientsAreTaken) {
+TEST(Terms, NodeWaitsForAPushedListBeforeAcceptingClients) {
   for (const bool pushed : {false, true}) {
     Peer backend;
     Node node;
@@ -170,7 +170,7 @@
 }
 
 // What a silent watch missed counts as told 6 s after it fell silent, though discovery may be well.
-TEST(Terms, ASilentWatchIsAskedAnewBeforeItsNewsCount) {
+TEST(Terms, SilentWatchIsReopenedBeforeMissedChangesBind) {
   // A tenth of them, as was seen: all are told in time, by the module's wait few. All at once:
   // not all can be, whoever spreads them.
   EXPECT_LT(fall_silent(30, true).told_in_time, 0.6);
@@ -194,7 +194,7 @@
 
 // What was taken is answered before the process ends, also where its time is not up by then: a request that
 // came at the very end, or of a class that is no longer there.
-TEST(Terms, WhatIsUnderWayAtTheEndIsAnswered) {
+TEST(Terms, RequestsInProgressAtShutdownAreAnswered) {
   Peer backend;
   Node node;
   node.know("s-1", backend);
@@ -214,7 +214,7 @@
 }
 
 // A backend's second answer, some milliseconds after the first, is not passed on as that to the next request.
-TEST(Terms, ASecondAnswerIsNotTheNextRequests) {
+TEST(Terms, DuplicateResponseIsNotPassedToTheNextRequest) {
   Peer backend;
   Node node;
   node.know("s-1", backend);
--- a/tests/upstream_answers_test.cpp
+++ b/tests/upstream_answers_test.cpp
@@ -8,7 +8,7 @@
 namespace shorelead::node {
 namespace {
 
-TEST(Upstream, ConnectionsOfAnUnfitAgeAreNotUsedAgain) {
+TEST(Upstream, ConnectionsIdleForAnUnusableTimeAreNotReused) {
   Peer peer;
   UpstreamAlone b;
   const std::string ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -41,7 +41,7 @@
   EXPECT_LT(broke, 6);
 }
 
-TEST(Upstream, ProbesBringTheLoadInBodyOrHeader) {
+TEST(Upstream, ProbesReportTheLoadFromBodyOrHeader) {
   for (const std::string answer :
        {"HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\ninflight=7,queue=2,util=.5",
         "HTTP/1.1 200 OK\r\nX-Server-Load: inflight=7, queue=2,util=0.5\r\nContent-Length: 0\r\n\r\n"}) {
@@ -63,7 +63,7 @@
 }
 
 // Interim answers before the final one, more than a stack would hold; but nobody asked for another protocol.
-TEST(Upstream, InterimAnswersHoweverManyAreNotTheFinalOne) {
+TEST(Upstream, ManyInterimResponsesAreSkipped) {
   for (const auto& [last, ending] :
        {std::pair{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Ending::kServed},
         std::pair{"HTTP/1.1 101 Switching Protocols\r\n\r\n", Ending::kMalformed}}) {
@@ -83,7 +83,7 @@
 
 // What was written before its backend was withdrawn comes to its end, and then the connection goes: the
 // number of a backend that is gone may pass to another.
-TEST(Upstream, AConnectionToAWithdrawnBackendIsNotKept) {
+TEST(Upstream, ConnectionToAWithdrawnBackendIsNotKept) {
   Peer peer;
   UpstreamAlone b;
   b.send(peer, kLong);
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -9,7 +9,7 @@
 namespace shorelead::node {
 namespace {
 
-TEST(Upstream, NoAnswerInTimeMayHaveRun) {
+TEST(Upstream, NoResponseInTimeEndsAsTimeout) {
   Peer peer;
   UpstreamAlone b;
   b.send(peer, kSoon);
@@ -17,21 +17,21 @@
   EXPECT_EQ(b.upstream.connections(), 0U);
 }
 
-TEST(Upstream, AConnectionThatNeverComesUpHasRunNothing) {
+TEST(Upstream, ConnectThatNeverSucceedsEndsAsConnectTimeout) {
   FullPeer peer;
   UpstreamAlone b(kSoon);
   b.send(peer, kLong);
   EXPECT_EQ(b.run(), Ending::kConnectTimeout);
 }
 
-TEST(Upstream, StoppedBeforeTheConnectionIsUp) {
+TEST(Upstream, AttemptTimeEndingBeforeConnectEndsAsStoppedUnsent) {
   FullPeer peer;
   UpstreamAlone b;
   b.send(peer, kSoon);
   EXPECT_EQ(b.run(), Ending::kStoppedUnsent);
 }
 
-TEST(Upstream, ASilentMachineLeavesTimeForAnother) {
+TEST(Upstream, ConnectToASilentMachineEndsBeforeTheAttemptsTime) {
   Peer peer;
   FullPeer silent;
   UpstreamAlone b;
@@ -45,7 +45,7 @@
   EXPECT_EQ(b.run(), Ending::kConnectTimeout) << "not stopped at its due time";
 }
 
-TEST(Upstream, RefusedIsToldAfterTheCallThatSent) {
+TEST(Upstream, RefusedConnectIsReportedAfterSendReturns) {
   Peer peer;
   const std::string dial = peer.dial();
   peer.close();
@@ -55,7 +55,7 @@
   EXPECT_EQ(b.run(), Ending::kRefused);
 }
 
-TEST(Upstream, WithoutADescriptorNothingIsSent) {
+TEST(Upstream, WithoutADescriptorTheAttemptEndsAsNoDescriptor) {
   Peer peer;
   UpstreamAlone b;
   b.room = false;
@@ -65,7 +65,7 @@
 }
 
 // Rule "drains are kept": what waits for a connection does not go to a backend that now drains.
-TEST(Upstream, WithdrawalStopsWhatWasNotWritten) {
+TEST(Upstream, WithdrawalStopsUnwrittenAttempts) {
   FullPeer peer;
   UpstreamAlone b;
   b.send(peer, kLong);
@@ -74,7 +74,7 @@
 }
 
 // Rule "no request is lost": nothing is sent for a request after its final answer.
-TEST(Upstream, WhatIsOverIsNotWrittenAnyMore) {
+TEST(Upstream, AttemptOfAFinishedRequestIsNotWritten) {
   FullPeer peer;
   UpstreamAlone b;
   b.send(peer, kLong);
@@ -86,7 +86,7 @@
   EXPECT_EQ(b.run(), Ending::kStoppedUnsent);
 }
 
-TEST(Upstream, CalledOffAttemptsEndTheirConnection) {
+TEST(Upstream, CancelledAttemptClosesItsConnection) {
   Peer peer;
   UpstreamAlone b;
   b.send(peer, kLong);
@@ -101,7 +101,7 @@
 
 // Guards against calling an answer late that lies there to be read, when the node got no processor for a
 // while.
-TEST(Upstream, AnAnswerThatHasComeIsNotLate) {
+TEST(Upstream, ResponseAlreadyReceivedAtTheDeadlineIsServed) {
   Peer peer;
   UpstreamAlone b;
   b.send(peer, kLong);
@@ -126,7 +126,7 @@
 }
 
 // Who was silent may have lost the connections kept to it; what went there next might run and be reset.
-TEST(Upstream, SilenceDropsTheConnectionsKept) {
+TEST(Upstream, TimeoutClosesIdleConnectionsToTheBackend) {
   Peer peer;
   UpstreamAlone b;
   const std::string ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -151,7 +151,7 @@
 }
 
 // But an answer on another connection meanwhile shows that the backend is there: only that one was lost.
-TEST(Upstream, ALostAnswerLeavesConnectionsUsedSince) {
+TEST(Upstream, TimeoutKeepsConnectionsUsedSinceTheAttempt) {
   Peer peer;
   UpstreamAlone b;
   const std::string ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
