--- a/tests/connection_statistics_test.cpp
+++ b/tests/connection_statistics_test.cpp
@@ -1,4 +1,4 @@
-// What connections to backends teach: which ages are good, and how long one may take to come up.
+// Statistics of connections to backends: how long idle ones stay usable, and how long a connect may take.
 #include "node/connection_statistics.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace shorelead::node {
 namespace {
 
-// Guards against writing to connections that the other side has given up unheard.
+// Connections that the other side dropped without notice must not be reused.
 TEST(IdleConnectionRecord, IdleTimeWithManyFailuresIsUnusableForAWhile) {
   IdleConnectionRecord record;
   Millis now = 1000;
@@ -19,12 +19,12 @@
   EXPECT_TRUE(record.usable(10, now));
   EXPECT_TRUE(record.usable(70, now));
   EXPECT_FALSE(record.usable(150, now));
-  EXPECT_FALSE(record.usable(900, now));  // nor any older
+  EXPECT_FALSE(record.usable(900, now));  // nor any longer idle time
   now += 10001;
   EXPECT_TRUE(record.usable(900, now));
 }
 
-// Where new connections break as often, age is not the cause.
+// If new connections fail as often, idle time is not the cause.
 TEST(IdleConnectionRecord, FailuresAtAllIdleTimesLeaveEachUsable) {
   IdleConnectionRecord record;
   for (int i = 0; i < 60; ++i) {
@@ -35,8 +35,8 @@
 }
 
 TEST(ConnectTimeout, ShortensForSilentBackendsButNotForDistantOnesOrForEver) {
-  // From a day at size: a zone was lost without a word, and each request that opened a connection there
-  // waited until its own 110 ms were over, though it could have gone elsewhere.
+  // A zone was lost without any reply: each request that opened a connection there waited until its own 110
+  // ms were over, although it could have gone elsewhere.
   ConnectTimeout timeout(200);
   EXPECT_EQ(timeout.limit(1, false), 200) << "nothing known yet";
   for (int n = 0; n < 20; ++n) timeout.connected(1, 1);
@@ -61,7 +61,7 @@
   EXPECT_FALSE(parse_load("inflight=x,queue=,=3"));
   EXPECT_FALSE(parse_load("inflight=-1"));
   EXPECT_FALSE(parse_load("util=nan"));
-  // A report with one figure that cannot be is not believed in the others, nor does it outweigh the fleet's.
+  // A report with one invalid value is rejected as a whole, and does not outweigh the fleet's.
   EXPECT_FALSE(parse_load("inflight=nan,queue=2,util=0.5"));
   EXPECT_FALSE(parse_load("inflight=3,queue=1e300"));
   EXPECT_FALSE(parse_load("inflight=99999999999,queue=2,util=0.5"));
--- a/tests/crossings/backends.h
+++ b/tests/crossings/backends.h
@@ -1,5 +1,5 @@
-// Backends that a test scripts by path, behind one listening socket, with a record of every request that came
-// whole and when; and a hold on the node's thread, so that what happens meanwhile is found in one turn.
+// Backends scripted by path behind one listening socket, recording every whole request and its time; and a
+// hold on the node's thread, so that everything that happens meanwhile is found in one turn of the loop.
 #pragma once
 
 #include <poll.h>
@@ -31,7 +31,7 @@
     double at = 0;
   };
 
-  // Requests for paths that hold `hangs` wait until break_held(); all others are served at once.
+  // Requests for paths that contain `hangs` wait until break_held(); all others are served at once.
   explicit Backends(std::string hangs) : hangs_(std::move(hangs)), thread_([this] { run(); }) {}
   ~Backends() {
     {
@@ -43,7 +43,7 @@
     for (const auto& [fd, text] : texts_) ::close(fd);
   }
 
-  // All behind one socket: to the node they are different ones.
+  // All share one socket; to the node they are different backends.
   void join(Node& node, int hosts) const {
     for (int n = 0; n < hosts; ++n) node.know("s-" + std::to_string(n), door_);
   }
@@ -56,13 +56,13 @@
     const std::lock_guard lock(mutex_);
     return seen_;
   }
-  // Until so many requests whose path holds `part` have come.
+  // Waits until this many requests whose path contains `part` have arrived.
   void await(const std::string& part, std::size_t requests) {
     std::unique_lock lock(mutex_);
     const auto all = [&] { return count_now(part) >= requests; };
     EXPECT_TRUE(come_.wait_for(lock, std::chrono::seconds(kHangSeconds), all)) << part << " hangs";
   }
-  // Ends the connections of those who wait, with no answer. Their ends are on the way when this returns.
+  // Closes the connections of held requests without a response. The ends are in transit when this returns.
   void break_held() {
     const std::lock_guard lock(mutex_);
     for (const int fd : held_) ::shutdown(fd, SHUT_RDWR);
@@ -73,7 +73,7 @@
     for (const int fd : held_) say(fd);
     held_.clear();
   }
-  // To all connections, whatever is under way there: an end, or an answer that nobody asked for.
+  // Sends an end of stream, or an unsolicited response, on all connections, whatever they carry.
   void end_all() {
     const std::lock_guard lock(mutex_);
     for (const auto& [fd, text] : texts_) ::shutdown(fd, SHUT_RDWR);
@@ -94,7 +94,7 @@
   void run() {
     sigset_t all_signals;
     sigfillset(&all_signals);
-    ::pthread_sigmask(SIG_BLOCK, &all_signals, nullptr);  // they are the node's
+    ::pthread_sigmask(SIG_BLOCK, &all_signals, nullptr);  // signals are handled by the node
     while (true) {
       std::vector<pollfd> all = {{door_.fd(), POLLIN, 0}};
       {
@@ -138,14 +138,14 @@
   std::mutex mutex_;
   std::condition_variable come_;
   bool stopped_ = false;
-  std::map<int, std::string> texts_;  // what has come on each connection
+  std::map<int, std::string> texts_;  // input by connection
   std::vector<int> held_;
   std::vector<Seen> seen_;
   std::thread thread_;
 };
 
-// The node's thread stands still from here on, as one that gets no processor, until go(). By SIGHUP: the
-// configuration is read in that thread, and here never comes.
+// Stops the node's thread, as if it were not scheduled, until go(). Uses SIGHUP: that thread reads the
+// configuration, and the read blocks.
 class Standstill {
  public:
   explicit Standstill(Node& node) {
@@ -162,11 +162,12 @@
     since_ = steady_ms();
   }
   void go() {
-    // For longer than the node's last look at anybody stands.
+    // Waits longer than the node's last check of a client stays valid.
     while (steady_ms() - since_ < kLongerThanALook) std::this_thread::yield();
     go_.release();
   }
-  void then(std::function<void()> task) { then_ = std::move(task); }  // done in that thread, first thing
+  // Runs first thing in the node's thread.
+  void then(std::function<void()> task) { then_ = std::move(task); }
 
  private:
   static constexpr double kLongerThanALook = 2;
@@ -178,7 +179,7 @@
 
 inline const std::string kReady = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
 
-// The word to end, and two turns of the node's loop, by which it has been heard.
+// Sends SIGTERM and waits two turns of the node's loop, after which it has been handled.
 inline void end_process(Node& node, Standstill& still) {
   Line probe = node.client();
   Line second = node.client();
--- a/tests/crossings/list_answers_test.cpp
+++ b/tests/crossings/list_answers_test.cpp
@@ -1,6 +1,6 @@
-// How a watch on discovery may go wrong: where in its answer the connection falls silent, is reset or ends,
-// and in what pieces the answer comes. The peer plays each by steps; the node's waits are set so that only
-// the one at hand can run out.
+// How a watch on discovery fails: where in its response the connection falls silent, is reset or ends, and in
+// which pieces the response arrives. The peer is scripted step by step; the timeouts are set so that only the
+// one under test can expire.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -41,7 +41,7 @@
                    }},
                   timeouts) {}
 
-  // The pieces are written one after the other, each once the node has read what was before it.
+  // Writes the pieces one after another, each once the node has read the one before.
   void play(const std::vector<std::string>& pieces, Then then) {
     discovery.watch();
     line = peer.accept();
@@ -162,7 +162,7 @@
   }
 }
 
-// Guards against a head that trickles in and holds the call for as long as it likes.
+// A head that arrives slowly must not keep the call open indefinitely.
 TEST(ListAnswers, SlowHeadDoesNotKeepTheCallOpen) {
   std::vector<std::string> bytes;
   for (int n = 0; n < 2000; ++n) bytes.emplace_back(n == 0 ? "HTTP/1.1 200 OK\r\nX: " : "x");
@@ -188,7 +188,7 @@
   EXPECT_EQ(a.endings, std::vector<Ending>{Ending::kPeerClosed});
 }
 
-// Guards against a list that is read in slices and dropped, call after call, as its answer has ended.
+// A list parsed in slices must not be dropped, call after call, because its response has ended.
 TEST(ListAnswers, LongListIsAppliedAfterItsResponseEnded) {
   std::string list = R"({"seq":6,"whole":true,"hosts":[)";
   for (int n = 0; n < 3000; ++n) {
@@ -210,7 +210,7 @@
   EXPECT_EQ(a.endings, std::vector<Ending>{Ending::kRefused});
 }
 
-// Changes with lower numbers are of another discovery: on top of this list they would be wrong for good.
+// Changes of a lower version come from another discovery: applied to this list they would be wrong for good.
 TEST(ListAnswers, ChangesOfALowerVersionFetchTheWholeList) {
   Answers a;
   a.play({kHead, chunk("{\"seq\":3,\"whole\":false,\"hosts\":[]}\n")}, Then::kSilence);
@@ -219,8 +219,8 @@
   EXPECT_EQ(a.discovery.version(), 0U) << "from which the next watch asks";
 }
 
-// What the old discovery still writes after a move does not count, and the watch there is left without a
-// word.
+// After an address change whatever the old discovery still writes is ignored, and its watch is closed without
+// a report.
 TEST(ListAnswers, AddressChangeDuringAResponseDropsTheOldWatch) {
   Peer other;
   Answers a;
@@ -232,8 +232,8 @@
     a.line->write(kHead + chunk(kWhole + "\n").substr(0, 30));
     a.loop.after(1, [&] {
       a.line->write(chunk(kWhole + "\n").substr(30));
-      a.discovery.change_address(
-          Poco::Net::SocketAddress("127.0.0.1", other.port()));  // before that was read
+      // Before that was read.
+      a.discovery.change_address(Poco::Net::SocketAddress("127.0.0.1", other.port()));
       next = other.accept();
       once_readable(a.loop, *next, [&] {
         EXPECT_TRUE(holds(next->request(), "from=5 "));
--- a/tests/crossings/list_trickle_test.cpp
+++ b/tests/crossings/list_trickle_test.cpp
@@ -51,7 +51,7 @@
                          ending = how;
                          loop.stop();
                        }},
-                      {.connect = 1000, .first = 1000, .silence = kSilence}};
+                      {.connect = 1000, .response = 1000, .silence = kSilence}};
 };
 
 TEST(ListTrickle, ListThatStaysIncompleteEndsAsSilent) {
--- a/tests/crossings/outdated_list_test.cpp
+++ b/tests/crossings/outdated_list_test.cpp
@@ -1,5 +1,5 @@
-// What a node does while its list may no longer hold: a process that was given an old one and is refused a
-// new one. The node is a process of its own; backends and discovery are stand-ins over loopback.
+// A node whose list may be outdated: its process got an old list at the start and new ones are refused. The
+// node runs as a process of its own; backends and discovery are simulated over loopback.
 #include <gtest/gtest.h>
 
 #include "crossings/answering_peer.h"
@@ -9,7 +9,7 @@
 namespace shorelead::node {
 namespace {
 
-// As an installation states it whose lists are asked for.
+// Settings of an installation that requests lists.
 std::string settings(bool probing) {
   return std::string(R"({"Instances":44,"Me":0,"RegistryMode":"subscribe",)") +
          R"("Services":[{"Name":"safe","Aim":400,"GiveUp":1000,"Effect":"pure"}],)" +
@@ -41,11 +41,11 @@
   }
 }
 
-// What discovery has had for longer than this counts as told, whatever was refused or given up since.
+// A change binds this long after discovery had it, whatever was refused or given up since.
 constexpr double kToldAfter = 6000;
-constexpr double kGrace = 250 + 50;  // of the settings above, and what sockets add
+constexpr double kGrace = 250 + 50;  // of the settings above, plus delays of the sockets
 
-// A node that was given `known` and is refused every call for a list, before backends that drain or do not.
+// A node that got `known` and whose calls for a list are all refused, with backends that drain or do not.
 class RefusedNode {
  public:
   RefusedNode(const std::string& known, bool probing)
@@ -67,8 +67,8 @@
   return status_of(client.answer());
 }
 
-// Drains that discovery has had for longer than that count as told from a process's first moment, whatever
-// list it was given.
+// Drains that discovery has had for longer than that bind from the process's start, whatever list it was
+// given.
 TEST(OutdatedList, StartWithAnOldListSendsNothingToDrainingBackends) {
   const std::atomic<bool> drains{true};
   const std::atomic<bool> serves{false};
@@ -83,7 +83,7 @@
   EXPECT_EQ(ready.count("/safe"), static_cast<std::size_t>(kRequests));
 }
 
-// The same where all that it was given drain: there is nobody to send to, and clients hear so at once.
+// All listed backends drain: clients are refused at once.
 TEST(OutdatedList, StartWithOnlyDrainingBackendsRefusesAtOnce) {
   const std::atomic<bool> drains{true};
   AnsweringPeer only(backend_that(drains));
@@ -93,8 +93,7 @@
   EXPECT_EQ(only.count("/safe"), 0U);
 }
 
-// Where checks are not allowed either, a process is not ready by a list of unknown age: it waits for one of
-// now.
+// Without health checks a list of unknown age does not make the process ready: it waits for a current one.
 TEST(OutdatedList, WithoutHealthChecksReadyOnlyWithACurrentList) {
   const std::atomic<bool> serves{false};
   std::atomic<bool> told{false};
@@ -117,8 +116,8 @@
   EXPECT_EQ(ask(client), "HTTP/1.1 200");
 }
 
-// A backend that drains while the process runs and is refused every list: from the bound and the grace on it
-// gets nothing new, though its list still names it.
+// A backend begins to drain while the process is refused every list: after the bound and the grace period it
+// gets nothing new, though the list still names it.
 TEST(OutdatedList, WithoutNewListsNothingGoesToABackendThatBeganToDrain) {
   std::atomic<bool> drains{false};
   AnsweringPeer leaving(backend_that(drains));
--- a/tests/crossings/upstream_case.h
+++ b/tests/crossings/upstream_case.h
@@ -1,4 +1,4 @@
-// Upstream alone on a loop before peers that the test plays, with a record of what it told.
+// An Upstream alone on a loop against peers that the test scripts, recording what it reports.
 #pragma once
 
 #include <deque>
@@ -12,7 +12,7 @@
 
 constexpr Millis kSoon = 30;
 constexpr Millis kLong = 15000;
-constexpr std::size_t kMuch = 16U << 20;  // more than the sockets between two take unread
+constexpr std::size_t kMuch = 16U << 20;  // more than two sockets' buffers hold
 
 inline std::shared_ptr<Message> request_of(const std::string& raw) {
   auto message = std::make_shared<Message>(Parser::Kind::kRequest);
@@ -39,15 +39,15 @@
     upstream.send(1, attempt, 0, peer.dial(), loop.now() + wait, message, begin_by);
   }
 
-  // One whose body comes by parts.
+  // A request with a streamed body.
   std::shared_ptr<Message> by_parts(std::optional<std::uint64_t> length = std::nullopt) {
     auto message = post_of(0);
     message->flow = std::make_shared<net::Flow>(flows, length);
     return message;
   }
 
-  // Runs the loop, once for a test. At each end of an attempt the next step is done; with none left the loop
-  // stops. Returns the last ending.
+  // Runs the loop; may be called once per test. Each end of an attempt runs the next step, and stops the loop
+  // if none is left. Returns the last ending.
   Ending run() {
     loop.run();
     return last;
@@ -60,14 +60,14 @@
     answer = result.response == nullptr ? "" : std::string(result.response->body());
     if (result.flow) {
       flow = result.flow;
-      return on_flow(*flow);  // the test goes on with it
+      return on_flow(*flow);  // the test continues with the flow
     }
     if (steps.empty()) return loop.stop();
     loop.later(steps.front());
     steps.pop_front();
   }
 
-  // What is due and what has come meet in the loop's next turn.
+  // Blocks the loop, so that expired timers and pending input meet in its next turn.
   void hold_up(Millis span) const {
     const Millis until = loop.now() + span;
     while (loop.now() < until) continue;
@@ -77,7 +77,7 @@
   std::shared_ptr<net::FlowBudget> flows = std::make_shared<net::FlowBudget>(1U << 20);
   std::deque<Loop::Task> steps;
   Ending last = Ending::kNotSent;
-  int ended = -1;  // the attempt
+  int ended = -1;  // number of the attempt
   int told = 0;
   std::string answer;
   std::shared_ptr<net::Flow> flow;
@@ -85,7 +85,7 @@
   Upstream upstream;
 };
 
-// A peer whose queue of connections is full, so that a further one does not come up.
+// A peer whose accept queue is full, so that no further connect succeeds.
 struct FullPeer : Peer {
   FullPeer() : Peer(0), one(Line::connect(port())) {}
   Line one;
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The watch on the list, alone on a loop, against a discovery that the test plays.
+// The watch on the list, alone on a loop, against a discovery that the test scripts.
 #include "node/discovery.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 constexpr Millis kSoon = 30;
 constexpr Millis kLong = 15000;
 
-// Discovery with a record of what it told.
+// A Discovery that records what it reports.
 class Watched {
  public:
   explicit Watched(const Discovery::Timeouts& timeouts = {kLong, kLong, kLong})
@@ -30,7 +30,7 @@
     discovery.watch();
   }
 
-  // Answers the watch with `text` and runs the loop until something was told.
+  // Answers the watch with `text` and runs the loop until something is reported.
   void answer(const std::string& text) {
     Line there = peer.accept();
     once_readable(loop, there, [&] {
@@ -77,7 +77,7 @@
   EXPECT_EQ(w.discovery.version(), 6U);
 }
 
-// Guards against a list that is wrong for good: a line that cannot be read is not passed over.
+// Skipping an invalid list would leave the node's list wrong for good.
 TEST(Discovery, InvalidListEndsTheWatch) {
   for (const std::string line : {"7\r\n{\"seq\"}\r\n1\r\n\n\r\n", "9\r\n{\"seq\":6}\r\n1\r\n\n\r\n"}) {
     Watched w;
--- a/tests/membership/list_lease_test.cpp
+++ b/tests/membership/list_lease_test.cpp
@@ -1,4 +1,5 @@
-// For how long a list may be acted on: one history for each way in which a change comes to bind a process.
+// How long a list may be acted on: one sequence of events for each way in which a change comes to bind a
+// process.
 #include "membership/list_lease.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +23,7 @@
   return lease;
 }
 
-// A watch that stands, on which a sign of life has just come.
+// An open watch on which a keep-alive has just arrived.
 ListLease watching(bool pushed = false) {
   ListLease lease;
   lease.adopt({.grace = kGrace, .pushed = pushed, .ask_every = 10000});
@@ -65,7 +66,7 @@
   }
 }
 
-// Silence: 6 s from the last sign at most, of which what was on its way then takes a part.
+// At most 6 s from the last keep-alive, less the age that undelivered changes may have.
 TEST(ListLease, SilentWatchHoldsTheLeaseNoLongerThanMaxAge) {
   EXPECT_LE(watching().validity().until, kStart + ListLease::kMaxAge);
   EXPECT_LE(watching(true).validity().until, kStart + ListLease::kMaxAge);
@@ -168,8 +169,8 @@
   EXPECT_EQ(lease.validity().until, kStart + ListLease::kMaxAge);
 }
 
-// Whatever happens: no time runs beyond the most age of what the list is known to be, and none is given by
-// anything but an answer or a sign of life.
+// Property: the validity never exceeds the maximum age after the last news, and only a response or a
+// keep-alive extends it.
 void no_lease_outlives_its_proof() {
   ListLease lease = lease_on_request();
   Millis now = kStart;
--- a/tests/membership/saved_list_test.cpp
+++ b/tests/membership/saved_list_test.cpp
@@ -1,4 +1,4 @@
-// The last good list on disk: whole or refused with its cause, whatever became of the file.
+// The last good list on disk: loaded whole, or rejected with a cause, whatever happened to the file.
 #include "membership/saved_list.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,8 @@
   }
   ~Folder() { std::filesystem::remove_all(path); }
   std::string file() const { return path + "/list"; }
-  // Where this process writes it first: two that keep one list must not write to one file.
+  // The temporary file; its name is per process, as two processes that save one list must not write to one
+  // file.
   std::string beside() const { return file() + "." + std::to_string(::getpid()) + ".new"; }
   std::string path;
 };
@@ -39,7 +40,7 @@
   const Folder folder;
   std::string cause;
   EXPECT_FALSE(load_saved_list(folder.file(), cause));
-  EXPECT_EQ(cause, "");  // none was ever kept
+  EXPECT_EQ(cause, "");  // none was ever saved
   {
     SavedListWriter writer(folder.file());
     writer.write(saved_list_text(three(), 123456));
@@ -51,7 +52,7 @@
   EXPECT_FALSE(std::filesystem::exists(folder.beside()));
 }
 
-// A file cut at any byte, or with any byte changed, is refused; never a list with something missing.
+// A file cut at any byte, or with any byte changed, is rejected; a list is never loaded with entries missing.
 TEST(SavedList, TruncatedOrDamagedFileIsRejected) {
   const std::string text = saved_list_text(three(), 123456);
   const std::size_t body = text.find('\n') + 1;
@@ -66,7 +67,7 @@
       hurt[at] = static_cast<char>(hurt[at] ^ bit);
       std::string cause;
       const auto list = read_saved_list(hurt, cause);
-      // The age alone stands outside of the checksum.
+      // Only the time of writing is outside the checksum.
       EXPECT_TRUE(!list || (at < body && list->members == three())) << at;
     }
   }
@@ -86,11 +87,11 @@
   }
 }
 
-// A disk that takes nothing leaves the old file as it was, and says why.
+// A failed write leaves the old file unchanged and reports why.
 TEST(SavedList, FailedWriteLeavesTheOldFile) {
   const Folder folder;
   ASSERT_FALSE(store_saved_list(folder.file(), saved_list_text(three(), 1)));
-  std::filesystem::create_directory(folder.beside());  // in the way
+  std::filesystem::create_directory(folder.beside());  // blocks the temporary file's name
   const auto cause = store_saved_list(folder.file(), saved_list_text({}, 2));
   ASSERT_TRUE(cause);
   EXPECT_NE(cause->find("cannot be opened"), std::string::npos);
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -1,5 +1,5 @@
-// The view of who is there, in simulated time: each hard case by itself, and by property random histories
-// with cuts, compactions, lies and restarts, against a plain record of what was told.
+// The membership view in simulated time: single cases, and random histories with cuts, compactions, wrong
+// snapshots and restarts, compared with a plain record.
 #include "membership/view.h"
 
 #include <gtest/gtest.h>
@@ -41,8 +41,8 @@
   return all;
 }
 
-// The watched revision was compacted away: what the snapshot has no longer is a loss, what drained in between
-// drains, and one that came back under its old name is cold again.
+// The watched revision was compacted: backends missing in the snapshot are lost, those drained in between
+// drain, and one that returned under its old name is cold again.
 TEST(View, SnapshotAfterAGapYieldsOnlyTheDifference) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
@@ -63,11 +63,12 @@
   EXPECT_TRUE(stale.behind);
   EXPECT_EQ(said(stale), "");
   view.change(0, {lost(10, "b1")}, 40);
-  EXPECT_EQ(said(view.change(0, {to(9, backend("b1"))}, 50)), "");  // a tombstone knows its revision
+  EXPECT_EQ(said(view.change(0, {to(9, backend("b1"))}, 50)), "");  // the tombstone has a newer revision
   EXPECT_EQ(said(view.change(0, {to(11, backend("b1", "ready", 60))}, 60)), "b1=ready");
 }
 
-// An empty or halved answer is held and asked for again; it counts only once it has lasted.
+// An empty or halved snapshot is held and the list fetched again; the loss takes effect only once it has
+// lasted.
 TEST(View, LossBeyondTheFloorIsHeld) {
   Options options;
   View view(options);
@@ -79,7 +80,7 @@
   EXPECT_EQ(view.next(), 1000 + options.ask_every);
   EXPECT_TRUE(view.tick(*view.next()).refetch);
   EXPECT_EQ(said(view.snapshot(0, 7, 6, {}, 1000 + options.hold - 1)), "");
-  // The truth comes back, with the revisions of before.
+  // The correct list returns, with the old revisions.
   EXPECT_EQ(said(view.snapshot(0, 7, 7, ten(), 9000)), "");
   EXPECT_EQ(view.held(), 0U);
   EXPECT_EQ(view.counters().restored, 10U);
@@ -89,8 +90,8 @@
   EXPECT_EQ(view.size(), 0U);
 }
 
-// Leases that all expire at once, because the registry was away, are held as well: five of ten at most go at
-// once. But a drain is believed whatever is held, and who is told to be there again is there.
+// Leases that all expire at once while the registry is down are held too: at most five of ten take effect at
+// once. But drains take effect whatever is held, and a held backend that is listed again is restored.
 TEST(View, LossesInAWindowAddUpAndDrainsAlwaysTakeEffect) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
@@ -103,7 +104,7 @@
   EXPECT_EQ(said(view.change(0, {to(30, backend("b8", "draining")), to(31, backend("b9", "draining"))}, 200)),
             "b8=draining b9=draining");
   EXPECT_EQ(said(view.change(0, {to(32, backend("b5", "draining"))}, 210)), "b5=draining");
-  EXPECT_EQ(said(view.change(0, {to(33, backend("b6"))}, 220)), "");  // it was shown ready all along
+  EXPECT_EQ(said(view.change(0, {to(33, backend("b6"))}, 220)), "");  // it was published as ready all along
   EXPECT_EQ(view.held(), 1U);
   EXPECT_EQ(said(view.believe(230)), "b7=gone");
 }
@@ -119,8 +120,8 @@
   EXPECT_EQ(none.snapshot(0, 7, 6, {}, 10).changes.size(), 10U);
 }
 
-// A registry that restarts in the middle of a deploy with an older history: another epoch. Whoever was told
-// draining or gone stays so, unless born later, or changed in the new epoch.
+// A registry restarts with an older history in the middle of a deployment, which is a new epoch. Backends
+// that were draining or gone stay so unless they started later or are changed in the new epoch.
 TEST(View, NewEpochDoesNotBringBackDrainedBackends) {
   View view;
   view.snapshot(0, 7, 50, ten(), 0);
@@ -137,7 +138,7 @@
   EXPECT_EQ(said(view.change(0, {to(42, backend("b0"))}, 300)), "b0=ready");
 }
 
-// An address that passes to a new id: the old one gets nothing more, though its source still lists it.
+// An address passes to a new ID: the old one gets nothing more, though its source still lists it.
 TEST(View, AddressBelongsToOneBackend) {
   View view;
   view.snapshot(0, 7, 5, {at(1, backend("old", "ready", 10, "x:1")), at(2, backend("other"))}, 0);
@@ -146,7 +147,8 @@
   EXPECT_EQ(view.ready(), 2U);
 }
 
-// A backend that comes and goes is told draining for longer and longer; each drain counts at once.
+// A backend that keeps coming and going is published as draining for growing times; each drain takes effect
+// at once.
 TEST(View, FlappingBackendReturnsWithADelay) {
   Options options;
   options.flaps = 2;
@@ -165,8 +167,8 @@
   EXPECT_EQ(said(view.tick(301 + options.flap_wait)), "b3=ready");
 }
 
-// The first source that names a backend says what it is; a drain by any of them counts, and what one saw
-// leave after its drain the other does not bring back.
+// The first source that names a backend describes it; a drain by any takes effect, and no other source undoes
+// it.
 TEST(View, FirstSourceDescribesAndAnySourceDrains) {
   View view({}, 2);
   Member far = backend("a");
@@ -195,22 +197,22 @@
 
 // ---- random histories ----
 
-// What the registry really went through: every backend's last change, and what a client was told of it.
-// Drains told and not overturned by newer news are the ones that must never be missed.
+// Compares with each backend's last change in the registry and with what was delivered. No drain that newer
+// news has not overturned may be missed.
 RC_GTEST_PROP(ViewModel, ConvergesWithoutMissingADrain, ()) {
   Options options;
   options.floor = *rc::gen::element(0.0, 0.5);
   options.flaps = 0;
   View view(options);
-  std::map<std::string, Entry> truth;          // as the registry has it
-  std::vector<std::vector<View::Change>> log;  // by revision, from 1; what compaction has not taken yet
+  std::map<std::string, Entry> truth;          // as in the registry
+  std::vector<std::vector<View::Change>> log;  // by revision, from 1; those not yet compacted
   std::uint64_t revision = 0;
   std::uint64_t compacted = 0;
   std::uint64_t delivered = 0;
   std::uint64_t highest = 0;
   bool watching = false;
   Millis now = 0;
-  std::map<std::string, std::string> shown;  // what the changes add up to
+  std::map<std::string, std::string> shown;  // sum of the changes
   const auto take = [&](const Update& update) {
     for (const Member& m : update.changes) {
       if (m.health == "gone") {
@@ -219,7 +221,7 @@
         shown[m.host] = m.health;
       }
     }
-    // Never shown ready, by what was delivered, where the registry had it draining or gone by its own word.
+    // The revision never goes back.
     RC_ASSERT(view.revision(0) >= highest);
     highest = view.revision(0);
   };
@@ -233,7 +235,7 @@
     delivered = revision;
     watching = true;
   };
-  snapshot();  // whoever follows a source begins with one
+  snapshot();  // every source starts with a snapshot
   const int steps = *rc::gen::inRange(1, 120);
   for (int n = 0; n < steps; ++n) {
     now += *rc::gen::inRange(1, 400);
@@ -242,7 +244,7 @@
       case 0:
       case 1:
       case 2:
-      case 3: {  // something changes
+      case 3: {  // a change
         ++revision;
         const auto known = truth.find(host);
         const int what = *rc::gen::inRange(0, 4);
@@ -284,7 +286,7 @@
           snapshot();
         }
         break;
-      default:  // a stale member answers, or one lies with nothing
+      default:  // a stale member answers with an empty list, or time passes
         if (*rc::gen::arbitrary<bool>() && delivered > 0) {
           const Update update = view.snapshot(0, 1, delivered - 1, {}, now);
           RC_ASSERT(update.behind);
@@ -294,7 +296,7 @@
         }
     }
   }
-  // Quiet at last: one snapshot, and another once what was held may be believed.
+  // No more faults: one snapshot, and another after the hold time.
   snapshot();
   now += options.hold;
   snapshot();
@@ -307,8 +309,8 @@
   RC_ASSERT(view.size() == wanted.size());
 }
 
-// Across epochs: registries that restart with any older history bring nobody back that was told draining or
-// gone by its own word, however they mix. Only a later birth or a change in the new epoch does.
+// Registries that restart with any older history bring back no backend that was draining or gone on its own
+// account; only a later start or a change in the new epoch does.
 RC_GTEST_PROP(ViewModel, NoEpochBringsBackDrainedBackends, ()) {
   Options options;
   options.floor = 0;
--- a/tests/upstream_alone.h
+++ b/tests/upstream_alone.h
@@ -1,4 +1,4 @@
-// Upstream alone on a loop, with a record of what it told, against peers that the test plays.
+// An Upstream alone on a loop, recording what it reports, against peers that the test scripts.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 constexpr Millis kSoon = 30;
 constexpr Millis kLong = 15000;
 
-// Upstream with a record of what it told.
+// An Upstream that records what it reports.
 class UpstreamAlone {
  public:
   explicit UpstreamAlone(Millis connect_timeout = kLong)
@@ -31,8 +31,8 @@
     upstream.send(1, 0, 0, peer.dial(), loop.now() + wait, message);
   }
 
-  // Runs the loop, once for a test. At each end of an attempt or probe the next step is done; with none left
-  // the loop stops. Returns the last ending.
+  // Runs the loop; may be called once per test. Each end of an attempt or probe runs the next step, and stops
+  // the loop if none is left. Returns the last ending.
   Ending run() {
     loop.run();
     return last;
@@ -58,7 +58,7 @@
   Upstream upstream;
 };
 
-// A peer whose queue of connections is full, so that a further one never comes up.
+// A peer whose accept queue is full, so that no further connect succeeds.
 struct FullPeer : Peer {
   FullPeer() : Peer(0), one(Line::connect(port())) {}
   Line one;
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -64,7 +64,7 @@
   EXPECT_EQ(b.run(), Ending::kNoDescriptor);
 }
 
-// Rule "drains are kept": what waits for a connection does not go to a backend that now drains.
+// Rule "drains are kept": an attempt that waits for a connection does not go to a backend that now drains.
 TEST(Upstream, WithdrawalStopsUnwrittenAttempts) {
   FullPeer peer;
   UpstreamAlone b;
@@ -73,7 +73,7 @@
   EXPECT_EQ(b.run(), Ending::kStoppedUnsent);
 }
 
-// Rule "no request is lost": nothing is sent for a request after its final answer.
+// Rule "no request is lost": nothing is sent for a request after its final response.
 TEST(Upstream, AttemptOfAFinishedRequestIsNotWritten) {
   FullPeer peer;
   UpstreamAlone b;
@@ -99,8 +99,7 @@
   EXPECT_EQ(there.rest(), "");
 }
 
-// Guards against calling an answer late that lies there to be read, when the node got no processor for a
-// while.
+// A response that has already arrived must not count as late when the node was not scheduled for a while.
 TEST(Upstream, ResponseAlreadyReceivedAtTheDeadlineIsServed) {
   Peer peer;
   UpstreamAlone b;
@@ -116,7 +115,7 @@
     b.send(peer, kSoon);  // on the same connection, so it is written at once
     there.request();
     there.write(ok);
-    // The loop is held up here until after the limit.
+    // Blocks the loop until after the deadline.
     const Millis until = b.loop.now() + 2 * kSoon;
     while (b.loop.now() < until) std::this_thread::sleep_for(std::chrono::milliseconds(1));
   });
@@ -125,7 +124,7 @@
   EXPECT_EQ(b.upstream.reused(), 1U);
 }
 
-// Who was silent may have lost the connections kept to it; what went there next might run and be reset.
+// A silent backend may have lost its idle connections; a request written on one might run and then be reset.
 TEST(Upstream, TimeoutClosesIdleConnectionsToTheBackend) {
   Peer peer;
   UpstreamAlone b;
@@ -150,7 +149,7 @@
   EXPECT_EQ(b.upstream.connections(), 0U);
 }
 
-// But an answer on another connection meanwhile shows that the backend is there: only that one was lost.
+// But a response on another connection meanwhile shows that the backend is alive.
 TEST(Upstream, TimeoutKeepsConnectionsUsedSinceTheAttempt) {
   Peer peer;
   UpstreamAlone b;
