--- a/tests/crossings/list_answers_test.cpp
+++ b/tests/crossings/list_answers_test.cpp
@@ -231,8 +231,7 @@
     a.line->request();
     a.line->write(kHead + chunk(kWhole + "\n").substr(0, 30));
     a.loop.after(1, [&] {
-      a.line->write(chunk(kWhole + "\n").substr(30));
-      // Before that was read.
+      a.line->write(chunk(kWhole + "\n").substr(30));  // not read yet when the address changes
       a.discovery.change_address(Poco::Net::SocketAddress("127.0.0.1", other.port()));
       next = other.accept();
       once_readable(a.loop, *next, [&] {
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -1,5 +1,4 @@
-// The membership view in simulated time: single cases, and random histories with cuts, compactions, wrong
-// snapshots and restarts, compared with a plain record.
+// The membership view in simulated time: single cases, and random histories compared with a plain record.
 #include "membership/view.h"
 
 #include <gtest/gtest.h>
@@ -67,8 +66,7 @@
   EXPECT_EQ(said(view.change(0, {to(11, backend("b1", "ready", 60))}, 60)), "b1=ready");
 }
 
-// An empty or halved snapshot is held and the list fetched again; the loss takes effect only once it has
-// lasted.
+// An empty or halved snapshot is held and fetched again; the loss takes effect only once it has lasted.
 TEST(View, LossBeyondTheFloorIsHeld) {
   Options options;
   View view(options);
@@ -147,8 +145,7 @@
   EXPECT_EQ(view.ready(), 2U);
 }
 
-// A backend that keeps coming and going is published as draining for growing times; each drain takes effect
-// at once.
+// A backend that keeps coming and going is published as draining for growing times; drains act at once.
 TEST(View, FlappingBackendReturnsWithADelay) {
   Options options;
   options.flaps = 2;
@@ -167,8 +164,7 @@
   EXPECT_EQ(said(view.tick(301 + options.flap_wait)), "b3=ready");
 }
 
-// The first source that names a backend describes it; a drain by any takes effect, and no other source undoes
-// it.
+// The first source that names a backend describes it; a drain by any counts, and no other source undoes it.
 TEST(View, FirstSourceDescribesAndAnySourceDrains) {
   View view({}, 2);
   Member far = backend("a");
@@ -309,8 +305,7 @@
   RC_ASSERT(view.size() == wanted.size());
 }
 
-// Registries that restart with any older history bring back no backend that was draining or gone on its own
-// account; only a later start or a change in the new epoch does.
+// A backend that was draining or gone on its own account returns only if started later or changed since.
 RC_GTEST_PROP(ViewModel, NoEpochBringsBackDrainedBackends, ()) {
   Options options;
   options.floor = 0;
