--- a/tests/crossings/attempts_test.cpp
+++ b/tests/crossings/attempts_test.cpp
@@ -1,5 +1,5 @@
-// Attempts and the moments that bound them: the window for repeats, the time given, the end of a body, a
-// call-off; each as it meets the connection coming up, a write or an answer.
+// Attempts and the times that bound them: the window for repeats, the due time, the end of a body, a
+// cancellation; each at the same time as a connect, a write or a response.
 #include <gtest/gtest.h>
 
 #include "upstream_case.h"
@@ -7,8 +7,8 @@
 namespace shorelead::node {
 namespace {
 
-// Rule "no effect twice": decided within the window of the attempt before it, but its connection came up
-// after.
+// Rule "no effect twice": decided within the window of the attempt before, but the connection was established
+// later.
 TEST(Attempts, RepeatIsNotWrittenAfterItsWindow) {
   Peer peer;
   Backends b;
@@ -57,7 +57,7 @@
   EXPECT_FALSE(there.rest().ends_with("0\r\n\r\n"));
 }
 
-// Rule "one final answer": nothing is sent for a request after its time.
+// Rule "one final answer": nothing is sent for a request after its due time.
 TEST(Attempts, NothingIsWrittenAfterTheDueTime) {
   Peer peer;
   Backends b;
@@ -68,7 +68,7 @@
   EXPECT_EQ(there.rest(), "");
 }
 
-// The time that a backend is told is what is left when its connection is there.
+// The time sent to a backend is what is left when the request is written.
 TEST(Attempts, TimeSentToTheBackendIsWhatIsLeftAtTheWrite) {
   Peer peer;
   Backends b;
@@ -85,7 +85,7 @@
   EXPECT_EQ(b.run(), Ending::kServed);
 }
 
-// Each would get a part of it, and the one with the end would run on that part.
+// Each attempt would get a part of the body, and the one with the end would run on that part.
 TEST(Attempts, TwoAttemptsDoNotShareAStreamedBody) {
   Peer peer;
   Backends b;
@@ -112,8 +112,8 @@
   EXPECT_EQ(two.rest(), "");
 }
 
-// The limit of a body that was whole at once, on a connection used again, outlived its attempt: it ended the
-// next one there, or found none.
+// The timer of a request with an unstreamed body, on a reused connection, outlived its attempt: it ended the
+// next attempt there, or found none.
 TEST(Attempts, TimerEndsWithItsAttempt) {
   Peer peer;
   Backends b;
@@ -142,7 +142,7 @@
   EXPECT_EQ(b.upstream.opened(), 1U);
 }
 
-// The same where nothing is under way there by then: it was a crash.
+// The same if the connection is idle by then, which crashed the process.
 TEST(Attempts, TimerDoesNotFireOnAnIdleConnection) {
   Peer peer;
   Backends b;
@@ -165,7 +165,7 @@
   EXPECT_EQ(b.upstream.idle(), 1U);
 }
 
-// Answer and time-out in the same turn: more of it than one read takes.
+// Response and timeout in the same turn, with more of the response than one read takes.
 TEST(Attempts, LongResponseAlreadyReceivedAtTheDeadlineIsServed) {
   Peer peer;
   Backends b;
@@ -186,7 +186,7 @@
   EXPECT_EQ(b.told, 2);
 }
 
-// Answer and call-off in the same turn: one end, and the connection goes with the answer unread.
+// Response and cancellation in the same turn: one end, and the connection is closed with the response unread.
 TEST(Attempts, ResponseAndCancellationInOneTurnEndTheAttemptOnce) {
   Peer peer;
   Backends b;
@@ -203,7 +203,7 @@
   EXPECT_EQ(b.upstream.connections(), 0U);
 }
 
-// The connection is up, but the loop has not seen it yet: given up, over, or its backend withdrawn.
+// The connection is established but the loop has not seen it: timed out, request over, or backend withdrawn.
 TEST(Attempts, ConnectionEstablishedAfterItWasGivenUpCarriesNothing) {
   for (int n = 0; n < 3; ++n) {
     Peer peer;
--- a/tests/crossings/connections_test.cpp
+++ b/tests/crossings/connections_test.cpp
@@ -1,5 +1,5 @@
-// Connections to backends and how they end: resets and ends before, in and behind the last byte written, and
-// within an answer; what was written to and what stood unused.
+// Connections to backends and how they end: resets and ends of stream before, during and after the last byte
+// written, and within a response; connections in use and idle ones.
 #include <gtest/gtest.h>
 
 #include "upstream_case.h"
@@ -29,7 +29,7 @@
   bool was_cut = false;
 };
 
-// A reset is no end: also where it lies behind the bytes unread, over several reads.
+// A reset is no end of stream, even behind unread bytes that take several reads.
 TEST(Connections, ResetDoesNotCompleteAResponseWithoutLength) {
   for (const std::size_t size : {4U, 40000U}) {
     for (const bool reset : {false, true}) {
@@ -48,7 +48,7 @@
   }
 }
 
-// Nor of one that is already passed on.
+// The same for a response that is already being forwarded.
 TEST(Connections, ResetCutsAStreamedResponse) {
   for (const bool reset : {false, true}) {
     Peer peer;
@@ -73,8 +73,8 @@
   }
 }
 
-// The system tells of a reset once: where a write has met it, the read behind it sees but an end, and part of
-// an answer would have passed for all of it.
+// The system reports a reset once: after a write has met it, a read sees only an end of stream, and a part of
+// a response would be taken for all of it.
 TEST(Connections, ResetSeenByAWriteDoesNotCompleteTheResponse) {
   Peer peer;
   Backends b;
@@ -92,7 +92,7 @@
   EXPECT_EQ(b.run(), Ending::kBrokenUnsent);
 }
 
-// "It breaks before the request's last byte is written: never run"; behind it, it may have.
+// A reset before the request's last byte is written: never run; after it, it may have run.
 TEST(Connections, ResetAfterTheLastByteMayHaveRunAndBeforeItHasNot) {
   for (const auto& [size, ending] :
        {std::pair{kMuch, Ending::kBrokenUnsent}, std::pair{std::size_t{1}, Ending::kBroken}}) {
@@ -108,7 +108,7 @@
   }
 }
 
-// The last part is written to a connection that was reset in the same turn: nothing of it has gone.
+// The last part is written to a connection that was reset in the same turn: nothing of it was sent.
 TEST(Connections, LastPartThatCouldNotBeWrittenHasNotRun) {
   Peer peer;
   Backends b;
@@ -125,8 +125,8 @@
   EXPECT_EQ(b.run(), Ending::kBrokenUnsent);
 }
 
-// What came on a new connection before its request was written is no answer to it, and an end proves that it
-// cannot have run.
+// Input on a new connection before its request is written is no response to it, and an end of stream proves
+// that it cannot have run.
 TEST(Connections, InputBeforeTheRequestMeansThatItCannotHaveRun) {
   for (const std::string& first : {std::string(), std::string("HTTP/1.1 408 Timeout\r\n"), kEmptyOk}) {
     Peer peer;
@@ -141,7 +141,7 @@
   }
 }
 
-// Closed or spoken on while it stood unused, and not read yet: another one is made.
+// An idle connection was closed or received input that was not read yet: a new one is opened.
 TEST(Connections, IdleConnectionWithUnreadInputIsNotReused) {
   const std::vector<std::function<void(Line&)>> surprises = {[](Line& there) { there.close(); },
                                                              [](Line& there) { there.reset(); },
@@ -172,7 +172,7 @@
   }
 }
 
-// Right after the write: it may have run, and is told so.
+// A reset right after the write: the request may have run, and is reported so.
 TEST(Connections, ResetOfAReusedConnectionAfterTheWriteMayHaveRun) {
   Peer peer;
   Backends b;
@@ -190,7 +190,7 @@
   EXPECT_EQ(b.upstream.reused(), 1U);
 }
 
-// The backend may close it after the stated time; half of that is left to what is on its way.
+// The backend may close it after the idle timeout; half of that is left as a margin for data in transit.
 TEST(Connections, ConnectionIsReusedForHalfOfTheBackendsIdleTimeout) {
   constexpr Millis kKeeps = 100;
   Peer peer;
--- a/tests/crossings/descriptors_test.cpp
+++ b/tests/crossings/descriptors_test.cpp
@@ -1,5 +1,5 @@
-// Want of descriptors where discovery is down: its connection, backends' new ones and the accept have to stay
-// possible, whatever idle clients hold.
+// Descriptors run out while discovery is down: its connection, new connections to backends and accepting must
+// stay possible, whatever idle clients hold.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -23,7 +23,7 @@
   return status_of(client.answer());
 }
 
-// What the node knows before: one backend, and where discovery is to be.
+// The node's stored list: one backend, and the address of discovery.
 NodeProcess::Told told(int stated, const Peer& backend, const DownAddress& discovery) {
   ListedBackend known;
   known.host = "s-1", known.dial = backend.dial(), known.health = "ready";
@@ -35,7 +35,7 @@
   };
 }
 
-// One request by the backend that is known; its connection is kept.
+// One request served by the stored backend; its connection is kept.
 void use(const NodeProcess& node, Peer& backend, std::optional<Line>& kept) {
   Line client = node.client();
   client.write(get("/safe"));
@@ -43,14 +43,14 @@
   ASSERT_EQ(served_by(*kept, client), "HTTP/1.1 200");
 }
 
-// All is full: discovery's next call comes, its list counts, the backend that it names gets a connection, and
-// clients are taken in.
+// With all descriptors in use discovery's next call succeeds and its list is applied, the backend in it gets
+// a connection, and clients are accepted.
 void expect_return(const NodeProcess& node, DownAddress& discovery, Line& kept) {
   Peer after;
   Line watch = discovery.accept();
   ASSERT_FALSE(watch.request().empty());
   watch.write(first_line(only("s-2", after)));
-  ASSERT_EQ(kept.rest(), "");  // the list is taken in: nothing goes to the backend of before
+  ASSERT_EQ(kept.rest(), "");  // the list was applied: nothing more goes to the old backend
   Line waiting = node.client();
   waiting.write(get("/safe"));
   Line fresh = after.accept();
@@ -60,7 +60,7 @@
   ASSERT_EQ(served_by(fresh, newcomer), "HTTP/1.1 200");
 }
 
-// Discovery's call is taken, and gets not a word until it is given up.
+// Discovery's call is accepted and gets no response until it is given up.
 void stay_silent(Line call) {
   ASSERT_FALSE(call.request().empty());
   ASSERT_EQ(call.rest(), "");
@@ -74,7 +74,7 @@
   std::optional<Line> kept;
   ASSERT_NO_FATAL_FAILURE(use(node, before, kept));
   SilentClients silent(node.port());
-  silent.wait_for_evictions();  // it is full, and stays so
+  silent.wait_for_evictions();  // descriptors are exhausted and stay so
   discovery.rise();
   ASSERT_NO_FATAL_FAILURE(stay_silent(discovery.accept()));
   expect_return(node, discovery, *kept);
@@ -84,12 +84,12 @@
   fill_while_discovery_is_down(1024, 64);
 }
 
-// Guards against a system's limit under the stated one: all went to clients, and discovery's call got none.
+// With a system limit below the configured one, clients took all descriptors and discovery's call got none.
 TEST(Crossings, IdleClientsFillTheSystemsDescriptorsWhileDiscoveryIsDown) {
   fill_while_discovery_is_down(64, 1024);
 }
 
-// The same where the system's limit comes down while the node runs: it counts with the next reload.
+// The same if the system's limit is lowered while the node runs: it takes effect with the next reload.
 TEST(Crossings, IdleClientsFillTheDescriptorsLoweredByAReloadWhileDiscoveryIsDown) {
   DownAddress first;
   DownAddress second;
@@ -100,7 +100,7 @@
   ASSERT_NO_FATAL_FAILURE(use(node, before, kept));
   node.allow(64);
   node.reload();
-  Line call = second.accept();  // it has reloaded
+  Line call = second.accept();  // the node has reloaded
   SilentClients silent(node.port());
   silent.wait_for_evictions();
   ASSERT_NO_FATAL_FAILURE(stay_silent(std::move(call)));
--- a/tests/crossings/list_node_test.cpp
+++ b/tests/crossings/list_node_test.cpp
@@ -1,5 +1,5 @@
-// What a node does where lists cross with its requests, a new configuration and its start. Peers play
-// discovery.
+// What a node does when lists arrive at the same time as requests, a new configuration or its start. The test
+// scripts discovery.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -32,7 +32,7 @@
   }
 }
 
-// Serves `count` requests at the only backend that may get any.
+// Serves `count` requests at the only backend that may receive any.
 void served_by(Line& client, Line& there, int count) {
   for (int n = 0; n < count; ++n) {
     client.write(get("/safe"));
@@ -42,7 +42,7 @@
   }
 }
 
-// What a whole list does not name is gone, also where it still answers, and the connection kept there ends.
+// A backend that a whole list does not name is gone even if it still answers, and its connection is closed.
 TEST(ListCrossings, BackendMissingInTheFirstWholeListGetsNothingNew) {
   Peer gone;
   Peer stays;
@@ -68,7 +68,7 @@
   served_by(client, there, 20);
 }
 
-// SIGHUP while the old discovery is in the middle of an answer, and drains at the new one right after.
+// SIGHUP while the old discovery is in the middle of a response; the new one reports drains right after.
 TEST(ListCrossings, DiscoveryChangeDuringAResponseAppliesTheNewDrains) {
   Peer drains;
   Peer stays;
@@ -102,7 +102,7 @@
   served_by(client, there, 20);
 }
 
-// A configuration that moves nothing leaves a call alone that is under way, and so does one that is broken.
+// A reload that changes no address, or whose file is invalid, leaves a call in progress alone.
 TEST(ListCrossings, ReloadDuringACallLeavesItOpen) {
   Peer backend;
   Node node;
@@ -129,7 +129,7 @@
   EXPECT_TRUE(holds(anew.request(), "from=8 ")) << "the list counted";
 }
 
-// A new process where lists are pushed; what it may know of earlier is one backend.
+// A new process where lists are pushed; it may have stored a list with one backend.
 struct Pushed {
   Pushed() {
     node.know("s-1", backend);
@@ -145,8 +145,7 @@
   Node node;
 };
 
-// While discovery is down it learns nothing, so nothing can have been told since: the list of earlier will
-// do.
+// While discovery is down it receives no changes, so none can bind: the stored list may be used.
 TEST(ListCrossings, UnreachableDiscoveryLeavesTheStoredListInUse) {
   for (const bool refused : {true, false}) {
     Pushed p;
@@ -162,7 +161,7 @@
   }
 }
 
-// But not where discovery answers, in whatever way: it has what counts.
+// But if discovery responds, in whatever way, its list counts and is waited for.
 TEST(ListCrossings, ReachableDiscoveryIsWaitedFor) {
   const std::string news = first_line(list(8, true, ""));
   const std::string answers[] = {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
@@ -185,7 +184,7 @@
   }
 }
 
-// With the waits as they are, in real time; each figure is printed.
+// With the real timeouts, in real time; each figure is printed.
 TEST(ListCrossings, NodeIsReadyInTimeWhateverDiscoveryDoes) {
   enum class Does { kRefuses, kSaysNothing, kTurnsAway, kBegins };
   const char* const names[] = {"refuses calls", "says nothing", "turns calls away", "begins an answer"};
--- a/tests/crossings/list_trickle_test.cpp
+++ b/tests/crossings/list_trickle_test.cpp
@@ -1,5 +1,5 @@
-// Lists that come so slowly that they never do, and lists that cannot be taken in: the watch is opened anew,
-// as what it would tell is owed.
+// Lists that arrive too slowly to ever be whole, and lists that cannot be applied: the watch is reopened, as
+// their changes bind nevertheless.
 #include <gtest/gtest.h>
 
 #include "node/discovery.h"
@@ -16,7 +16,7 @@
 const std::string kList = "{\"seq\":9,\"whole\":true,\"hosts\":[]}\n";
 
 struct Watched {
-  // Writes `piece` again and again, for as long as the watch stands.
+  // Writes `piece` repeatedly while the watch is open.
   void trickle(const std::string& piece) {
     if (ending) return;
     line->write(piece);
@@ -60,14 +60,14 @@
   EXPECT_EQ(w.ending, Ending::kSilent);
 }
 
-// Nor do the beginnings of a piece say anything.
+// A chunk header without data is no sign of life either.
 TEST(ListTrickle, ChunkHeaderWithoutDataIsNoSignOfLife) {
   Watched w;
   w.run(kHead + "1\r\n\n\r\n", "0");
   EXPECT_TRUE(w.ending.has_value());
 }
 
-// Lists that follow each other, each read ending within one: none of them trickles.
+// Lists follow each other, each read ending within one: none of them is slow.
 TEST(ListTrickle, ConsecutiveListsKeepTheWatch) {
   Watched w;
   std::array<char, 32> size{};
@@ -78,14 +78,14 @@
   EXPECT_GT(w.lists, 50);
 }
 
-// Blank lines are signs of life, as long as no list has begun.
+// Blank lines are keep-alives as long as no list has begun.
 TEST(ListTrickle, BlankLinesKeepAWatch) {
   Watched w;
   w.run(kHead, "1\r\n\n\r\n");
   EXPECT_FALSE(w.ending.has_value());
 }
 
-// One that could not be taken in is not known, so its number is not reached.
+// A list that could not be applied must not advance the version.
 TEST(ListTrickle, ListThatCannotBeAppliedIsFetchedAgain) {
   Watched w;
   w.refuses = true;
--- a/tests/crossings/lists_fleet.h
+++ b/tests/crossings/lists_fleet.h
@@ -1,6 +1,5 @@
-// A fleet's processes that ask discovery for their lists, in simulated time: the decision module and the
-// host's waits as they are, before a discovery that serves calls in turn and turns away one that waited for 2
-// s.
+// The processes of a fleet that request their lists, in simulated time: the real policy and back-off, with a
+// discovery that serves calls in turn and rejects those that waited for 2 s.
 #pragma once
 
 #include <algorithm>
@@ -17,23 +16,23 @@
 
 namespace shorelead::node {
 
-// While it lasts a call is refused, turned away after 2 s, finds no connection, or gets no word. The last two
-// let watches fall silent, the others end them.
+// During a fault a call is refused, rejected after 2 s, not connected, or not answered. The last two leave
+// watches silent, the others end them.
 enum class Trouble { kRefuses, kTurnsAway, kCutOff, kMute };
 
 struct Ailing {
   Trouble trouble = Trouble::kRefuses;
   int processes = 1;
-  Millis lasts = 8000;    // all watches end at its start; 0: they fall silent and nothing else
-  Millis call = 21.7;     // of work for discovery
-  bool dead_work = true;  // calls given up cost it as much
+  Millis lasts = 8000;    // all watches end at its start; 0: watches fall silent and nothing else fails
+  Millis call = 21.7;     // discovery's work for one call
+  bool dead_work = true;  // abandoned calls cost as much work
 };
 
-// From discovery's return, or where it was well from when the watches fell silent, until the list is in
-// force.
+// Times from discovery's recovery, or from when the watches fell silent if it was up, until the list was
+// received.
 struct Found {
-  std::vector<Millis> waits;  // in order
-  int calls = 0;              // that it had to serve
+  std::vector<Millis> waits;  // sorted
+  int calls = 0;              // served by discovery
   double most_in_a_second = 0;
 
   Millis median() const { return waits[waits.size() / 2]; }
@@ -61,7 +60,7 @@
   }
 
   Found run() {
-    go_to(kTrouble);  // by then all have their watch
+    go_to(kTrouble);  // by then all have a watch
     for (Process& one : processes_) {
       one.listed = 0;
       const Millis last_word = kTrouble - 2000 * random_.unit();
--- a/tests/crossings/lists_sim_test.cpp
+++ b/tests/crossings/lists_sim_test.cpp
@@ -1,5 +1,5 @@
-// How soon a fleet's processes have their lists again after each trouble of discovery, in simulated time. The
-// figures are printed: `--gtest_filter=ListsSim.*`.
+// How soon the processes of a fleet have their lists again after each fault of discovery, in simulated time.
+// The figures are printed: `--gtest_filter=ListsSim.*`.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -9,7 +9,7 @@
 namespace shorelead::node {
 namespace {
 
-constexpr Millis kTerm = 6000;  // by which what is new counts as told
+constexpr Millis kTerm = 6000;  // after which a change binds
 
 constexpr Trouble kAll[] = {Trouble::kRefuses, Trouble::kTurnsAway, Trouble::kCutOff, Trouble::kMute};
 
@@ -43,7 +43,7 @@
     for (const Trouble trouble : kAll) {
       for (const Millis lasts : {0.0, 3000.0, 8000.0}) {
         const Found found = play({trouble, processes, lasts, kMeasured, true});
-        // Turned away three times in a row, 30 wait as long as a discovery that is behind needs.
+        // Rejected three times in a row, 30 processes back off for as long as an overloaded discovery needs.
         const bool behind = processes == 30 && trouble == Trouble::kTurnsAway && lasts == 8000;
         EXPECT_GE(found.within(kTerm), behind ? 0.5 : 1) << processes << name_of(trouble) << lasts;
       }
@@ -51,13 +51,14 @@
   }
 }
 
-// 300 calls take it 6.5 s: at best 92 in 100 have their list in 6 s, and 77 where all watches fall silent,
-// which takes 1 to 3 s to notice. Where it works on dead calls as well it is worse, but all get their lists.
+// 300 calls take discovery 6.5 s: at best 92 % have their list within 6 s, and 77 % if all watches fall
+// silent, which takes 1 to 3 s to detect. Abandoned calls that still cost work make it worse, but all get
+// their lists.
 TEST(ListsSim, LargeFleetsAreServedAsFastAsDiscoveryCan) {
   struct Row {
     Trouble trouble;
     Millis lasts;
-    double share, share_dead_work;  // at least, within the term
+    double share, share_dead_work;  // lower bounds, within the term
   };
   const Row rows[] = {{Trouble::kRefuses, 8000, 0.85, 0.7},
                       {Trouble::kTurnsAway, 8000, 0.65, 0.65},
@@ -73,7 +74,7 @@
   }
 }
 
-// Repeated too soon, calls would keep it at those given up long ago for good.
+// Calls repeated too soon would keep discovery busy with abandoned calls for ever.
 TEST(ListsSim, AllGetTheirListsWhenDiscoveryIsOverloaded) {
   for (const Millis all : {5000.0, 8000.0}) {
     for (const int processes : {30, 300}) {
--- a/tests/crossings/reborn_test.cpp
+++ b/tests/crossings/reborn_test.cpp
@@ -1,6 +1,6 @@
-// A backend that was started anew at its address, told in one change of the list: what was kept to the
-// process before is of no use, and a request written to it would end as one that may have run. Lists are
-// late: what was opened to the new process by then stays.
+// A backend was restarted at its address, reported by one change of the list: connections to the old process
+// are of no use, and a request written on one would count as possibly processed. Lists arrive late:
+// connections already opened to the new process stay.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -12,14 +12,14 @@
 
 constexpr double kMinute = 60000;
 
-// The list's entry of one that was started so long before now.
+// The list's entry of a backend that was started `ms` ago.
 std::string started_before(const Peer& peer, double ms) {
   const std::chrono::duration<double, std::milli> now = std::chrono::system_clock::now().time_since_epoch();
   return R"({"seq":9,"whole":false,"hosts":[{"host":"s-1","dial":")" + peer.dial() +
          R"(","health":"ready","born_ms":)" + std::to_string(now.count() - ms) + "}]}\n";
 }
 
-// One request has been served, on a connection that stands idle now; then the list tells of a new start.
+// One request was served on a connection that is idle now; then the list reports a new start.
 struct Kept {
   explicit Kept(double started_ms_before) {
     watch.request();
--- a/tests/membership/follower_test.cpp
+++ b/tests/membership/follower_test.cpp
@@ -1,5 +1,5 @@
-// Following a registry: its messages, and the follower with the view against a whole store in simulated time,
-// by property: cuts, compactions, members that lag, deaf watches, restarts with and without history.
+// Following a registry: its messages, and the follower and the view against a whole store in simulated time,
+// by property: cuts, compactions, lagging members, deaf watches, restarts with and without history.
 #include "membership/registry/follower.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   EXPECT_EQ(prefix_end("\xff\xff"), std::string(1, '\0'));
 }
 
-// What comes is taken, numbers in either form, or refused with a cause; nothing is passed over.
+// Valid messages are parsed, with numbers in either form; others are rejected with a cause, never skipped.
 TEST(Messages, ValidMessagesAreParsedAndOthersRejectedWithACause) {
   std::string cause;
   const auto page = parse_page(
@@ -109,7 +109,7 @@
 
 // ---- against a store ----
 
-// The registry's members before one store: each answers as of some revision of late.
+// The registry's members with one store: each answers as of some recent revision.
 struct World {
   lab::KeyStore store;
   std::vector<std::uint64_t> lag{0, 0, 0};
@@ -139,7 +139,7 @@
   }
 };
 
-// One client on that world, step by step.
+// One client in that world, run step by step.
 struct Following {
   explicit Following(World& world, std::uint64_t seed, const Options& options, std::size_t page)
       : world(world), view(options), follower(view, 0, kPrefix, 3, seed, [page] {
@@ -148,8 +148,8 @@
           return o;
         }()) {}
 
-  // Carries out what the follower asks for, if its time has come; the bodies are the node's own, and read
-  // back here by what they must hold.
+  // Makes the follower's next call if its time has come. The request bodies are the node's own; the values in
+  // them are extracted here.
   void act() {
     if (open) return;
     const Follower::Call call = follower.next();
@@ -172,7 +172,7 @@
     if (follower.must_close()) follower.ended(world.now);
   }
 
-  // Some of what the watch has to tell; `most` changes, perhaps in fragments.
+  // Delivers up to `most` changes on the watch, perhaps in fragments.
   void deliver(std::size_t most, bool fragment) {
     if (!open || deaf) return;
     if (!created) {
@@ -216,7 +216,7 @@
     if (follower.must_close()) cut();
   }
 
-  // Some seconds in which all goes well.
+  // Some seconds without faults.
   void go_on(bool checks = false) {
     for (int n = 0; n < 40; ++n) {
       world.now += 300;
@@ -273,8 +273,8 @@
 
 std::string host_of(int n) { return std::string("b").append(std::to_string(n)); }
 
-// Where nothing goes on failing, the view comes to what the registry has; until then revisions never go back,
-// and whoever was seen to drain in this history is never shown ready but by newer news.
+// Without further faults the view converges to the registry; until then revisions never go back, and a
+// backend seen to drain in this history is shown ready again only by newer news.
 RC_GTEST_PROP(FollowerModel, ConvergesToTheRegistry, ()) {
   World world;
   Options options;
@@ -284,7 +284,7 @@
                    *rc::gen::inRange<std::size_t>(1, 6));
   std::uint64_t reached = 0;
   std::uint64_t cluster = world.store.cluster();
-  std::map<std::string, std::uint64_t> drained;  // when it was shown draining, by the revision reached then
+  std::map<std::string, std::uint64_t> drained;  // by the revision reached when it was shown draining
   const auto look = [&] {
     if (cluster != world.store.cluster()) {
       cluster = world.store.cluster();
@@ -311,7 +311,7 @@
         world.store.remove(key);
         break;
       case 5:
-        world.store.put("/other/" + host, "x");  // revisions pass by that this client never sees
+        world.store.put("/other/" + host, "x");  // revisions that this client never sees
         break;
       case 6:
         world.store.compact(*rc::gen::inRange<std::uint64_t>(1, world.store.revision() + 1));
@@ -340,7 +340,7 @@
     }
     look();
   }
-  // Quiet: members have caught up, and nothing is cut. A deaf watch stays deaf: that must be found out.
+  // No more faults: members have caught up, and nothing is cut. A deaf watch stays deaf and must be detected.
   world.lag = {0, 0, 0};
   for (int n = 0; n < 600; ++n) {
     world.now += 50;
@@ -365,14 +365,14 @@
   if (client.view.counters().kept_out == 0) {
     RC_ASSERT(got == wanted);
   } else {
-    // A registry that lost its history lists some as ready that were told to leave: those alone stay away.
+    // A registry that lost its history lists some drained backends as ready: only those may differ.
     for (const auto& [host, health] : got)
       RC_ASSERT(wanted.count(host) == 1 && (health == wanted[host] || health == "draining"));
   }
 }
 
-// Guards against missing what happened in a break: the watched revision is compacted away while two backends
-// drain and one comes back under its old name with a new start.
+// The watched revision is compacted during a break in which two backends drain and one returns under its old
+// name with a new start.
 TEST(Follower, CutAcrossACompactionMissesNoDrain) {
   World world;
   for (int n = 0; n < 8; ++n) world.store.put(kPrefix + host_of(n), value(host_of(n) + ":1", "ready", 0));
@@ -394,7 +394,7 @@
   EXPECT_EQ(client.follower.counters().compacted, 1U);
 }
 
-// Guards against waiting at a member that has not got as far as what was seen.
+// The follower must not stay at a member that lags behind what was seen.
 TEST(Follower, LaggingEndpointIsReplacedByAnother) {
   World world;
   for (int n = 0; n < 8; ++n) world.store.put(kPrefix + host_of(n), value(host_of(n) + ":1", "ready", 0));
@@ -410,7 +410,7 @@
   EXPECT_EQ(client.follower.counters().behind, 1U);
 }
 
-// Guards against taking the first part of a fragmented answer for all of it, where the rest never comes.
+// The first part of a fragmented message must not count as all of it if the rest never arrives.
 TEST(Follower, TruncatedFragmentIsFetchedAgain) {
   World world;
   for (int n = 0; n < 8; ++n) world.store.put(kPrefix + host_of(n), value(host_of(n) + ":1", "ready", 0));
@@ -424,8 +424,8 @@
   EXPECT_EQ(client.shown.at("b2").health, "draining");
 }
 
-// Guards against a watch that stands and tells nothing: a check finds a change, or a deletion by the count of
-// keys, and the whole list is read again.
+// An open watch delivers nothing: a check finds a change, or a deletion by the count of keys, and the whole
+// list is fetched again.
 TEST(Follower, DeafWatchIsDetected) {
   for (const bool deletion : {false, true}) {
     World world;
@@ -448,8 +448,8 @@
   }
 }
 
-// 200 clients of one registry that restarts: nobody comes before its lot, and the first second's worst tenth
-// sees no more than three times its share.
+// 200 clients of a registry that restarts: reconnects are spread over a second, and the busiest tenth of it
+// gets at most three times its share.
 TEST(Follower, ManyClientsSpreadTheirReconnects) {
   World world;
   world.store.put(kPrefix + "b0", value("b0:1", "ready", 0));
--- a/tests/membership/writes_test.cpp
+++ b/tests/membership/writes_test.cpp
@@ -1,5 +1,5 @@
-// What is said to a registry to change it: any transaction means the same to the stand-in, which reads and
-// answers with texts of its own; whatever is cut, foreign or does not fit is refused with its cause.
+// Requests that change a registry: the simulated registry, which parses and answers with its own code, takes
+// any transaction in the same sense; responses that are cut, foreign or do not fit are rejected with a cause.
 #include "membership/registry/writes.h"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
   return txn;
 }
 
-// The stand-in's answer to a request's text.
+// The simulated registry's response to a request's text.
 std::string answer_of(lab::KeyStore& store, const std::string& text, lab::TxnResult& result) {
   std::string cause;
   const auto call = etcd::read_call("/v3/kv/txn", text, cause);
@@ -83,7 +83,7 @@
       RC_ASSERT((found.items.empty() || found.items[0].second.lease == put->lease));
     }
   }
-  // Cut anywhere it is refused, with a cause.
+  // Cut anywhere it is rejected with a cause.
   const std::size_t cut = *rc::gen::inRange<std::size_t>(0, text.size());
   cause.clear();
   RC_ASSERT(!parse_txn(asked, text.substr(0, cut), cause).has_value());
@@ -128,7 +128,7 @@
     ASSERT_TRUE(parse_kept(7, gone, cause)) << cause;
     EXPECT_EQ(parse_kept(7, gone, cause)->seconds, 0);
   }
-  EXPECT_FALSE(parse_kept(8, R"({"result":{"header":{},"ID":"7","TTL":"4"}})", cause));  // another's
+  EXPECT_FALSE(parse_kept(8, R"({"result":{"header":{},"ID":"7","TTL":"4"}})", cause));  // of another lease
   for (const char* const bad :
        {"", "{}", R"({"header":{},"TTL":"5"})", R"({"header":{},"ID":"-7","TTL":"5"})",
         R"({"header":{},"ID":"7"})", R"({"header":{},"ID":"7","TTL":"x"})"}) {
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -1,5 +1,5 @@
-// The terms of the operators' standing test that concern lists and ends (docs/standing-terms.md), each by the
-// order of events that breaks it, against peers that the test plays.
+// The terms of the operators' standing test that concern lists and ends (docs/standing-terms.md), each with
+// the order of events that breaks it, against peers that the test scripts.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -21,7 +21,7 @@
     "      \"dial\": \"127.0.0.9:81\",\n      \"health\": \"ready\"\n    }\n  ]\n}\n";
 const std::string kOneLine = "{\"seq\":7,\"whole\":false,\"hosts\":[]}\n";
 
-// Lists may be indented; and one that is cut off must not take in what follows it.
+// Lists may be indented; a truncated one must not swallow what follows it.
 TEST(ListStream, ListsAreReturnedWholeAtEverySplit) {
   struct Case {
     std::string come;
@@ -30,7 +30,7 @@
   const Case cases[] = {
       {"\n" + kIndented + "\n\r\n" + kOneLine, {kIndented, kOneLine}},
       {"  " + kOneLine + kOneLine + "{\"seq\":8", {"  " + kOneLine, kOneLine}},
-      {"{\n  \"seq\": 6,\n\n" + kOneLine, {"{\n  \"seq\": 6,\n\n", kOneLine}},  // a sign of life inside
+      {"{\n  \"seq\": 6,\n\n" + kOneLine, {"{\n  \"seq\": 6,\n\n", kOneLine}},  // a keep-alive inside
       {"{\"seq\n" + kOneLine, {"{\"seq\n", kOneLine}},
       {"{\"seq\\\n" + kOneLine, {"{\"seq\\\n", kOneLine}},
       {"}7\n[\n{}\n]\n" + kOneLine, {"}7\n", "[\n{}\n]\n", kOneLine}},
@@ -54,7 +54,7 @@
   return size.data() + text + "\r\n";
 }
 
-// Discovery with a record of what it told; each thing told ends a run.
+// A Discovery that records what it reports; each report ends a run.
 struct Watched {
   Line answered(const std::string& lines) {
     discovery.watch();
@@ -95,7 +95,7 @@
   EXPECT_TRUE(w.discovery.watching());
 }
 
-// Guards against a watch that waits for good for the rest of a list while it is told nothing.
+// The watch must not wait for ever for the rest of a list.
 TEST(Terms, TruncatedListEndsTheWatch) {
   Watched w;
   const Line there = w.answered("{\n  \"seq\": 6,\n\n");
@@ -108,8 +108,8 @@
   return status_of(probe.answer());
 }
 
-// Where lists are pushed, what is there counts as told from a process's first moment: it must not serve by
-// the list of the process before it. Where they are asked for, that list may stand for a while.
+// Pushed lists bind from a process's start, so it must not serve by the list of the process before it. Where
+// lists are requested, that list may be used for a while.
 TEST(Terms, NodeWaitsForAPushedListBeforeAcceptingClients) {
   for (const bool pushed : {false, true}) {
     Peer backend;
@@ -123,7 +123,8 @@
     if (!pushed) continue;
     Line watch = node.discovery.accept();
     EXPECT_FALSE(watch.request().empty());
-    // Nor by the beginning of the answer; each question is a turn of the node's loop, which has read it then.
+    // Nor after the start of the response; each probe takes a turn of the node's loop, which has read it by
+    // then.
     const std::string answer = first_line("{\"seq\":7,\"whole\":true,\"hosts\":[]}\n");
     watch.write(answer.substr(0, answer.size() - 5));
     for (int turn = 0; turn < 50; ++turn) ASSERT_EQ(ask_ready(probe), "HTTP/1.1 503") << turn;
@@ -132,19 +133,19 @@
   }
 }
 
-// Of 300 nodes some watches fall silent at once, and discovery answers 46 calls a second, each in 2 s or not
-// at all. Each node has noticed 3 s after its last word, which was up to 2 s before. A call that failed is
-// repeated by the module, as a silent watch was: after 5 s, give or take half, then twice that.
+// Some watches of 300 nodes fall silent at once, and discovery serves 46 calls a second, each within 2 s or
+// not at all. Each node detects the silence 3 s after its last data, which was up to 2 s before. The policy
+// repeats a failed call after 5 s, give or take half, then after twice that.
 struct Silence {
   double told_in_time = 0;  // share of these nodes that have their list 6 s after the watches fell silent
-  Millis late = 0;          // and for how long one has it not, from there on, in the mean
+  Millis late = 0;          // mean delay of the others beyond that
 };
 
 Silence fall_silent(int silent, bool to_module, Ending how = Ending::kSilent) {
   constexpr int kNodes = 300;
   constexpr Millis kCall = 6500.0 / kNodes;
   Random random(5);
-  std::multimap<Millis, Millis> calls;  // when, and the module's wait should it fail
+  std::multimap<Millis, Millis> calls;  // time of the call, and the policy's delay if it fails
   const auto module = [&random](Millis wait) { return wait * (0.5 + random.unit()); };
   for (int node = 0; node < silent; ++node) {
     WatchBackoff backoff;
@@ -169,19 +170,19 @@
   return found;
 }
 
-// What a silent watch missed counts as told 6 s after it fell silent, though discovery may be well.
+// Changes missed by a silent watch bind 6 s after it fell silent, although discovery may be healthy.
 TEST(Terms, SilentWatchIsReopenedBeforeMissedChangesBind) {
-  // A tenth of them, as was seen: all are told in time, by the module's wait few. All at once:
-  // not all can be, whoever spreads them.
+  // If a tenth fall silent, all have their list in time with the back-off, few with the policy's delay. If
+  // all do, no spreading suffices.
   EXPECT_LT(fall_silent(30, true).told_in_time, 0.6);
   EXPECT_EQ(fall_silent(30, false).late, 0);
   EXPECT_EQ(fall_silent(30, false, Ending::kTimeout).late, 0) << "nor where calls get no word at all";
   EXPECT_GT(fall_silent(300, false).told_in_time, 1.5 * fall_silent(300, true).told_in_time);
-  // A small fleet, or a node alone, has nobody to wait for.
+  // A small fleet, or a single node, need not spread its calls.
   for (const double random : {0.0, 0.99}) {
     WatchBackoff backoff;
     EXPECT_LE(backoff.delay_after(Ending::kSilent, true, 3, random).value_or(1e9), 150);
-    // Silent again with nothing between: as broken as before, and so is a call that came to no connection.
+    // Silent again with no list between: broken as before, and so is a call that did not connect.
     EXPECT_LE(backoff.delay_after(Ending::kSilent, true, 3, random).value_or(1e9), 150);
     EXPECT_LE(backoff.delay_after(Ending::kTimeout, true, 3, random).value_or(1e9), 150);
     EXPECT_LE(backoff.delay_after(Ending::kConnectTimeout, true, 3, random).value_or(1e9), 450);
@@ -192,8 +193,8 @@
   }
 }
 
-// What was taken is answered before the process ends, also where its time is not up by then: a request that
-// came at the very end, or of a class that is no longer there.
+// Accepted requests are answered before the process ends, even if their time is not up by then: a request
+// that arrived last, or of a class that no longer exists.
 TEST(Terms, RequestsInProgressAtShutdownAreAnswered) {
   Peer backend;
   Node node;
@@ -213,7 +214,7 @@
   node.thread.join();
 }
 
-// A backend's second answer, some milliseconds after the first, is not passed on as that to the next request.
+// A backend's duplicate response, some milliseconds after the first, is not passed to the next request.
 TEST(Terms, DuplicateResponseIsNotPassedToTheNextRequest) {
   Peer backend;
   Node node;
--- a/tests/upstream_answers_test.cpp
+++ b/tests/upstream_answers_test.cpp
@@ -1,4 +1,4 @@
-// Attempts and probes by what comes back on their connections, and by how old these are.
+// Attempts and probes by what arrives on their connections, and by how long these were idle.
 #include <gtest/gtest.h>
 
 #include <thread>
@@ -15,14 +15,14 @@
   std::vector<Line> lines;
   int broke = 0;
   const auto wait = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
-  // Each connection answers its first request, stands unused for 30 ms and is reset by the next.
+  // Each connection answers its first request, is idle for 30 ms and is reset by the next.
   std::function<void()> next = [&] {
     if (broke == 6) return b.loop.stop();
     b.steps.push_back([&] {
       wait();
       const auto opened = b.upstream.opened();
       b.send(peer, kLong);
-      if (b.upstream.opened() != opened) return b.loop.stop();  // it was not used again
+      if (b.upstream.opened() != opened) return b.loop.stop();  // it was not reused
       ++broke;
       lines.back().request();
       lines.back().reset();
@@ -62,7 +62,7 @@
   }
 }
 
-// Interim answers before the final one, more than a stack would hold; but nobody asked for another protocol.
+// More interim responses than a stack would hold, before the final one; a switch of protocols is malformed.
 TEST(Upstream, ManyInterimResponsesAreSkipped) {
   for (const auto& [last, ending] :
        {std::pair{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Ending::kServed},
@@ -81,8 +81,8 @@
   }
 }
 
-// What was written before its backend was withdrawn comes to its end, and then the connection goes: the
-// number of a backend that is gone may pass to another.
+// A request written before its backend was withdrawn completes, then its connection is closed: the number of
+// a gone backend may be reused for another.
 TEST(Upstream, ConnectionToAWithdrawnBackendIsNotKept) {
   Peer peer;
   UpstreamAlone b;
