--- a/tests/crossings/cold_test.cpp
+++ b/tests/crossings/cold_test.cpp
@@ -1,6 +1,6 @@
-// The rule "a cold backend is not pushed over" as the sum of all processes, in simulated time with their real
-// decision modules: all want the same cold backends at once, and nothing else is left. Beyond N, what it may
-// get then, only 2 root N + 2 is chance. The seeds are fixed, so the verdict is the same each time.
+// The rule "a cold backend is not pushed over" for the sum of all processes, in simulated time with their
+// real policies: all use the same cold backends at once, and no others are left. Beyond N, the load a backend
+// may get then, only 2 root N + 2 counts as chance. The seeds are fixed, so the result is the same each time.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,10 +11,10 @@
 namespace shorelead::cold {
 namespace {
 
-constexpr int kSeeds = 8;       // games each of 20 or 30 processes
-constexpr int kLargeSeeds = 1;  // and of hundreds: dear under sanitizers
+constexpr int kSeeds = 8;       // runs with 20 or 30 processes
+constexpr int kLargeSeeds = 1;  // runs with hundreds of processes, which are slow under sanitizers
 
-// N when the backend starts.
+// A case with this N when the backend starts.
 Case with(int processes, double n) {
   Case c;
   c.processes = processes;
@@ -24,7 +24,7 @@
 
 class Crossings : public testing::TestWithParam<int> {
  protected:
-  // Both where each process's part is under one request and where it is some.
+  // Sizes for which a process's share is below one request, and above.
   void expect_none_falls(const std::string& what, const std::function<void(Case&)>& change,
                          const std::vector<double>& sizes = {9, 45, 400}) {
     for (const double n : sizes) {
@@ -44,14 +44,14 @@
   expect_none_falls("back", [](Case& c) { c.burst = 3, c.returns = true, c.told_within = 500; });
 }
 
-// Guards against turns that stay open for long at processes with little traffic: a burst found them all open
-// at once, 2.2 times N at 300 processes and 1.9 times at 20.
+// Slow-start slots that stayed open for long at processes with little traffic were all open when a burst
+// came: 2.2 times N at 300 processes and 1.9 times at 20.
 TEST_P(Crossings, BurstAfterLittleTrafficPerProcess) {
   expect_none_falls("half a request a second", [](Case& c) { c.rate = 0.5, c.burst = 20; });
 }
 
-// Guards against a new process that takes its first moment for a second with one request: its turns were open
-// some ten times too long, and its part went out twice.
+// A new process took its first moment for a second with one request: its slots were open some ten times too
+// long, and it sent its share twice.
 TEST_P(Crossings, ProcessesReplacedOrJoiningDuringABurst) {
   const double second = 1000.0 / GetParam();
   expect_none_falls("in turn", [=](Case& c) { c.burst = 3, c.replace_every = 4 * second; });
@@ -68,7 +68,7 @@
   });
 }
 
-// Guards against a part that began anew each time the backend was said to be ready again: 2.5 times N.
+// A share that started over each time the backend was listed as ready again: 2.5 times N.
 TEST_P(Crossings, ColdBackendThatLeavesTheListAndReturns) {
   expect_none_falls("each 0.2 s", [](Case& c) { c.burst = 3, c.flap_every = 200; });
 }
--- a/tests/pools_test.cpp
+++ b/tests/pools_test.cpp
@@ -1,5 +1,5 @@
-// A node of several pools from a .shore file, over loopback against peers that the test plays: where requests
-// go, and what a reload leaves alone. Each test says what it guards against.
+// A node with several pools from a .shore file, over loopback against peers that the test scripts: where
+// requests go, and what a reload must not change.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -39,7 +39,7 @@
   reader.glob = [](const std::string& path) { return std::vector{path}; };
   Config config = load_shore("t.shore", {}, reader);
   config.listen = Poco::Net::SocketAddress("127.0.0.1", 0);
-  for (PoolConfig& one : config.pools) one.host.settle = 0;  // tests ask again at once
+  for (PoolConfig& one : config.pools) one.host.settle = 0;  // tests send again at once
   return config;
 }
 
@@ -61,7 +61,7 @@
     thread.join();
   }
 
-  // Done once the node has read it; what then waits for lists goes on.
+  // Returns once the node has read the file; loading of lists may still go on.
   void reload(const std::string& text) {
     next = text;
     tell(SIGHUP);
@@ -102,7 +102,7 @@
 
 std::string status(Line& client) { return client.answer().substr(9, 3); }
 
-// A request through to that peer, which is connected to for it, and its answer back.
+// Sends a request through to that peer, which accepts a connection for it, and its response back.
 Line first(Line& client, const std::string& text, Peer& peer) {
   client.write(text);
   Line there = peer.accept();
@@ -112,7 +112,7 @@
   return there;
 }
 
-// A request through to that peer and its answer back; the connection to the peer stays with the caller.
+// Sends a request through to that peer and its response back; the caller keeps the connection to the peer.
 void pass(Line& client, const std::string& text, Line& there) {
   client.write(text);
   EXPECT_FALSE(there.request().empty());
@@ -120,8 +120,8 @@
   EXPECT_EQ(status(client), "200");
 }
 
-// Guards against a reload that touches what is under way: a charge taken under the old generation ends where
-// it was, once, though its pool is gone from the file; the next goes to the new one; and the old pool ends.
+// A reload must not touch requests in progress: one accepted under the old generation ends there, once,
+// though its pool is gone from the file; the next goes to the new pool; and the old pool ends.
 TEST(Pools, RequestEndsUnderTheGenerationThatReadIt) {
   Peer old;
   Peer fresh;
@@ -143,8 +143,8 @@
   EXPECT_TRUE(node.comes_to(2, 2));  // the class check keeps generation 1 for its window of 10 s
 }
 
-// The same with a backend that dies under the charge after the pool was taken out: it may have run, so it is
-// answered as failed, and no backend of the new pool sees it.
+// The same with a backend that fails during the request after its pool was removed: it may have run, so it is
+// answered as failed and no backend of the new pool sees it.
 TEST(Pools, UnsafeRequestOfARemovedPoolIsNotSentElsewhere) {
   Peer old;
   Peer fresh;
@@ -165,7 +165,7 @@
   EXPECT_EQ(status(other), "200");
 }
 
-// Without keyed classes nothing holds a generation that is over: its pool ends as soon as it has nothing.
+// Without keyed classes nothing keeps an old generation: its pool ends as soon as it has no requests.
 TEST(Pools, RemovedPoolWithoutRequestsEnds) {
   Peer old;
   Peer fresh;
@@ -176,8 +176,8 @@
   EXPECT_TRUE(node.comes_to(1, 2));
 }
 
-// Guards against losing what a pool has learnt, and its connections, where other things are told anew or its
-// name is: the connection of before carries the request after.
+// A pool whose definition is unchanged keeps what it has learned and its connections, even if it is renamed:
+// the old connection carries the next request.
 TEST(Pools, UnchangedPoolKeepsItsConnectionsAcrossReloadAndRename) {
   Peer a;
   Peer b;
@@ -188,7 +188,7 @@
   node.reload(kHead + pool("renamed", backend(a)) + pool("b", backend(b) + "; attempts 2") +
               route("look", "pool renamed") + route("charge", "pool b"));
   pass(client, ask("GET", "/look/2"), there);
-  // The class of the other pool changes: no matter here.
+  // The class of the other pool changes, which does not matter here.
   std::string head = kHead;
   head.replace(head.find("charge { effect unsafe; aim 15 s"), 32, "charge { effect unsafe; aim 14 s");
   node.reload(head + pool("renamed", backend(a)) + pool("b", backend(b)) + route("look", "pool renamed") +
@@ -196,7 +196,7 @@
   pass(client, ask("GET", "/look/3"), there);
 }
 
-// A backend that the file now says drains gets nothing new, and the pool goes on.
+// A backend that the file now lists as draining gets nothing new, and the pool goes on.
 TEST(Pools, ReloadedFileDrainsABackend) {
   Peer a;
   Peer b;
@@ -214,12 +214,11 @@
     at_b.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     EXPECT_EQ(status(other), "200");
   }
-  there.write(kOk);  // what it has it ends
+  there.write(kOk);  // its request completes
   EXPECT_EQ(status(client), "200");
 }
 
-// Guards against refusing what the old generation could serve: a pool whose list is not there yet is waited
-// for.
+// Requests that the old generation could serve must not be refused: a pool without a list is waited for.
 TEST(Pools, NewGenerationWaitsForTheListsOfItsPools) {
   Peer a;
   Peer discovery;
@@ -241,7 +240,7 @@
   Line at_b = first(client, ask("GET", "/look/3"), b);
 }
 
-// Guards against a file with a mistake: nothing changes, and requests go on.
+// An invalid file changes nothing, and requests go on.
 TEST(Pools, InvalidFileChangesNothing) {
   Peer a;
   Node node(kHead + pool("a", backend(a)) + route("look", "pool a"));
@@ -251,7 +250,7 @@
   Line there = first(client, ask("GET", "/look/1"), a);
 }
 
-// The same where the mistake shows only when a pool is made: keys that cannot be read.
+// The same if the mistake shows only when a pool is created: TLS keys that cannot be read.
 TEST(Pools, UnusableTlsKeysChangeNothing) {
   Peer a;
   Node node(kHead + pool("a", backend(a)) + route("look", "pool a"));
@@ -263,8 +262,8 @@
   Line there = first(client, ask("GET", "/look/1"), a);
 }
 
-// Who stands in: for a pool with nobody ready, for new keys, but not for a client's repeat of a keyed
-// request, whose first try may have run where its own pool knows the key.
+// The fallback serves for a pool without ready backends, and new keys, but no client's repeat of a keyed
+// request, whose first try may have run in its own pool, which knows the key.
 TEST(Pools, FallbackPoolServesNewKeysButNoRepeats) {
   Peer away;
   Peer spare;
@@ -281,8 +280,8 @@
   EXPECT_EQ(status(client), "200");
 }
 
-// The same where it had somebody and has nobody any more, and where it has again: a count that went wrong by
-// one drain would keep its requests.
+// The same when the pool's last ready backend goes and comes back: a count wrong by one drain would keep
+// requests at the fallback.
 TEST(Pools, FallbackPoolServesOnlyWhileNoBackendIsReady) {
   Peer a;
   Peer spare;
@@ -307,8 +306,8 @@
   }
 }
 
-// Guards against a key that runs in two pools: after a swap a client's repeat of a keyed request goes where
-// its first try went, for the window; what is new goes by the new generation.
+// A key must not run in two pools: after a swap a client's repeat goes where its first try went, for the
+// window; new requests go by the new generation.
 TEST(Pools, RepeatAfterASwapGoesToThePoolOfTheFirstTry) {
   Peer a;
   Peer b;
@@ -319,13 +318,13 @@
   Line at_a = a.accept();
   ASSERT_FALSE(at_a.request().empty());
   node.reload(kHead + pools + route("check", "pool b") + route("look", "pool a"));
-  client.close();  // the client gives up and comes again
+  client.close();  // the client gives up and tries again
   Line again = node.client();
   Line repeat = first(again, ask("POST", "/check/1", kAgain), a);
   Line at_b = first(again, ask("POST", "/check/2", "Idempotency-Key: other\r\n"), b);
 }
 
-// A node that starts while its registry is away serves from the list that it kept.
+// A node that starts while its registry is down serves from the saved list.
 TEST(Pools, StartsFromTheSavedListWhileTheRegistryIsDown) {
   Peer a;
   Peer nobody;
@@ -344,7 +343,7 @@
   ::unlink(path.c_str());
 }
 
-// A client keeps its side of a split, by the header's value, over connections and reloads.
+// A client keeps its side of a split, by the header's value, across connections and reloads.
 TEST(Pools, SplitKeepsItsClients) {
   Peer a;
   Peer b;
@@ -382,7 +381,7 @@
   node.reload(text(60));
   for (int n = 0; n < 40; ++n) {
     const bool now = goes_to_b(n);
-    EXPECT_TRUE(now || !side[static_cast<std::size_t>(n)]) << n;  // whoever was with the growing one stays
+    EXPECT_TRUE(now || !side[static_cast<std::size_t>(n)]) << n;  // clients on the growing side stay there
   }
   over = true;
   a.stop();
