--- a/tests/crossings/attempts_test.cpp
+++ b/tests/crossings/attempts_test.cpp
@@ -138,7 +138,7 @@
     b.loop.after(3 * kSoon, answer);
   });
   EXPECT_EQ(b.run(), Ending::kServed);
-  EXPECT_EQ(b.told, 3);
+  EXPECT_EQ(b.reports, 3);
   EXPECT_EQ(b.upstream.opened(), 1U);
 }
 
@@ -183,7 +183,7 @@
   });
   EXPECT_EQ(b.run(), Ending::kServed);
   EXPECT_EQ(b.answer.size(), 60000U);
-  EXPECT_EQ(b.told, 2);
+  EXPECT_EQ(b.reports, 2);
 }
 
 // Response and cancellation in the same turn: one end, and the connection is closed with the response unread.
@@ -199,7 +199,7 @@
     b.upstream.cancel(1, 0);
   });
   EXPECT_EQ(b.run(), Ending::kCalledOff);
-  EXPECT_EQ(b.told, 1);
+  EXPECT_EQ(b.reports, 1);
   EXPECT_EQ(b.upstream.connections(), 0U);
 }
 
--- a/tests/crossings/reborn_test.cpp
+++ b/tests/crossings/backend_restart_test.cpp
@@ -13,20 +13,20 @@
 constexpr double kMinute = 60000;
 
 // The list's entry of a backend that was started `ms` ago.
-std::string started_before(const Peer& peer, double ms) {
+std::string list_of_start(const Peer& peer, double ms) {
   const std::chrono::duration<double, std::milli> now = std::chrono::system_clock::now().time_since_epoch();
   return R"({"seq":9,"whole":false,"hosts":[{"host":"s-1","dial":")" + peer.dial() +
          R"(","health":"ready","born_ms":)" + std::to_string(now.count() - ms) + "}]}\n";
 }
 
 // One request was served on a connection that is idle now; then the list reports a new start.
-struct Kept {
-  explicit Kept(double started_ms_before) {
+struct IdleConnection {
+  explicit IdleConnection(double started_ms_before) {
     watch.request();
     s.client.write(post("/unsafe", "x"));
-    before.emplace(s.backend.accept());
-    serve(*before);
-    watch.write(first_line(started_before(s.backend, started_ms_before)));
+    connection.emplace(s.backend.accept());
+    serve(*connection);
+    watch.write(first_line(list_of_start(s.backend, started_ms_before)));
   }
   void serve(Line& there) {
     there.request();
@@ -36,22 +36,22 @@
 
   Served s;
   Line watch = s.node.discovery.accept();
-  std::optional<Line> before;
+  std::optional<Line> connection;
 };
 
-TEST(Reborn, ConnectionsToTheOldProcessAreNotReused) {
-  Kept kept(0);
-  EXPECT_EQ(kept.before->rest(), "") << "closed by the node with nothing more on it";
-  kept.s.client.write(post("/unsafe", "x"));
-  Line after = kept.s.backend.accept();
-  kept.serve(after);
+TEST(BackendRestart, ConnectionsToTheOldProcessAreNotReused) {
+  IdleConnection idle(0);
+  EXPECT_EQ(idle.connection->rest(), "") << "closed by the node with nothing more on it";
+  idle.s.client.write(post("/unsafe", "x"));
+  Line after = idle.s.backend.accept();
+  idle.serve(after);
 }
 
-TEST(Reborn, ConnectionsToTheNewProcessStay) {
-  Kept kept(kMinute);
+TEST(BackendRestart, ConnectionsToTheNewProcessStay) {
+  IdleConnection idle(kMinute);
   for (int n = 0; n < 20; ++n) {
-    kept.s.client.write(post("/unsafe", "x"));
-    kept.serve(*kept.before);
+    idle.s.client.write(post("/unsafe", "x"));
+    idle.serve(*idle.connection);
   }
 }
 
--- a/tests/crossings/upstream_case.h
+++ b/tests/crossings/upstream_case.h
@@ -56,7 +56,7 @@
   void take(int attempt, const Result& result) {
     last = result.ending;
     ended = attempt;
-    ++told;
+    ++reports;
     answer = result.response == nullptr ? "" : std::string(result.response->body());
     if (result.flow) {
       flow = result.flow;
@@ -78,7 +78,7 @@
   std::deque<Loop::Task> steps;
   Ending last = Ending::kNotSent;
   int ended = -1;  // number of the attempt
-  int told = 0;
+  int reports = 0;
   std::string answer;
   std::shared_ptr<net::Flow> flow;
   std::function<void(net::Flow&)> on_flow;
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -22,12 +22,12 @@
   return m;
 }
 Entry at(std::uint64_t revision, const Member& member) { return {member, revision, false}; }
-View::Change to(std::uint64_t revision, const Member& member) { return {{member, revision, false}, false}; }
+View::Change put(std::uint64_t revision, const Member& member) { return {{member, revision, false}, false}; }
 View::Change lost(std::uint64_t revision, const std::string& host) {
   return {{backend(host, "gone"), revision, false}, true};
 }
 
-std::string said(const Update& update) {
+std::string text(const Update& update) {
   std::string all;
   for (const Member& m : update.changes)
     all.append(all.empty() ? "" : " ").append(m.host).append("=").append(m.health);
@@ -48,22 +48,22 @@
   std::vector<Entry> entries = ten(2);
   entries.push_back(at(8, backend("b1", "ready", 900)));
   entries[0] = at(7, backend("b2", "draining"));
-  EXPECT_EQ(said(view.snapshot(0, 7, 9, entries, 100)), "b1=ready b2=draining b0=gone");
+  EXPECT_EQ(text(view.snapshot(0, 7, 9, entries, 100)), "b1=ready b2=draining b0=gone");
   EXPECT_EQ(view.ready(), 8U);
 }
 
 TEST(View, OlderNewsNeverOverwritesNewer) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
-  view.change(0, {to(9, backend("b1", "draining"))}, 10);
-  EXPECT_EQ(said(view.change(0, {to(8, backend("b1"))}, 20)), "");
-  EXPECT_EQ(said(view.change(0, {to(9, backend("b1"))}, 20)), "");  // the same once more
+  view.change(0, {put(9, backend("b1", "draining"))}, 10);
+  EXPECT_EQ(text(view.change(0, {put(8, backend("b1"))}, 20)), "");
+  EXPECT_EQ(text(view.change(0, {put(9, backend("b1"))}, 20)), "");  // the same once more
   const Update stale = view.snapshot(0, 7, 8, ten(), 30);
   EXPECT_TRUE(stale.behind);
-  EXPECT_EQ(said(stale), "");
+  EXPECT_EQ(text(stale), "");
   view.change(0, {lost(10, "b1")}, 40);
-  EXPECT_EQ(said(view.change(0, {to(9, backend("b1"))}, 50)), "");  // the tombstone has a newer revision
-  EXPECT_EQ(said(view.change(0, {to(11, backend("b1", "ready", 60))}, 60)), "b1=ready");
+  EXPECT_EQ(text(view.change(0, {put(9, backend("b1"))}, 50)), "");  // the tombstone has a newer revision
+  EXPECT_EQ(text(view.change(0, {put(11, backend("b1", "ready", 60))}, 60)), "b1=ready");
 }
 
 // An empty or halved snapshot is held and fetched again; the loss takes effect only once it has lasted.
@@ -72,14 +72,14 @@
   View view(options);
   view.snapshot(0, 7, 5, ten(), 0);
   Update update = view.snapshot(0, 7, 6, {}, 1000);
-  EXPECT_EQ(said(update), "");
+  EXPECT_EQ(text(update), "");
   EXPECT_TRUE(update.refetch);
   EXPECT_EQ(view.held(), 10U);
   EXPECT_EQ(view.next(), 1000 + options.ask_every);
   EXPECT_TRUE(view.tick(*view.next()).refetch);
-  EXPECT_EQ(said(view.snapshot(0, 7, 6, {}, 1000 + options.hold - 1)), "");
+  EXPECT_EQ(text(view.snapshot(0, 7, 6, {}, 1000 + options.hold - 1)), "");
   // The correct list returns, with the old revisions.
-  EXPECT_EQ(said(view.snapshot(0, 7, 7, ten(), 9000)), "");
+  EXPECT_EQ(text(view.snapshot(0, 7, 7, ten(), 9000)), "");
   EXPECT_EQ(view.held(), 0U);
   EXPECT_EQ(view.counters().restored, 10U);
   view.snapshot(0, 7, 8, {}, 20000);
@@ -95,22 +95,23 @@
   view.snapshot(0, 7, 5, ten(), 0);
   std::string gone;
   for (int n = 0; n < 8; ++n) {
-    gone += said(view.change(0, {lost(static_cast<std::uint64_t>(10 + n), b(n))}, 100 + n)) + ";";
+    gone += text(view.change(0, {lost(static_cast<std::uint64_t>(10 + n), b(n))}, 100 + n)) + ";";
   }
   EXPECT_EQ(gone, "b0=gone;b1=gone;b2=gone;b3=gone;b4=gone;;;;");
   EXPECT_EQ(view.held(), 3U);
-  EXPECT_EQ(said(view.change(0, {to(30, backend("b8", "draining")), to(31, backend("b9", "draining"))}, 200)),
-            "b8=draining b9=draining");
-  EXPECT_EQ(said(view.change(0, {to(32, backend("b5", "draining"))}, 210)), "b5=draining");
-  EXPECT_EQ(said(view.change(0, {to(33, backend("b6"))}, 220)), "");  // it was published as ready all along
+  EXPECT_EQ(
+      text(view.change(0, {put(30, backend("b8", "draining")), put(31, backend("b9", "draining"))}, 200)),
+      "b8=draining b9=draining");
+  EXPECT_EQ(text(view.change(0, {put(32, backend("b5", "draining"))}, 210)), "b5=draining");
+  EXPECT_EQ(text(view.change(0, {put(33, backend("b6"))}, 220)), "");  // it was published as ready all along
   EXPECT_EQ(view.held(), 1U);
-  EXPECT_EQ(said(view.believe(230)), "b7=gone");
+  EXPECT_EQ(text(view.believe(230)), "b7=gone");
 }
 
 TEST(View, FewBackendsOrAZeroFloorHoldNothing) {
   View few;
   few.snapshot(0, 7, 5, {at(1, backend("a")), at(1, backend("b"))}, 0);
-  EXPECT_EQ(said(few.snapshot(0, 7, 6, {}, 10)), "a=gone b=gone");
+  EXPECT_EQ(text(few.snapshot(0, 7, 6, {}, 10)), "a=gone b=gone");
   Options options;
   options.floor = 0;
   View none(options);
@@ -124,24 +125,24 @@
   View view;
   view.snapshot(0, 7, 50, ten(), 0);
   view.change(0,
-              {to(51, backend("b0", "draining")), to(52, backend("b1", "draining")),
-               to(54, backend("b2", "draining"))},
+              {put(51, backend("b0", "draining")), put(52, backend("b1", "draining")),
+               put(54, backend("b2", "draining"))},
               10);
   view.change(0, {lost(53, "b1")}, 20);
   std::vector<Entry> old = ten();
   old[2] = at(1, backend("b2", "ready", 15));
-  EXPECT_EQ(said(view.snapshot(0, 8, 40, old, 100)), "b2=ready");
+  EXPECT_EQ(text(view.snapshot(0, 8, 40, old, 100)), "b2=ready");
   EXPECT_EQ(view.counters().kept_out, 2U);
-  EXPECT_EQ(said(view.snapshot(0, 8, 41, old, 200)), "");
-  EXPECT_EQ(said(view.change(0, {to(42, backend("b0"))}, 300)), "b0=ready");
+  EXPECT_EQ(text(view.snapshot(0, 8, 41, old, 200)), "");
+  EXPECT_EQ(text(view.change(0, {put(42, backend("b0"))}, 300)), "b0=ready");
 }
 
 // An address passes to a new ID: the old one gets nothing more, though its source still lists it.
 TEST(View, AddressBelongsToOneBackend) {
   View view;
   view.snapshot(0, 7, 5, {at(1, backend("old", "ready", 10, "x:1")), at(2, backend("other"))}, 0);
-  EXPECT_EQ(said(view.change(0, {to(6, backend("new", "ready", 500, "x:1"))}, 10)), "old=gone new=ready");
-  EXPECT_EQ(said(view.change(0, {to(7, backend("older", "ready", 5, "x:1"))}, 20)), "");
+  EXPECT_EQ(text(view.change(0, {put(6, backend("new", "ready", 500, "x:1"))}, 10)), "old=gone new=ready");
+  EXPECT_EQ(text(view.change(0, {put(7, backend("older", "ready", 5, "x:1"))}, 20)), "");
   EXPECT_EQ(view.ready(), 2U);
 }
 
@@ -153,15 +154,15 @@
   view.snapshot(0, 7, 5, ten(), 0);
   std::uint64_t revision = 10;
   const auto flap = [&](Millis now) {
-    const std::string drained = said(view.change(0, {to(revision++, backend("b3", "draining"))}, now));
-    return drained + " " + said(view.change(0, {to(revision++, backend("b3"))}, now + 1));
+    const std::string drained = text(view.change(0, {put(revision++, backend("b3", "draining"))}, now));
+    return drained + " " + text(view.change(0, {put(revision++, backend("b3"))}, now + 1));
   };
   EXPECT_EQ(flap(100), "b3=draining b3=ready");
   EXPECT_EQ(flap(200), "b3=draining b3=ready");
   EXPECT_EQ(flap(300), "b3=draining ");
   EXPECT_EQ(view.next(), 301 + options.flap_wait);
-  EXPECT_EQ(said(view.tick(300 + options.flap_wait)), "");
-  EXPECT_EQ(said(view.tick(301 + options.flap_wait)), "b3=ready");
+  EXPECT_EQ(text(view.tick(300 + options.flap_wait)), "");
+  EXPECT_EQ(text(view.tick(301 + options.flap_wait)), "b3=ready");
 }
 
 // The first source that names a backend describes it; a drain by any counts, and no other source undoes it.
@@ -172,13 +173,13 @@
   Member near = backend("a");
   near.site = "near";
   view.snapshot(1, 1, 1, {at(1, far), at(1, backend("only"))}, 0);
-  EXPECT_EQ(said(view.snapshot(0, 9, 3, {at(1, near)}, 10)), "a=ready");
+  EXPECT_EQ(text(view.snapshot(0, 9, 3, {at(1, near)}, 10)), "a=ready");
   EXPECT_EQ(view.members()[0].site, "near");
-  EXPECT_EQ(said(view.change(1, {to(2, backend("a", "draining"))}, 20)), "a=draining");
-  EXPECT_EQ(said(view.change(1, {to(3, backend("a"))}, 30)), "a=ready");
-  view.change(0, {to(4, backend("a", "draining"))}, 40);
-  EXPECT_EQ(said(view.change(0, {lost(5, "a")}, 50)), "a=gone");
-  EXPECT_EQ(said(view.change(1, {to(4, backend("a"))}, 60)), "");
+  EXPECT_EQ(text(view.change(1, {put(2, backend("a", "draining"))}, 20)), "a=draining");
+  EXPECT_EQ(text(view.change(1, {put(3, backend("a"))}, 30)), "a=ready");
+  view.change(0, {put(4, backend("a", "draining"))}, 40);
+  EXPECT_EQ(text(view.change(0, {lost(5, "a")}, 50)), "a=gone");
+  EXPECT_EQ(text(view.change(1, {put(4, backend("a"))}, 60)), "");
 }
 
 TEST(View, UnreadableEntryLeavesTheBackendUnchanged) {
@@ -187,7 +188,7 @@
   std::vector<Entry> entries = ten();
   entries[4].unreadable = true;
   entries[4].revision = 6;
-  EXPECT_EQ(said(view.snapshot(0, 7, 6, entries, 10)), "");
+  EXPECT_EQ(text(view.snapshot(0, 7, 6, entries, 10)), "");
   EXPECT_EQ(view.ready(), 10U);
 }
 
@@ -322,12 +323,12 @@
     const int what = *rc::gen::inRange(0, 4);
     Update update;
     if (what == 0) {
-      update = view.change(0, {to(++revision, backend(host, "draining"))}, now);
+      update = view.change(0, {put(++revision, backend(host, "draining"))}, now);
       left.insert(host);
     } else if (what == 1) {
       update = view.change(0, {lost(++revision, host)}, now);
     } else if (what == 2) {
-      update = view.change(0, {to(++revision, backend(host))}, now);
+      update = view.change(0, {put(++revision, backend(host))}, now);
       left.erase(host);
     } else {
       revision = *rc::gen::inRange<std::uint64_t>(20, 100);
--- a/tests/upstream_alone.h
+++ b/tests/upstream_alone.h
@@ -21,8 +21,8 @@
   explicit UpstreamAlone(Millis connect_timeout = kLong)
       : upstream(loop, connect_timeout, 60000, 0, std::make_shared<net::FlowBudget>(1U << 20),
                  {[this](RequestId, int, const Result& result) { take(result); },
-                  [this](BackendId, const Result& result) { take(result); }, [this](bool) { return room; },
-                  [this](bool probe) { return !probe || keeps_probes; }}) {
+                  [this](BackendId, const Result& result) { take(result); },
+                  [this](bool) { return may_open; }, [this](bool probe) { return !probe || keeps_probes; }}) {
     message->raw = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
     message->parser.advance(message->raw);
   }
@@ -41,19 +41,19 @@
   void take(const Result& result) {
     last = result.ending;
     load = result.load;
-    ++told;
+    ++reports;
     if (steps.empty()) return loop.stop();
     loop.later(steps.front());
     steps.pop_front();
   }
 
   Loop loop;
-  bool room = true;
+  bool may_open = true;
   bool keeps_probes = true;
   std::deque<Loop::Task> steps;
   Ending last = Ending::kNotSent;
   std::optional<LoadReport> load;
-  int told = 0;
+  int reports = 0;
   std::shared_ptr<Message> message = std::make_shared<Message>(Parser::Kind::kRequest);
   Upstream upstream;
 };
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -51,16 +51,16 @@
   peer.close();
   UpstreamAlone b;
   b.upstream.send(1, 0, 0, dial, b.loop.now() + kLong, b.message);
-  EXPECT_EQ(b.told, 0);
+  EXPECT_EQ(b.reports, 0);
   EXPECT_EQ(b.run(), Ending::kRefused);
 }
 
 TEST(Upstream, WithoutADescriptorTheAttemptEndsAsNoDescriptor) {
   Peer peer;
   UpstreamAlone b;
-  b.room = false;
+  b.may_open = false;
   b.send(peer, kLong);
-  EXPECT_EQ(b.told, 0);
+  EXPECT_EQ(b.reports, 0);
   EXPECT_EQ(b.run(), Ending::kNoDescriptor);
 }
 
@@ -80,7 +80,7 @@
   b.send(peer, kLong);
   b.loop.later([&b] {
     b.upstream.cancel_unsent(2);  // another request
-    EXPECT_EQ(b.told, 0);
+    EXPECT_EQ(b.reports, 0);
     b.upstream.cancel_unsent(1);
   });
   EXPECT_EQ(b.run(), Ending::kStoppedUnsent);
@@ -120,7 +120,7 @@
     while (b.loop.now() < until) std::this_thread::sleep_for(std::chrono::milliseconds(1));
   });
   EXPECT_EQ(b.run(), Ending::kServed);
-  EXPECT_EQ(b.told, 2);
+  EXPECT_EQ(b.reports, 2);
   EXPECT_EQ(b.upstream.reused(), 1U);
 }
 
@@ -145,7 +145,7 @@
     b.send(peer, kSoon);
   });
   EXPECT_EQ(b.run(), Ending::kTimeout);
-  EXPECT_EQ(b.told, 3);
+  EXPECT_EQ(b.reports, 3);
   EXPECT_EQ(b.upstream.connections(), 0U);
 }
 
@@ -169,7 +169,7 @@
   });
   b.steps.push_back([] {});
   EXPECT_EQ(b.run(), Ending::kTimeout);
-  EXPECT_EQ(b.told, 2);
+  EXPECT_EQ(b.reports, 2);
   EXPECT_EQ(b.upstream.idle(), 1U);
 }
 
