--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -40,8 +40,7 @@
   return all;
 }
 
-// The watched revision was compacted: backends missing in the snapshot are lost, those drained in between
-// drain, and one that returned under its old name is cold again.
+// After a compaction a snapshot shows losses, drains and a backend that returned cold under its old name.
 TEST(View, SnapshotAfterAGapYieldsOnlyTheDifference) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
