--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -16,7 +16,7 @@
   double size = 1;
   // When it last started: by the wall clock as labelled by its source, by the loop's clock once a
   // BackendSource has passed it on; 0 = long ago.
-  Millis born = 0;
+  Millis started = 0;
 
   bool operator==(const Member&) const = default;
 };
--- a/src/membership/registry/messages.cpp
+++ b/src/membership/registry/messages.cpp
@@ -132,7 +132,7 @@
   const bool read = string_field("dial", member.dial, true) && string_field("health", member.health, true) &&
                     string_field("site", member.site, false) && number_field("block", 0, kMaxCell, cell) &&
                     number_field("share", 1e-6, kMaxSize, member.size) &&
-                    number_field("born_ms", 0, 1e15, member.born);
+                    number_field("born_ms", 0, 1e15, member.started);
   if (!read) return std::nullopt;
   if (cell != std::floor(cell)) return cause = "block is not a whole number", std::nullopt;
   member.cell = static_cast<int>(cell);
@@ -151,7 +151,7 @@
   out.Key("share");
   out.Double(member.size);
   out.Key("born_ms");
-  out.Double(member.born);
+  out.Double(member.started);
   out.EndObject();
   return buffer.GetString();
 }
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -123,7 +123,7 @@
     }
     const bool left = record.present ? is_draining(record.member) : !record.vanished;
     if (record.epoch != source.epoch && in_snapshot && left && is_ready(entry.member) &&
-        entry.member.born <= record.member.born) {
+        entry.member.started <= record.member.started) {
       // Older news under a new epoch's revisions: ignored until the backend is changed in this epoch.
       ++counters_.kept_out;
       record.epoch = source.epoch;
@@ -183,11 +183,11 @@
       draining = draining || is_draining(record.member);
     } else if (!record.vanished) {
       announced = true;
-      last_start = std::max(last_start, record.member.born);
+      last_start = std::max(last_start, record.member.started);
     }
   }
   vanished = !announced;
-  if (member && announced && member->born <= last_start) return std::nullopt;
+  if (member && announced && member->started <= last_start) return std::nullopt;
   if (member && draining) member->health = "draining";
   return member;
 }
@@ -286,7 +286,7 @@
     const auto holder = by_dial_.find(member->dial);
     if (holder != by_dial_.end() && holder->second != host) {
       const std::string other = holder->second;
-      if (published_.at(other).member.born > member->born) return unpublish(host, update);
+      if (published_.at(other).member.started > member->started) return unpublish(host, update);
       ++counters_.moved;
       held_.erase(other);
       unpublish(other, update);
--- a/src/node/affinity_router.cpp
+++ b/src/node/affinity_router.cpp
@@ -97,7 +97,7 @@
       backend.cell = cell_name(one.site, one.cell);
       backend.pool = pool->name();
       backend.weight = one.size > 0 ? one.size : 1;
-      backend.warm = affinity::warm_step(warmth(pool->config().settings, one.born, loop_.now()));
+      backend.warm = affinity::warm_step(warmth(pool->config().settings, one.started, loop_.now()));
       backend.draining = one.health != "ready";
       backends.push_back(std::move(backend));
     }
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -89,7 +89,7 @@
   if (fields::find(item, "site") != nullptr) backend.site = fields::text(item, "site");
   backend.cell = fields::index_or(item, "block", 0);
   backend.size = fields::number_or(item, "share", 1);
-  backend.born = fields::number_or(item, "born_ms", 0);
+  backend.started = fields::number_or(item, "born_ms", 0);
   if (backend.health != "gone") address(backend.dial, "dial");
   return backend;
 }
--- a/src/node/endpoint_list.cpp
+++ b/src/node/endpoint_list.cpp
@@ -47,12 +47,12 @@
     entry.zone = zone_number(listed.site);
     entry.tag = static_cast<std::uint32_t>(subset::hash_of(listed.host));
     entry.cell = listed.cell;
-    entry.started = bans_.started(listed.host, listed.born);
+    entry.started = bans_.started(listed.host, listed.started);
     entry.size = listed.size;
     if (*number < named.size()) named[*number] = 1;
     Endpoint& endpoint = backends_[entry.backend];
-    if (endpoint.ready && listed.born > 0 && listed.born != endpoint.listed.born)
-      restarted_.push_back({*number, listed.born});
+    if (endpoint.ready && listed.started > 0 && listed.started != endpoint.listed.started)
+      restarted_.push_back({*number, listed.started});
     if (!listed.dial.empty()) endpoint.dial = listed.dial;
     if (&endpoint.listed != &listed) endpoint.listed = listed;
     const bool was_ready = set_ready(endpoint, entry.state == BackendState::kReady);
@@ -83,7 +83,7 @@
   const manage::BanSet before = std::exchange(bans_, bans);
   const auto changed = [&](const ListedBackend& listed) {
     return before.out(listed.host) != bans.out(listed.host) ||
-           before.started(listed.host, listed.born) != bans.started(listed.host, listed.born);
+           before.started(listed.host, listed.started) != bans.started(listed.host, listed.started);
   };
   std::vector<ListedBackend> entries;
   for (const Endpoint& endpoint : backends_) {
--- a/src/node/list_text.cpp
+++ b/src/node/list_text.cpp
@@ -30,7 +30,7 @@
     out.Key("share");
     out.Double(listed.size);
     out.Key("born_ms");
-    out.Double(listed.born);
+    out.Double(listed.started);
     out.EndObject();
   }
   out.EndArray();
--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -84,7 +84,7 @@
 std::string Pool::list_text() const {
   std::vector<ListedBackend> all = listed_backends();
   for (ListedBackend& backend : all) {
-    if (backend.born > 0) backend.born = loop_.to_wall(backend.born);
+    if (backend.started > 0) backend.started = loop_.to_wall(backend.started);
   }
   return node::list_text(all);
 }
--- a/src/node/start_times.h
+++ b/src/node/start_times.h
@@ -22,13 +22,13 @@
     std::unordered_map<std::string, StartTime> before;
     if (list.whole) before.swap(start_times_);
     for (ListedBackend& backend : list.backends) {
-      const Millis label = backend.born;
+      const Millis label = backend.started;
       if (label <= 0) continue;  // long ago
       const auto& known = list.whole ? before : start_times_;
       const auto found = known.find(backend.host);
       const bool same = found != known.end() && found->second.label == label;
-      backend.born = same ? found->second.at : from_wall_(label);
-      start_times_[backend.host] = {label, backend.born};
+      backend.started = same ? found->second.at : from_wall_(label);
+      start_times_[backend.host] = {label, backend.started};
     }
     for (const ListedBackend& backend : list.backends) {
       if (backend.health == "gone") start_times_.erase(backend.host);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -50,7 +50,7 @@
   ASSERT_EQ(read.known.backends.size(), 1U);
   EXPECT_EQ(read.known.backends[0].host, "s-1");
   EXPECT_EQ(read.known.backends[0].cell, 3);
-  EXPECT_EQ(read.known.backends[0].born, 1700000000000.0);
+  EXPECT_EQ(read.known.backends[0].started, 1700000000000.0);
   EXPECT_EQ(read.host.classes, (std::vector<std::string>{"check", "charge"}));
   EXPECT_EQ(read.host.zones, (std::vector<std::string>{"a", "b"}));
   EXPECT_EQ(read.host.idle_timeout, 60000);
--- a/tests/membership/follower_test.cpp
+++ b/tests/membership/follower_test.cpp
@@ -14,8 +14,9 @@
 
 const std::string kPrefix = "/boxes/";
 
-std::string value(const std::string& dial, const std::string& health, Millis born) {
-  return "{\"dial\":\"" + dial + "\",\"health\":\"" + health + "\",\"born_ms\":" + std::to_string(born) + "}";
+std::string value(const std::string& dial, const std::string& health, Millis started) {
+  return "{\"dial\":\"" + dial + "\",\"health\":\"" + health + "\",\"born_ms\":" + std::to_string(started) +
+         "}";
 }
 
 TEST(Messages, Base64RoundTrip) {
@@ -100,7 +101,7 @@
   m.site = *rc::gen::element<std::string>("", "a", "z\n");
   m.cell = *rc::gen::inRange(0, 1000);
   m.size = *rc::gen::element(1.0, 0.5, 2.25);
-  m.born = *rc::gen::inRange(0, 1000000);
+  m.started = *rc::gen::inRange(0, 1000000);
   std::string cause;
   const auto read = parse_member("h", member_value(m), cause);
   RC_ASSERT(read.has_value());
@@ -148,8 +149,7 @@
           return o;
         }()) {}
 
-  // Makes the follower's next call if its time has come. The request bodies are the node's own; the values in
-  // them are extracted here.
+  // Makes the follower's next call if it is due; extracts the values from the node's own request bodies.
   void act() {
     if (open) return;
     const Follower::Call call = follower.next();
@@ -390,7 +390,7 @@
   client.go_on();
   EXPECT_EQ(client.shown.at("b1").health, "draining");
   EXPECT_EQ(client.shown.count("b2"), 0U);
-  EXPECT_EQ(client.shown.at("b3").born, 777);
+  EXPECT_EQ(client.shown.at("b3").started, 777);
   EXPECT_EQ(client.follower.counters().compacted, 1U);
 }
 
--- a/tests/membership/saved_list_test.cpp
+++ b/tests/membership/saved_list_test.cpp
@@ -18,7 +18,7 @@
     m.host = std::string("b\xc3\xa9 ").append(std::to_string(n));
     m.dial = "127.0.0.1:900" + std::to_string(n);
     m.health = n == 1 ? "draining" : "ready";
-    m.born = 1000 * n;
+    m.started = 1000 * n;
   }
   return all;
 }
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -12,13 +12,13 @@
 
 std::string b(int n) { return std::string("b").append(std::to_string(n)); }
 
-Member backend(const std::string& host, const std::string& health = "ready", Millis born = 0,
+Member backend(const std::string& host, const std::string& health = "ready", Millis started = 0,
                const std::string& dial = "") {
   Member m;
   m.host = host;
   m.dial = dial.empty() ? std::string(host).append(":1") : dial;
   m.health = health;
-  m.born = born;
+  m.started = started;
   return m;
 }
 Entry at(std::uint64_t revision, const Member& member) { return {member, revision, false}; }
