--- a/src/node/affinity_router.cpp
+++ b/src/node/affinity_router.cpp
@@ -81,7 +81,7 @@
   std::uint64_t changes = 0;
   for (const auto& watched : pools_) {
     const std::shared_ptr<Pool> pool = watched.lock();
-    if (!pool || !pool->told()) return;
+    if (!pool || !pool->has_current_list()) return;
     changes += pool->list_changes();
   }
   if (changes == seen_ && loop_.now() - fed_at_ < kWarmEvery) return;
--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -112,7 +112,7 @@
   loop_.cancel(look_);
   if (!pending_) return;
   const std::shared_ptr<RoutingSnapshot> next = pending_->snapshot;
-  const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->told(); };
+  const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->has_current_list(); };
   const auto late = std::find_if(next->pools.begin(), next->pools.end(), waits);
   // Keys have no backend by a fleet admission that has no plan yet.
   const bool planless = next->admission && !next->admission->told();
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -74,7 +74,7 @@
 
   const std::string& name() const { return config_.name; }
   const PoolConfig& config() const { return config_; }
-  bool told() const { return source_->has_current_list(); }  // a list has arrived since the start
+  bool has_current_list() const { return source_->has_current_list(); }  // a list has arrived since the start
   bool pushed() const { return source_->pushed(); }
   // Whether the list stored before the start may be used, however old: health checks confirm it, or lists
   // never expire.
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -20,11 +20,11 @@
   bool known = false;
   bool unusable = false;
   for (const auto& pool : snapshot.pools) {
-    told = told && pool->told();
+    told = told && pool->has_current_list();
     // While discovery is down it learns nothing, so what was known when it went down is all there is.
-    pushed = pushed || (pool->pushed() && !pool->told() && !pool->unreached());
+    pushed = pushed || (pool->pushed() && !pool->has_current_list() && !pool->unreached());
     known = known || pool->backends() > 0;
-    unusable = unusable || (!pool->told() && !pool->may_use_given_list());
+    unusable = unusable || (!pool->has_current_list() && !pool->may_use_given_list());
   }
   if (told) return true;
   const Millis wait = beside     ? waits_.beside
@@ -37,8 +37,9 @@
 void Readiness::log_first(const RoutingSnapshot& snapshot) {
   if (std::exchange(logged_, true)) return;
   for (const auto& pool : snapshot.pools) {
-    spdlog::info("pool {}: ready {:.2f} s after the start, {}", pool->name(), running() / 1000,
-                 pool->told() ? "by a list told since" : "by the list given at the start: none was told");
+    spdlog::info(
+        "pool {}: ready {:.2f} s after the start, {}", pool->name(), running() / 1000,
+        pool->has_current_list() ? "by a list told since" : "by the list given at the start: none was told");
   }
 }
 
