--- a/src/node/affinity_router.cpp
+++ b/src/node/affinity_router.cpp
@@ -186,7 +186,7 @@
   };
   for (const int place : bindings_.call_off(valid(now), now, anywhere)) {
     const std::shared_ptr<Pool> pool = places_[static_cast<std::size_t>(place)].lock();
-    if (pool) pool->call_off(bindings_.request_of(place));
+    if (pool) pool->cancel(bindings_.request_of(place));
   }
   const std::vector<int> waiting = bindings_.waiting();
   for (const int place : waiting) again_(bindings_.request_of(place));
--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -130,7 +130,7 @@
   close(request);
 }
 
-void Pool::call_off(RequestId request) {
+void Pool::cancel(RequestId request) {
   policy_host_.call_off(request, loop_.now());
   if (open_.count(request) == 0) return;
   host_.fail(request, 502);
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -45,7 +45,7 @@
   void request(RequestId request, const RequestInfo& info, std::shared_ptr<const Message> message);
   void gone(RequestId request);  // its client closed the connection
   // Cancels all attempts at a request; if it has no response yet, it fails.
-  void call_off(RequestId request);
+  void cancel(RequestId request);
   // The current state of a backend, cell or zone of this pool.
   std::optional<Seen> see(Unit::Kind kind, const std::string& unit) { return policy_host_.see(kind, unit); }
   std::uint64_t list_changes() const { return policy_host_.endpoints().changes(); }
