--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -125,7 +125,7 @@
   execute(policy_host_.pick(request, info, loop_.now()));
 }
 
-void Pool::gone(RequestId request) {
+void Pool::client_gone(RequestId request) {
   policy_host_.report_client_gone(request, loop_.now());
   close(request);
 }
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -23,7 +23,8 @@
 
 class Pool {
  public:
-  // What a pool needs of the node. Each request ends with serve, refuse or fail, unless gone() came first.
+  // What a pool needs of the node. Each request ends with serve, refuse or fail, unless client_gone() came
+  // first.
   struct Host {
     std::function<void(RequestId, const Message&, std::shared_ptr<net::Flow>)> serve;
     std::function<void(RequestId, Millis wait)> refuse;
@@ -43,7 +44,7 @@
 
   void start();
   void request(RequestId request, const RequestInfo& info, std::shared_ptr<const Message> message);
-  void gone(RequestId request);  // its client closed the connection
+  void client_gone(RequestId request);  // its client closed the connection
   // Cancels all attempts at a request; if it has no response yet, it fails.
   void cancel(RequestId request);
   // The current state of a backend, cell or zone of this pool.
@@ -69,7 +70,9 @@
   }
   double room() const { return policy_host_.room(); }
   // The longest wait that a refusal may advise; 0 = none.
-  Millis most_advice() const { return config_.settings.advise_wait ? config_.settings.max_wait_advice : 0; }
+  Millis max_wait_advice() const {
+    return config_.settings.advise_wait ? config_.settings.max_wait_advice : 0;
+  }
   bool idle() const;  // no request is open and no connection is in use
 
   const std::string& name() const { return config_.name; }
@@ -88,7 +91,7 @@
   std::size_t skipped() const { return policy_host_.skipped(loop_.now()); }
   std::uint64_t written() const { return upstream_->written(); }
   std::size_t backends() const { return policy_host_.backends(); }
-  bool anybody_ready() const { return policy_host_.ready() > 0; }
+  bool any_ready() const { return policy_host_.ready() > 0; }
   std::size_t open_requests() const { return policy_host_.open_requests(); }
   std::size_t connections() const { return upstream_->connections(); }
   std::size_t probing() const { return upstream_->probing(); }
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -43,7 +43,7 @@
                      (found && found->keyed && keys->must(*found));
   const int to = bound ? request_route.pool
                        : routing::standing_in(snapshot.fallbacks, request_route.pool, [&snapshot](int n) {
-                           return snapshot.pools[static_cast<std::size_t>(n)]->anybody_ready();
+                           return snapshot.pools[static_cast<std::size_t>(n)]->any_ready();
                          });
   if (to != request_route.pool) ++stood_in_;
   const auto n = static_cast<std::size_t>(to);
@@ -52,7 +52,7 @@
     admission->room(snapshot.pools[n]->room());
     const auto said =
         admission->admit({to, request_route.route, request_route.request_class, message->value("x-tenant-id"),
-                          admission->client_of(*message), snapshot.pools[n]->most_advice()},
+                          admission->client_of(*message), snapshot.pools[n]->max_wait_advice()},
                          request_class.aim);
     if (said.refused != 0) {
       return refuse_(request, {said.refused, said.cause, said.why, said.come_back});
@@ -75,7 +75,7 @@
       *with.waits = {std::move(info), std::move(message), said.place};
       return;
     case affinity::Go::kRefuse: {
-      const Millis come_back = with.pool->most_advice();
+      const Millis come_back = with.pool->max_wait_advice();
       close(request, FleetAdmission::End::kFailed);
       return refuse_(request, {503, cause_of(said.why), kWhyKey, come_back});
     }
@@ -117,7 +117,7 @@
   if (it == with_.end()) return;
   const std::shared_ptr<Pool> pool = it->second.waits ? nullptr : it->second.pool;
   close(request, FleetAdmission::End::kGone);
-  if (pool) pool->gone(request);
+  if (pool) pool->client_gone(request);
 }
 
 void RequestTable::close(RequestId request, FleetAdmission::End end) {
