--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -126,13 +126,13 @@
   pending_.reset();
   for (std::size_t n = 0; n < told.size(); ++n) {
     next->pools[n]->follow(told[n]);
-    next->pools[n]->rejoin();
+    next->pools[n]->restore();
   }
   admissions_.go_by(*snapshot_, *next);
   snapshot_ = next;
   host_.in_force(next);
   for (const auto& pool : pools_) {
-    if (std::find(next->pools.begin(), next->pools.end(), pool) == next->pools.end()) pool->leave();
+    if (std::find(next->pools.begin(), next->pools.end(), pool) == next->pools.end()) pool->retire();
   }
   spdlog::info("generation {} in force: {} pools, {} routes", next->number, next->pools.size(),
                next->routes ? next->routes->routes.size() : 0);
--- a/src/node/pool.h
+++ b/src/node/pool.h
@@ -62,8 +62,8 @@
   std::vector<int> adopt(const PoolConfig& config);
   // The pool is no longer configured: no new requests come and probes stop; open requests and list updates go
   // on.
-  void leave() { retired_ = true; }
-  void rejoin() { retired_ = false; }
+  void retire() { retired_ = true; }
+  void restore() { retired_ = false; }
   // Sets the fleet's limit on retries.
   void bound_attempts(PolicyHost::RetryAllowance retry_allowance) {
     policy_host_.bound_attempts(std::move(retry_allowance), loop_.now());
