--- a/src/node/backend_connection.h
+++ b/src/node/backend_connection.h
@@ -44,7 +44,7 @@
   // Whether the whole request was written, so that the backend may have begun to process it.
   bool written() const { return sent && stream.flushed() && !sending_body(); }
 
-  // Writes the request if the guard allows it. If unread input is pending the job ends as `if_not_quiet`.
+  // Writes the request if the guard allows it. If unread input is pending the job ends as `if_unread`.
   void write_request(Ending if_unread);
   // A streamed request body is still being sent.
   bool sending_body() const { return body && !body_sent; }
