--- a/src/membership/registry/client.h
+++ b/src/membership/registry/client.h
@@ -1,6 +1,5 @@
-// A registry followed over sockets: the follower's questions asked, its answers brought to the view. Owns the
-// two calls, the one at hand and the check beside a watch. It must never decide what to ask, when, or what an
-// answer means.
+// Runs a follower over sockets: sends its calls and passes the responses on. Owns two exchanges, the current
+// call and the check beside a watch. It decides neither what to call and when, nor what a response means.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -29,33 +28,33 @@
 class Client {
  public:
   struct Listener {
-    std::function<void(const Update&)> changed;  // only where there are changes
-    std::function<void()> synced;                // the first whole list is there
+    std::function<void(const Update&)> changed;  // only if there are changes
+    std::function<void()> synced;                // the first whole list has arrived
     std::function<void(const std::string&)> trouble;
   };
 
-  // Throws std::runtime_error where keys are of no use.
+  // Throws std::runtime_error if the TLS keys are unusable.
   Client(net::Loop& loop, const Spec& spec, View& view, int source, std::uint64_t seed, Listener listener,
          const FollowerOptions& options = {});
   ~Client();
 
-  void start() { go_on(); }
+  void start() { schedule_call(); }
   bool synced() const { return follower_.synced(); }
   const Follower& follower() const { return follower_; }
 
  private:
-  void go_on();
-  void ask();
-  void answered(int status, std::string body);
-  void part(std::string text);
-  void ended(net::Ending ending);
-  void leave();
-  void take(const Update& update);
-  void plan_check();
-  void check();
-  void plan_tick();
+  void schedule_call();
+  void send_call();
+  void on_answered(int status, std::string body);
+  void on_part(std::string text);
+  void on_ended(net::Ending ending);
+  void close_call();
+  void apply(const Update& update);
+  void schedule_check();
+  void run_check();
+  void schedule_tick();
 
-  std::shared_ptr<const net::TlsContext> keys();
+  std::shared_ptr<const net::TlsContext> load_tls_keys();
 
   net::Loop& loop_;
   const Spec spec_;
@@ -67,12 +66,12 @@
   std::unique_ptr<Exchange> call_;
   int call_endpoint_ = -1;
   std::unique_ptr<Exchange> check_;
-  std::string lines_;
+  std::string buffer_;
   std::size_t searched_ = 0;
-  bool told_synced_ = false;
-  net::Loop::TimerId ask_at_ = 0;
-  net::Loop::TimerId check_at_ = 0;
-  net::Loop::TimerId tick_at_ = 0;
+  bool reported_synced_ = false;
+  net::Loop::TimerId call_timer_ = 0;
+  net::Loop::TimerId check_timer_ = 0;
+  net::Loop::TimerId tick_timer_ = 0;
 };
 
 }  // namespace shorelead::membership::registry
--- a/src/node/descriptor_room.cpp
+++ b/src/node/descriptor_room.cpp
@@ -7,13 +7,15 @@
 
 namespace shorelead::node {
 
-// Guards against a system's limit under the stated one: idle clients took all up to it, and then neither
-// discovery nor a backend could be called.
-int allowed_descriptors(int stated) {
+// Without this check, where the system's limit is below the configured one, idle clients could take all
+// descriptors and neither discovery nor a backend could be called.
+int allowed_descriptors(int configured) {
   rlimit limit{};
-  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= static_cast<rlim_t>(stated)) return stated;
-  spdlog::warn("{} sockets are stated, and the system allows this process {} descriptors: these count",
-               stated, limit.rlim_cur);
+  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= static_cast<rlim_t>(configured))
+    return configured;
+  spdlog::warn(
+      "{} sockets are configured, but the system allows this process only {} descriptors: using these",
+      configured, limit.rlim_cur);
   return static_cast<int>(limit.rlim_cur);
 }
 
@@ -30,16 +32,16 @@
 bool DescriptorRoom::evict_of_pools() {
   Pool* oldest = nullptr;
   for (const auto& pool : pools_) {
-    const Millis since = pool->unused_since();
-    if (since > 0 && (oldest == nullptr || since < oldest->unused_since())) oldest = pool.get();
+    const Millis since = pool->oldest_idle_since();
+    if (since > 0 && (oldest == nullptr || since < oldest->oldest_idle_since())) oldest = pool.get();
   }
   return oldest != nullptr && oldest->evict_idle();
 }
 
-// Busy clients may take all the others: a request for which no descriptor is left is refused at once, which
-// makes its client idle.
+// Clients with open requests may hold all descriptors: a request for which none is left is refused at once,
+// which makes its client's connection idle.
 bool DescriptorRoom::make(limits::Purpose purpose, Front& front) {
-  most_seen_ = std::max(most_seen_, Stream::open_count());
+  max_seen_ = std::max(max_seen_, Stream::open_count());
   while (true) {
     switch (rules().step(purpose, counts())) {
       case limits::Step::kOpen:
--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -115,7 +115,7 @@
   loop_.cancel(activation_timer_);
   if (!pending_) return;
   const std::shared_ptr<RoutingSnapshot> next = pending_->snapshot;
-  const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->told(); };
+  const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->has_current_list(); };
   const auto without_list = std::find_if(next->pools.begin(), next->pools.end(), waits);
   // Without a plan, the fleet admission has no backend for a key.
   const bool without_plan = next->admission && !next->admission->plan_settled();
@@ -130,13 +130,13 @@
   pending_.reset();
   for (std::size_t n = 0; n < pool_configs.size(); ++n) {
     next->pools[n]->follow(pool_configs[n]);
-    next->pools[n]->rejoin();
+    next->pools[n]->restore();
   }
   admissions_.switch_to(*snapshot_, *next);
   snapshot_ = next;
   host_.on_activated(next);
   for (const auto& pool : pools_) {
-    if (std::find(next->pools.begin(), next->pools.end(), pool) == next->pools.end()) pool->leave();
+    if (std::find(next->pools.begin(), next->pools.end(), pool) == next->pools.end()) pool->retire();
   }
   spdlog::info("generation {} in force: {} pools, {} routes", next->number, next->pools.size(),
                next->routes ? next->routes->routes.size() : 0);
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -20,11 +20,11 @@
   bool known = false;
   bool unusable = false;
   for (const auto& pool : snapshot.pools) {
-    has_list = has_list && pool->told();
+    has_list = has_list && pool->has_current_list();
     // While discovery is down it has no news, so waiting for a pushed list gains nothing.
-    pushed = pushed || (pool->pushed() && !pool->told() && !pool->unreached());
+    pushed = pushed || (pool->pushed() && !pool->has_current_list() && !pool->unreached());
     known = known || pool->backends() > 0;
-    unusable = unusable || (!pool->told() && !pool->may_use_given_list());
+    unusable = unusable || (!pool->has_current_list() && !pool->may_use_given_list());
   }
   if (has_list) return true;
   const Millis wait = with_predecessor ? timeouts_.with_predecessor
@@ -38,8 +38,8 @@
   if (std::exchange(logged_ready_, true)) return;
   for (const auto& pool : snapshot.pools) {
     spdlog::info("pool {}: ready {:.2f} s after the start, {}", pool->name(), uptime() / 1000,
-                 pool->told() ? "with a list from discovery"
-                              : "with the list given at the start, as discovery sent none");
+                 pool->has_current_list() ? "with a list from discovery"
+                                          : "with the list given at the start, as discovery sent none");
   }
 }
 
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -45,7 +45,7 @@
                      (found && found->keyed && affinity_router->must(*found));
   const int target = bound ? request_route.pool
                            : routing::standing_in(snapshot.fallbacks, request_route.pool, [&snapshot](int n) {
-                               return snapshot.pools[static_cast<std::size_t>(n)]->anybody_ready();
+                               return snapshot.pools[static_cast<std::size_t>(n)]->any_ready();
                              });
   if (target != request_route.pool) ++stood_in_;
   const auto n = static_cast<std::size_t>(target);
@@ -54,7 +54,7 @@
     admission->report_spare_capacity(snapshot.pools[n]->room());
     const auto verdict = admission->admit(
         {target, request_route.route, request_route.request_class, message->value("x-tenant-id"),
-         admission->client_of(*message), snapshot.pools[n]->most_advice()},
+         admission->client_of(*message), snapshot.pools[n]->max_wait_advice()},
         request_class.aim);
     if (verdict.refused != 0) {
       return refuse_(request, {verdict.refused, verdict.cause, verdict.proxy_status, verdict.retry_after});
@@ -77,7 +77,7 @@
       *entry.waiting = {std::move(info), std::move(message), decision.place};
       return;
     case affinity::Go::kRefuse: {
-      const Millis retry_after = entry.pool->most_advice();
+      const Millis retry_after = entry.pool->max_wait_advice();
       close(request, FleetAdmission::End::kFailed);
       return refuse_(request, {503, cause_of(decision.why), kProxyStatusAffinity, retry_after});
     }
@@ -122,7 +122,7 @@
   if (it == entries_.end()) return;
   const std::shared_ptr<Pool> pool = it->second.waiting ? nullptr : it->second.pool;
   close(request, FleetAdmission::End::kClientGone);
-  if (pool) pool->gone(request);
+  if (pool) pool->client_gone(request);
 }
 
 void RequestTable::close(RequestId request, FleetAdmission::End end) {
--- a/tests/crossings/list_answers_test.cpp
+++ b/tests/crossings/list_answers_test.cpp
@@ -1,6 +1,6 @@
-// How a watch on discovery may go wrong: where in its answer the connection falls silent, is reset or ends,
-// and in what pieces the answer comes. The peer plays each by steps; the node's waits are set so that only
-// the one at hand can run out.
+// How a watch on discovery fails: where in its response the connection falls silent, is reset or ends, and in
+// which pieces the response arrives. The peer is scripted step by step; the timeouts are set so that only the
+// one under test can expire.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -32,16 +32,16 @@
 
 class Answers {
  public:
-  explicit Answers(const Discovery::Waits& waits = {kLong, kLong, kLong})
+  explicit Answers(const Discovery::Timeouts& timeouts = {kLong, kLong, kLong})
       : discovery(loop, Poco::Net::SocketAddress("127.0.0.1", peer.port()), 5,
                   {[this](const List& list) { lists.push_back(list); },
                    [this](Ending how) {
                      endings.push_back(how);
                      loop.stop();
                    }},
-                  waits) {}
+                  timeouts) {}
 
-  // The pieces are written one after the other, each once the node has read what was before it.
+  // Writes the pieces one after another, each once the node has read the one before.
   void play(const std::vector<std::string>& pieces, Then then) {
     discovery.watch();
     line = peer.accept();
@@ -81,7 +81,7 @@
   std::uint64_t version;
 };
 
-TEST(ListAnswers, WhereverTheyBreakOffTheWatchEndsOnceAndWhatCameWholeCounts) {
+TEST(ListAnswers, CutResponseEndsTheWatchOnceAndWholeListsApply) {
   const std::string whole = chunk(kWhole + "\n");
   const std::string half = whole.substr(0, whole.size() / 2);
   const Case cases[] = {
@@ -150,20 +150,20 @@
        5},
   };
   for (const Case& one : cases) {
-    Answers a(one.ending == Ending::kTimeout  ? Discovery::Waits{kLong, kSoon, kLong}
-              : one.ending == Ending::kSilent ? Discovery::Waits{kLong, kLong, kSoon}
-                                              : Discovery::Waits{kLong, kLong, kLong});
+    Answers a(one.ending == Ending::kTimeout  ? Discovery::Timeouts{kLong, kSoon, kLong}
+              : one.ending == Ending::kSilent ? Discovery::Timeouts{kLong, kLong, kSoon}
+                                              : Discovery::Timeouts{kLong, kLong, kLong});
     a.play(one.pieces, one.then);
     EXPECT_EQ(a.endings, std::vector<Ending>{one.ending}) << one.what;
     EXPECT_EQ(a.lists.size(), one.lists) << one.what;
     EXPECT_EQ(a.discovery.version(), one.version) << one.what;
-    EXPECT_EQ(a.discovery.listed(), one.lists > 0) << one.what;
+    EXPECT_EQ(a.discovery.has_list(), one.lists > 0) << one.what;
     EXPECT_FALSE(a.discovery.watching()) << one.what;
   }
 }
 
-// Guards against a head that trickles in and holds the call for as long as it likes.
-TEST(ListAnswers, AHeadThatTricklesInIsNoSignOfLife) {
+// A head that arrives slowly must not keep the call open indefinitely.
+TEST(ListAnswers, SlowHeadDoesNotKeepTheCallOpen) {
   std::vector<std::string> bytes;
   for (int n = 0; n < 2000; ++n) bytes.emplace_back(n == 0 ? "HTTP/1.1 200 OK\r\nX: " : "x");
   Answers a({kLong, kSoon, kLong});
@@ -171,7 +171,7 @@
   EXPECT_EQ(a.endings, std::vector<Ending>{Ending::kTimeout});
 }
 
-TEST(ListAnswers, AnIndentedListInPiecesAtEveryByteIsTakenIn) {
+TEST(ListAnswers, IndentedListSplitAtEveryByteIsApplied) {
   const std::string list =
       "{\n  \"seq\": 6,\n  \"whole\": true,\n  \"hosts\": [\n    {\n      \"host\": \"s-1\",\n"
       "      \"dial\": \"127.0.0.9:81\",\n      \"health\": \"ready\"\n    }\n  ]\n}\n";
@@ -188,8 +188,8 @@
   EXPECT_EQ(a.endings, std::vector<Ending>{Ending::kPeerClosed});
 }
 
-// Guards against a list that is read in slices and dropped, call after call, as its answer has ended.
-TEST(ListAnswers, ALongListCountsAlsoWhereItsAnswerHasEnded) {
+// A list parsed in slices must not be dropped, call after call, because its response has ended.
+TEST(ListAnswers, LongListIsAppliedAfterItsResponseEnded) {
   std::string list = R"({"seq":6,"whole":true,"hosts":[)";
   for (int n = 0; n < 3000; ++n) {
     if (n > 0) list += ',';
@@ -202,7 +202,7 @@
   EXPECT_EQ(a.lists[0].backends.size(), 3000U);
 }
 
-TEST(ListAnswers, NobodyThereIsARefusal) {
+TEST(ListAnswers, ClosedPortEndsAsRefused) {
   Answers a;
   a.peer.close();
   a.discovery.watch();
@@ -210,8 +210,8 @@
   EXPECT_EQ(a.endings, std::vector<Ending>{Ending::kRefused});
 }
 
-// Changes with lower numbers are of another discovery: on top of this list they would be wrong for good.
-TEST(ListAnswers, ChangesNumberedLowerLeadToTheWholeList) {
+// Changes of a lower version come from another discovery: applied to this list they would be wrong for good.
+TEST(ListAnswers, ChangesOfALowerVersionFetchTheWholeList) {
   Answers a;
   a.play({kHead, chunk("{\"seq\":3,\"whole\":false,\"hosts\":[]}\n")}, Then::kSilence);
   EXPECT_EQ(a.endings, std::vector<Ending>{Ending::kMalformed});
@@ -219,9 +219,9 @@
   EXPECT_EQ(a.discovery.version(), 0U) << "from which the next watch asks";
 }
 
-// What the old discovery still writes after a move does not count, and the watch there is left without a
-// word.
-TEST(ListAnswers, AMoveInTheMiddleOfAnAnswerLeavesItAlone) {
+// After an address change whatever the old discovery still writes is ignored, and its watch is closed without
+// a report.
+TEST(ListAnswers, AddressChangeDuringAResponseDropsTheOldWatch) {
   Peer other;
   Answers a;
   std::optional<Line> next;
@@ -231,8 +231,8 @@
     a.line->request();
     a.line->write(kHead + chunk(kWhole + "\n").substr(0, 30));
     a.loop.after(1, [&] {
-      a.line->write(chunk(kWhole + "\n").substr(30));
-      a.discovery.move(Poco::Net::SocketAddress("127.0.0.1", other.port()));  // before that was read
+      a.line->write(chunk(kWhole + "\n").substr(30));  // not read yet when the address changes
+      a.discovery.change_address(Poco::Net::SocketAddress("127.0.0.1", other.port()));
       next = other.accept();
       once_readable(a.loop, *next, [&] {
         EXPECT_TRUE(holds(next->request(), "from=5 "));
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -1,4 +1,4 @@
-// The view in simulated time: hard cases, and random histories (cuts, compactions, lies, restarts) by record.
+// The membership view in simulated time: single cases, and random histories compared with a plain record.
 #include "membership/view.h"
 
 #include <gtest/gtest.h>
@@ -12,22 +12,22 @@
 
 std::string b(int n) { return std::string("b").append(std::to_string(n)); }
 
-Member backend(const std::string& host, const std::string& health = "ready", Millis born = 0,
+Member backend(const std::string& host, const std::string& health = "ready", Millis started = 0,
                const std::string& dial = "") {
   Member m;
   m.host = host;
   m.dial = dial.empty() ? std::string(host).append(":1") : dial;
   m.health = health;
-  m.born = born;
+  m.started = started;
   return m;
 }
 Entry at(std::uint64_t revision, const Member& member) { return {member, revision, false}; }
-View::Change to(std::uint64_t revision, const Member& member) { return {{member, revision, false}, false}; }
+View::Change put(std::uint64_t revision, const Member& member) { return {{member, revision, false}, false}; }
 View::Change lost(std::uint64_t revision, const std::string& host) {
   return {{backend(host, "gone"), revision, false}, true};
 }
 
-std::string said(const Update& update) {
+std::string text(const Update& update) {
   std::string all;
   for (const Member& m : update.changes)
     all.append(all.empty() ? "" : " ").append(m.host).append("=").append(m.health);
@@ -40,46 +40,45 @@
   return all;
 }
 
-// The watched revision was compacted away: what the snapshot has no longer is a loss, what drained in between
-// drains, and one that came back under its old name is cold again.
-TEST(View, ASnapshotAfterAGapIsADifference) {
+// After a compaction a snapshot shows losses, drains and a backend that returned cold under its old name.
+TEST(View, SnapshotAfterAGapYieldsOnlyTheDifference) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
   std::vector<Entry> entries = ten(2);
   entries.push_back(at(8, backend("b1", "ready", 900)));
   entries[0] = at(7, backend("b2", "draining"));
-  EXPECT_EQ(said(view.snapshot(0, 7, 9, entries, 100)), "b1=ready b2=draining b0=gone");
+  EXPECT_EQ(text(view.snapshot(0, 7, 9, entries, 100)), "b1=ready b2=draining b0=gone");
   EXPECT_EQ(view.ready(), 8U);
 }
 
 TEST(View, OlderNewsNeverOverwritesNewer) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
-  view.change(0, {to(9, backend("b1", "draining"))}, 10);
-  EXPECT_EQ(said(view.change(0, {to(8, backend("b1"))}, 20)), "");
-  EXPECT_EQ(said(view.change(0, {to(9, backend("b1"))}, 20)), "");  // the same once more
+  view.change(0, {put(9, backend("b1", "draining"))}, 10);
+  EXPECT_EQ(text(view.change(0, {put(8, backend("b1"))}, 20)), "");
+  EXPECT_EQ(text(view.change(0, {put(9, backend("b1"))}, 20)), "");  // the same once more
   const Update stale = view.snapshot(0, 7, 8, ten(), 30);
   EXPECT_TRUE(stale.behind);
-  EXPECT_EQ(said(stale), "");
+  EXPECT_EQ(text(stale), "");
   view.change(0, {lost(10, "b1")}, 40);
-  EXPECT_EQ(said(view.change(0, {to(9, backend("b1"))}, 50)), "");  // a tombstone knows its revision
-  EXPECT_EQ(said(view.change(0, {to(11, backend("b1", "ready", 60))}, 60)), "b1=ready");
+  EXPECT_EQ(text(view.change(0, {put(9, backend("b1"))}, 50)), "");  // the tombstone has a newer revision
+  EXPECT_EQ(text(view.change(0, {put(11, backend("b1", "ready", 60))}, 60)), "b1=ready");
 }
 
-// An empty or halved answer is held and asked for again; it counts only once it has lasted.
-TEST(View, ALossBeyondTheFloorIsHeld) {
+// An empty or halved snapshot is held and fetched again; the loss takes effect only once it has lasted.
+TEST(View, LossBeyondTheFloorIsHeld) {
   Options options;
   View view(options);
   view.snapshot(0, 7, 5, ten(), 0);
   Update update = view.snapshot(0, 7, 6, {}, 1000);
-  EXPECT_EQ(said(update), "");
-  EXPECT_TRUE(update.ask_again);
+  EXPECT_EQ(text(update), "");
+  EXPECT_TRUE(update.refetch);
   EXPECT_EQ(view.held(), 10U);
   EXPECT_EQ(view.next(), 1000 + options.ask_every);
-  EXPECT_TRUE(view.tick(*view.next()).ask_again);
-  EXPECT_EQ(said(view.snapshot(0, 7, 6, {}, 1000 + options.hold - 1)), "");
-  // The truth comes back, with the revisions of before.
-  EXPECT_EQ(said(view.snapshot(0, 7, 7, ten(), 9000)), "");
+  EXPECT_TRUE(view.tick(*view.next()).refetch);
+  EXPECT_EQ(text(view.snapshot(0, 7, 6, {}, 1000 + options.hold - 1)), "");
+  // The correct list returns, with the old revisions.
+  EXPECT_EQ(text(view.snapshot(0, 7, 7, ten(), 9000)), "");
   EXPECT_EQ(view.held(), 0U);
   EXPECT_EQ(view.counters().restored, 10U);
   view.snapshot(0, 7, 8, {}, 20000);
@@ -88,29 +87,30 @@
   EXPECT_EQ(view.size(), 0U);
 }
 
-// Leases that all expire at once, because the registry was away, are held as well: five of ten at most go at
-// once. But a drain is believed whatever is held, and who is told to be there again is there.
-TEST(View, LossesInAWindowCountTogetherAndDrainsAlwaysCount) {
+// Leases that all expire at once while the registry is down are held too: at most five of ten take effect at
+// once. But drains take effect whatever is held, and a held backend that is listed again is restored.
+TEST(View, LossesInAWindowAddUpAndDrainsAlwaysTakeEffect) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
   std::string gone;
   for (int n = 0; n < 8; ++n) {
-    gone += said(view.change(0, {lost(static_cast<std::uint64_t>(10 + n), b(n))}, 100 + n)) + ";";
+    gone += text(view.change(0, {lost(static_cast<std::uint64_t>(10 + n), b(n))}, 100 + n)) + ";";
   }
   EXPECT_EQ(gone, "b0=gone;b1=gone;b2=gone;b3=gone;b4=gone;;;;");
   EXPECT_EQ(view.held(), 3U);
-  EXPECT_EQ(said(view.change(0, {to(30, backend("b8", "draining")), to(31, backend("b9", "draining"))}, 200)),
-            "b8=draining b9=draining");
-  EXPECT_EQ(said(view.change(0, {to(32, backend("b5", "draining"))}, 210)), "b5=draining");
-  EXPECT_EQ(said(view.change(0, {to(33, backend("b6"))}, 220)), "");  // it was shown ready all along
+  EXPECT_EQ(
+      text(view.change(0, {put(30, backend("b8", "draining")), put(31, backend("b9", "draining"))}, 200)),
+      "b8=draining b9=draining");
+  EXPECT_EQ(text(view.change(0, {put(32, backend("b5", "draining"))}, 210)), "b5=draining");
+  EXPECT_EQ(text(view.change(0, {put(33, backend("b6"))}, 220)), "");  // it was published as ready all along
   EXPECT_EQ(view.held(), 1U);
-  EXPECT_EQ(said(view.believe(230)), "b7=gone");
+  EXPECT_EQ(text(view.believe(230)), "b7=gone");
 }
 
-TEST(View, FewBackendsHaveNoFloorAndZeroIsNone) {
+TEST(View, FewBackendsOrAZeroFloorHoldNothing) {
   View few;
   few.snapshot(0, 7, 5, {at(1, backend("a")), at(1, backend("b"))}, 0);
-  EXPECT_EQ(said(few.snapshot(0, 7, 6, {}, 10)), "a=gone b=gone");
+  EXPECT_EQ(text(few.snapshot(0, 7, 6, {}, 10)), "a=gone b=gone");
   Options options;
   options.floor = 0;
   View none(options);
@@ -118,96 +118,97 @@
   EXPECT_EQ(none.snapshot(0, 7, 6, {}, 10).changes.size(), 10U);
 }
 
-// A registry that restarts in the middle of a deploy with an older history: another epoch. Whoever was told
-// draining or gone stays so, unless born later, or changed in the new epoch.
-TEST(View, ANewEpochBringsNobodyBack) {
+// A registry restarts with an older history in the middle of a deployment, which is a new epoch. Backends
+// that were draining or gone stay so unless they started later or are changed in the new epoch.
+TEST(View, NewEpochDoesNotBringBackDrainedBackends) {
   View view;
   view.snapshot(0, 7, 50, ten(), 0);
   view.change(0,
-              {to(51, backend("b0", "draining")), to(52, backend("b1", "draining")),
-               to(54, backend("b2", "draining"))},
+              {put(51, backend("b0", "draining")), put(52, backend("b1", "draining")),
+               put(54, backend("b2", "draining"))},
               10);
   view.change(0, {lost(53, "b1")}, 20);
   std::vector<Entry> old = ten();
   old[2] = at(1, backend("b2", "ready", 15));
-  EXPECT_EQ(said(view.snapshot(0, 8, 40, old, 100)), "b2=ready");
+  EXPECT_EQ(text(view.snapshot(0, 8, 40, old, 100)), "b2=ready");
   EXPECT_EQ(view.counters().kept_out, 2U);
-  EXPECT_EQ(said(view.snapshot(0, 8, 41, old, 200)), "");
-  EXPECT_EQ(said(view.change(0, {to(42, backend("b0"))}, 300)), "b0=ready");
+  EXPECT_EQ(text(view.snapshot(0, 8, 41, old, 200)), "");
+  EXPECT_EQ(text(view.change(0, {put(42, backend("b0"))}, 300)), "b0=ready");
 }
 
-// An address that passes to a new id: the old one gets nothing more, though its source still lists it.
-TEST(View, AnAddressAnswersForOneBackend) {
+// An address passes to a new ID: the old one gets nothing more, though its source still lists it.
+TEST(View, AddressBelongsToOneBackend) {
   View view;
   view.snapshot(0, 7, 5, {at(1, backend("old", "ready", 10, "x:1")), at(2, backend("other"))}, 0);
-  EXPECT_EQ(said(view.change(0, {to(6, backend("new", "ready", 500, "x:1"))}, 10)), "old=gone new=ready");
-  EXPECT_EQ(said(view.change(0, {to(7, backend("older", "ready", 5, "x:1"))}, 20)), "");
+  EXPECT_EQ(text(view.change(0, {put(6, backend("new", "ready", 500, "x:1"))}, 10)), "old=gone new=ready");
+  EXPECT_EQ(text(view.change(0, {put(7, backend("older", "ready", 5, "x:1"))}, 20)), "");
   EXPECT_EQ(view.ready(), 2U);
 }
 
-// A backend that comes and goes is told draining for longer and longer; each drain counts at once.
-TEST(View, AFlappingBackendWaits) {
+// A backend that keeps coming and going is published as draining for growing times; drains act at once.
+TEST(View, FlappingBackendReturnsWithADelay) {
   Options options;
   options.flaps = 2;
   View view(options);
   view.snapshot(0, 7, 5, ten(), 0);
   std::uint64_t revision = 10;
   const auto flap = [&](Millis now) {
-    const std::string drained = said(view.change(0, {to(revision++, backend("b3", "draining"))}, now));
-    return drained + " " + said(view.change(0, {to(revision++, backend("b3"))}, now + 1));
+    const std::string drained = text(view.change(0, {put(revision++, backend("b3", "draining"))}, now));
+    return drained + " " + text(view.change(0, {put(revision++, backend("b3"))}, now + 1));
   };
   EXPECT_EQ(flap(100), "b3=draining b3=ready");
   EXPECT_EQ(flap(200), "b3=draining b3=ready");
   EXPECT_EQ(flap(300), "b3=draining ");
   EXPECT_EQ(view.next(), 301 + options.flap_wait);
-  EXPECT_EQ(said(view.tick(300 + options.flap_wait)), "");
-  EXPECT_EQ(said(view.tick(301 + options.flap_wait)), "b3=ready");
+  EXPECT_EQ(text(view.tick(300 + options.flap_wait)), "");
+  EXPECT_EQ(text(view.tick(301 + options.flap_wait)), "b3=ready");
 }
 
 // The first source that names a backend describes it; a drain by any counts, and no other source undoes it.
-TEST(View, SourcesByPrecedence) {
+TEST(View, FirstSourceDescribesAndAnySourceDrains) {
   View view({}, 2);
   Member far = backend("a");
   far.site = "far";
   Member near = backend("a");
   near.site = "near";
   view.snapshot(1, 1, 1, {at(1, far), at(1, backend("only"))}, 0);
-  EXPECT_EQ(said(view.snapshot(0, 9, 3, {at(1, near)}, 10)), "a=ready");
+  EXPECT_EQ(text(view.snapshot(0, 9, 3, {at(1, near)}, 10)), "a=ready");
   EXPECT_EQ(view.members()[0].site, "near");
-  EXPECT_EQ(said(view.change(1, {to(2, backend("a", "draining"))}, 20)), "a=draining");
-  EXPECT_EQ(said(view.change(1, {to(3, backend("a"))}, 30)), "a=ready");
-  view.change(0, {to(4, backend("a", "draining"))}, 40);
-  EXPECT_EQ(said(view.change(0, {lost(5, "a")}, 50)), "a=gone");
-  EXPECT_EQ(said(view.change(1, {to(4, backend("a"))}, 60)), "");
+  EXPECT_EQ(text(view.change(1, {put(2, backend("a", "draining"))}, 20)), "a=draining");
+  EXPECT_EQ(text(view.change(1, {put(3, backend("a"))}, 30)), "a=ready");
+  view.change(0, {put(4, backend("a", "draining"))}, 40);
+  EXPECT_EQ(text(view.change(0, {lost(5, "a")}, 50)), "a=gone");
+  EXPECT_EQ(text(view.change(1, {put(4, backend("a"))}, 60)), "");
 }
 
-TEST(View, AnUnreadableEntryLeavesTheBackendAsItWas) {
+TEST(View, UnreadableEntryLeavesTheBackendUnchanged) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
   std::vector<Entry> entries = ten();
   entries[4].unreadable = true;
   entries[4].revision = 6;
-  EXPECT_EQ(said(view.snapshot(0, 7, 6, entries, 10)), "");
+  EXPECT_EQ(text(view.snapshot(0, 7, 6, entries, 10)), "");
   EXPECT_EQ(view.ready(), 10U);
 }
 
 // ---- random histories ----
 
-// Every backend's last change in the registry, and what a client was told: drains not overturned must count.
-RC_GTEST_PROP(ViewModel, ConvergesMissesNoDrainAndResurrectsNobody, ()) {
+// Compares with each backend's last change in the registry and with what was delivered. No drain that newer
+// news has not overturned may be missed.
+RC_GTEST_PROP(ViewModel, ConvergesWithoutMissingADrain, ()) {
   Options options;
   options.floor = *rc::gen::element(0.0, 0.5);
   options.flaps = 0;
   View view(options);
-  std::map<std::string, Entry> truth;          // as the registry has it
-  std::vector<std::vector<View::Change>> log;  // by revision, from 1; what compaction has not taken yet
+  std::map<std::string, Entry> truth;          // as in the registry
+  std::vector<std::vector<View::Change>> log;  // by revision, from 1; those not yet compacted
   std::uint64_t revision = 0;
   std::uint64_t compacted = 0;
   std::uint64_t delivered = 0;
   std::uint64_t highest = 0;
   bool watching = false;
   Millis now = 0;
-  std::map<std::string, std::string> shown;  // what the changes add up to
+  std::map<std::string, std::string> shown;  // sum of the changes
   const auto take = [&](const Update& update) {
     for (const Member& m : update.changes) {
       if (m.health == "gone") {
@@ -216,7 +217,7 @@
         shown[m.host] = m.health;
       }
     }
-    // Never shown ready, by what was delivered, where the registry had it draining or gone by its own word.
+    // The revision never goes back.
     RC_ASSERT(view.revision(0) >= highest);
     highest = view.revision(0);
   };
@@ -230,7 +231,7 @@
     delivered = revision;
     watching = true;
   };
-  snapshot();  // whoever follows a source begins with one
+  snapshot();  // every source starts with a snapshot
   const int steps = *rc::gen::inRange(1, 120);
   for (int n = 0; n < steps; ++n) {
     now += *rc::gen::inRange(1, 400);
@@ -239,7 +240,7 @@
       case 0:
       case 1:
       case 2:
-      case 3: {  // something changes
+      case 3: {  // a change
         ++revision;
         const auto known = truth.find(host);
         const int what = *rc::gen::inRange(0, 4);
@@ -281,7 +282,7 @@
           snapshot();
         }
         break;
-      default:  // a stale member answers, or one lies with nothing
+      default:  // a stale member answers with an empty list, or time passes
         if (*rc::gen::arbitrary<bool>() && delivered > 0) {
           const Update update = view.snapshot(0, 1, delivered - 1, {}, now);
           RC_ASSERT(update.behind);
@@ -291,7 +292,7 @@
         }
     }
   }
-  // Quiet at last: one snapshot, and another once what was held may be believed.
+  // No more faults: one snapshot, and another after the hold time.
   snapshot();
   now += options.hold;
   snapshot();
@@ -304,9 +305,8 @@
   RC_ASSERT(view.size() == wanted.size());
 }
 
-// Across epochs: registries that restart with any older history bring nobody back that was told draining or
-// gone by its own word, however they mix. Only a later birth or a change in the new epoch does.
-RC_GTEST_PROP(ViewModel, NoEpochBringsBackWhoWasToldToLeave, ()) {
+// A backend that was draining or gone on its own account returns only if started later or changed since.
+RC_GTEST_PROP(ViewModel, NoEpochBringsBackDrainedBackends, ()) {
   Options options;
   options.floor = 0;
   options.flaps = 0;
@@ -322,12 +322,12 @@
     const int what = *rc::gen::inRange(0, 4);
     Update update;
     if (what == 0) {
-      update = view.change(0, {to(++revision, backend(host, "draining"))}, now);
+      update = view.change(0, {put(++revision, backend(host, "draining"))}, now);
       left.insert(host);
     } else if (what == 1) {
       update = view.change(0, {lost(++revision, host)}, now);
     } else if (what == 2) {
-      update = view.change(0, {to(++revision, backend(host))}, now);
+      update = view.change(0, {put(++revision, backend(host))}, now);
       left.erase(host);
     } else {
       revision = *rc::gen::inRange<std::uint64_t>(20, 100);
--- a/tests/upstream_alone.h
+++ b/tests/upstream_alone.h
@@ -1,4 +1,4 @@
-// Upstream alone on a loop, with a record of what it told, against peers that the test plays.
+// An Upstream alone on a loop, recording what it reports, against peers that the test scripts.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,14 +15,14 @@
 constexpr Millis kSoon = 30;
 constexpr Millis kLong = 15000;
 
-// Upstream with a record of what it told.
+// An Upstream that records what it reports.
 class UpstreamAlone {
  public:
   explicit UpstreamAlone(Millis connect_timeout = kLong)
       : upstream(loop, connect_timeout, 60000, 0, std::make_shared<net::FlowBudget>(1U << 20),
                  {[this](RequestId, int, const Result& result) { take(result); },
-                  [this](BackendId, const Result& result) { take(result); }, [this](bool) { return room; },
-                  [this](bool probe) { return !probe || keeps_probes; }}) {
+                  [this](BackendId, const Result& result) { take(result); },
+                  [this](bool) { return may_open; }, [this](bool probe) { return !probe || keeps_probes; }}) {
     message->raw = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
     message->parser.advance(message->raw);
   }
@@ -31,8 +31,8 @@
     upstream.send(1, 0, 0, peer.dial(), loop.now() + wait, message);
   }
 
-  // Runs the loop, once for a test. At each end of an attempt or probe the next step is done; with none left
-  // the loop stops. Returns the last ending.
+  // Runs the loop; may be called once per test. Each end of an attempt or probe runs the next step, and stops
+  // the loop if none is left. Returns the last ending.
   Ending run() {
     loop.run();
     return last;
@@ -41,24 +41,24 @@
   void take(const Result& result) {
     last = result.ending;
     load = result.load;
-    ++told;
+    ++reports;
     if (steps.empty()) return loop.stop();
     loop.later(steps.front());
     steps.pop_front();
   }
 
   Loop loop;
-  bool room = true;
+  bool may_open = true;
   bool keeps_probes = true;
   std::deque<Loop::Task> steps;
   Ending last = Ending::kNotSent;
   std::optional<LoadReport> load;
-  int told = 0;
+  int reports = 0;
   std::shared_ptr<Message> message = std::make_shared<Message>(Parser::Kind::kRequest);
   Upstream upstream;
 };
 
-// A peer whose queue of connections is full, so that a further one never comes up.
+// A peer whose accept queue is full, so that no further connect succeeds.
 struct FullPeer : Peer {
   FullPeer() : Peer(0), one(Line::connect(port())) {}
   Line one;
