--- a/src/node/class_numbers.h
+++ b/src/node/class_numbers.h
@@ -1,8 +1,9 @@
-// The module's settings over reloads: classes keep the numbers that they ever had, new ones stand behind
-// them. Owns the settings in force with all of these; it must never take one class for another.
+// Keeps class numbers stable over reloads, so that open requests and statistics keep their class: a class
+// that is unchanged keeps its number, a new or changed one is appended, a removed one stays and is marked as
+// not in force. Owns the decision module's settings with all these classes.
 //
-// On sockets a full table of connections is told by an answer (503, never processed): a connection that is
-// turned down, or given up early, is a process that died or a way that is cut.
+// Sets `full_tables_answer`: a backend whose connection table is full answers with 503 and has not processed
+// the request, so a connection that is refused or closed early means a dead process or a broken network path.
 #pragma once
 
 #include <string>
@@ -20,16 +21,16 @@
   }
 
   const Settings& settings() const { return settings_; }
-  // New settings; says the number that each of their classes has here.
+  // Applies new settings; returns the number of each of their classes.
   std::vector<int> adopt(const Settings& settings, const HostSettings& host) {
     Settings next = settings;
     next.classes = settings_.classes;
-    for (RequestClass& one : next.classes) one.in_force = false;
+    for (RequestClass& request_class : next.classes) request_class.in_force = false;
     std::vector<int> numbers;
     for (std::size_t n = 0; n < settings.classes.size(); ++n) {
       std::size_t at = 0;
       while (at < next.classes.size() &&
-             (names_[at] != host.classes[n] || !same(next.classes[at], settings.classes[n])))
+             (names_[at] != host.classes[n] || !same_definition(next.classes[at], settings.classes[n])))
         ++at;
       if (at == next.classes.size()) {
         next.classes.push_back(settings.classes[n]);
@@ -44,7 +45,7 @@
   }
 
  private:
-  static bool same(RequestClass before, const RequestClass& now) {
+  static bool same_definition(RequestClass before, const RequestClass& now) {
     before.in_force = now.in_force;
     return before == now;
   }
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -13,7 +13,7 @@
 namespace shorelead::node {
 namespace {
 
-constexpr int kLeastSockets = 64;
+constexpr int kMinSockets = 64;
 
 Poco::Net::SocketAddress address(const std::string& text, const char* name) {
   const auto parsed = parse_address(text);
@@ -21,8 +21,8 @@
   return *parsed;
 }
 
-std::string text_unless(const std::string& given, const Json& object, const char* name) {
-  return given.empty() ? std::string(fields::text(object, name)) : given;
+std::string override_or_text(const std::string& override_value, const Json& object, const char* name) {
+  return override_value.empty() ? std::string(fields::text(object, name)) : override_value;
 }
 
 std::uint64_t parse_seed(std::string_view text) {
@@ -39,33 +39,34 @@
   limits.cores = fields::number_or(object, "cores", limits.cores);
   limits.memory_mb = fields::number_or(object, "memory_mb", limits.memory_mb);
   limits.sockets = fields::index_or(object, "sockets", limits.sockets);
-  if (limits.sockets < kLeastSockets) fields::bad("sockets", "is less than a node needs (64)");
+  if (limits.sockets < kMinSockets) fields::bad("sockets", "is below the minimum of a node (64)");
   return limits;
 }
 
-// Keys that only some classes have, by their effect.
-bool by_effect(std::string_view key) { return key == "Group" || key == "DedupWindow"; }
+// Keys that a class has only with some effects.
+bool depends_on_effect(std::string_view key) { return key == "Group" || key == "DedupWindow"; }
 
-std::set<std::string> keys_of(const Json& value, const std::string& path) {
+std::set<std::string> collect_keys(const Json& value, const std::string& path) {
   std::set<std::string> keys;
   if (value.IsObject()) {
     for (const auto& member : value.GetObject()) {
       const std::string name = path.empty() ? member.name.GetString() : path + "." + member.name.GetString();
       if (name == "known" || member.value.IsNull()) continue;
       keys.insert(name);
-      keys.merge(keys_of(member.value, name));
+      keys.merge(collect_keys(member.value, name));
     }
   } else if (value.IsArray()) {
-    // Of its items, those that all have.
+    // Keep the keys that every item has.
     bool first = true;
     for (const Json& item : value.GetArray()) {
-      const std::set<std::string> here = keys_of(item, path);
-      const auto absent = [&here](const std::string& key) { return here.count(key) == 0; };
-      if (std::exchange(first, false)) keys = here;
+      const std::set<std::string> item_keys = collect_keys(item, path);
+      const auto absent = [&item_keys](const std::string& key) { return item_keys.count(key) == 0; };
+      if (std::exchange(first, false)) keys = item_keys;
       std::erase_if(keys, absent);
     }
-    std::erase_if(keys, [](const std::string& key) { return by_effect(key.substr(key.rfind('.') + 1)); });
-    if (value.Empty()) keys.insert(path + ".");  // what items would have is open
+    std::erase_if(keys,
+                  [](const std::string& key) { return depends_on_effect(key.substr(key.rfind('.') + 1)); });
+    if (value.Empty()) keys.insert(path + ".");  // an empty array says nothing about the keys of its items
   }
   return keys;
 }
@@ -74,9 +75,9 @@
 
 void Shape::covers(const Shape& before) const {
   for (const std::string& key : before.keys) {
-    const std::string inside = key.substr(0, key.rfind('.') + 1);
-    if (key == inside || keys.count(inside) > 0) continue;  // of a list without items
-    if (keys.count(key) == 0) fields::bad(key.c_str(), "is missing, and the settings in force have it");
+    const std::string array_marker = key.substr(0, key.rfind('.') + 1);
+    if (key == array_marker || keys.count(array_marker) > 0) continue;  // of an empty array
+    if (keys.count(key) == 0) fields::bad(key.c_str(), "is missing, but the running configuration has it");
   }
 }
 
@@ -95,7 +96,7 @@
 }
 
 List parse_list(const Json& object) {
-  if (!object.IsObject()) throw FieldError("a list is not an object");
+  if (!object.IsObject()) throw FieldError("the backend list is not a JSON object");
   List list;
   const Json& version = fields::need(object, "seq");
   if (!version.IsUint64()) fields::bad("seq", "is not a whole number from 0 up");
@@ -110,7 +111,7 @@
 List read_list(const std::string& text) {
   rapidjson::Document document;
   document.Parse(text.data(), text.size());
-  if (document.HasParseError()) throw FieldError("a list is broken JSON");
+  if (document.HasParseError()) throw FieldError("the backend list is broken JSON");
   return parse_list(document);
 }
 
@@ -123,11 +124,11 @@
   }
   if (!document.IsObject()) throw FieldError("the configuration is not a JSON object");
   Config config;
-  config.name = text_unless(overrides.name, document, "name");
-  config.listen = address(text_unless(overrides.listen, document, "listen"), "listen");
-  config.discovery = address(text_unless(overrides.discovery, document, "discovery"), "discovery");
+  config.name = override_or_text(overrides.name, document, "name");
+  config.listen = address(override_or_text(overrides.listen, document, "listen"), "listen");
+  config.discovery = address(override_or_text(overrides.discovery, document, "discovery"), "discovery");
   if (!overrides.admin.empty() || fields::find(document, "mgmt") != nullptr)
-    config.admin = address(text_unless(overrides.admin, document, "mgmt"), "mgmt");
+    config.admin = address(override_or_text(overrides.admin, document, "mgmt"), "mgmt");
   config.seed = parse_seed(fields::text(document, "seed"));
   if (fields::find(document, "limits") != nullptr) {
     config.limits = parse_limits(fields::object(document, "limits"));
@@ -137,19 +138,18 @@
   const Json& settings = fields::object(document, "settings");
   config.settings = parse_settings(settings);
   config.host = parse_host_settings(settings);
-  config.shape.keys = keys_of(document, "");
+  config.shape.keys = collect_keys(document, "");
   check_keys(config.shape.keys, config.settings.list_on_request);
   check_values(config.settings, config.host);
-  // What the module would use and no page says how to carry on sockets.
+  // Features of the decision module that have no wire format between nodes.
   if (config.settings.peer_messages) {
     config.settings.peer_messages = false;
     config.warnings.push_back(
-        "Allowed.PeerMessages: this node sends other nodes nothing, as no form for it is given");
+        "Allowed.PeerMessages: ignored, this node has no wire format for messages to other nodes");
   }
   if (config.settings.warm_keys) {
     config.settings.warm_keys = false;
-    config.warnings.push_back(
-        "Specifics.WarmKeys: requests carry no key here that is given, so none is preferred");
+    config.warnings.push_back("Specifics.WarmKeys: ignored, requests carry no key on the wire");
   }
   return config;
 }
@@ -168,16 +168,16 @@
   return {pool};
 }
 
-Overrides merge(const Overrides& flags, const Overrides& variables, bool again) {
+Overrides merge(const Overrides& flags, const Overrides& variables, bool reload) {
   const auto first = [](const std::string& a, const std::string& b) { return a.empty() ? b : a; };
   return {first(flags.name, variables.name), first(flags.listen, variables.listen),
-          again ? flags.discovery : first(flags.discovery, variables.discovery),
+          reload ? flags.discovery : first(flags.discovery, variables.discovery),
           first(flags.admin, variables.admin)};
 }
 
-Config load_config(const std::string& path, const Overrides& flags, const Overrides& variables, bool again) {
+Config load_config(const std::string& path, const Overrides& flags, const Overrides& variables, bool reload) {
   if (path.empty()) throw FieldError("NODE_CONFIG (or --config) names no file");
-  const Overrides overrides = merge(flags, variables, again);
+  const Overrides overrides = merge(flags, variables, reload);
   files::ReadResult file = files::read_whole(path);
   if (file.status == files::ReadStatus::kFailed) throw UnreadableConfig("the configuration " + file.cause);
   if (file.status == files::ReadStatus::kAbsent)
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -1,6 +1,7 @@
-// What a node is told before it starts: the variables NODE_* and the JSON file that one of them names, and
-// the form of the list that this file shares with discovery. It owns reading and checking them. It must never
-// touch a socket, and never let a field that is missing or wrong pass for a default.
+// The configuration of a node: flags, the environment variables NODE_* and the JSON file that one of them
+// names. Also parses the backend list, whose JSON format is the same in this file and in discovery's answers.
+// A required field that is missing, or a field with a bad value, is an error and never replaced by a default.
+// No network I/O.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -23,59 +24,62 @@
 
 struct Limits {
   double cores = 1;
-  double memory_mb = 0;  // 0 = not told
+  double memory_mb = 0;  // 0 = not configured
   int sockets = 1024;
 };
 
-// The keys that a file of the platform's has, as paths; empty for other files.
+// The keys present in a JSON configuration, as dotted paths; empty for .shore files. A reload must not lose a
+// key that the running configuration has.
 struct Shape {
   std::set<std::string> keys;
 
-  // Throws FieldError with the first key that `before` has and this one has not.
+  // Throws FieldError with the first key of `before` that is missing here.
   void covers(const Shape& before) const;
 };
 
-// Which requests are of which class and go to which pool, where the first part of the path does not tell.
+// Maps requests to classes and pools where routes are configured; without routes, the first path segment
+// names the class.
 using Routes = routing::Plan;
 
-// Backends with a decision module, connections and a source of lists of their own.
+// A group of backends with its own decision module, connections and source of backend lists.
 struct PoolConfig {
   std::string name;
   std::optional<Poco::Net::SocketAddress> discovery;
-  std::optional<membership::registry::Spec> registry;  // with neither, the backends are those in `known`
-  std::optional<membership::Options> view;             // none: lists are believed as they come
-  std::string keep;                                    // a file for the last good list; empty = none
+  std::optional<membership::registry::Spec> registry;  // with neither, `known` is the static list
+  std::optional<membership::Options> view;             // none: lists are applied as received
+  std::string keep;  // path of the file with the last good list; empty = none
   List known;
-  Settings settings;         // with the classes that may come to it
-  std::vector<int> classes;  // the number that each of the node's classes has here; -1 = it never comes
+  Settings settings;  // with only the classes whose requests can reach it
+  std::vector<int>
+      classes;  // by class of the node: its index in this pool's settings; -1 = cannot reach this pool
   HostSettings host;
   FleetOptions fleet;
-  int fallback = -1;  // the pool that stands in for it where nobody is ready
+  int fallback = -1;  // index of the pool used while no backend here is ready; -1 = none
 };
 
 struct Config {
   std::string name;
   Poco::Net::SocketAddress listen;
   Poco::Net::SocketAddress discovery;
-  std::optional<Poco::Net::SocketAddress> admin;  // for operators; none: there is no admin server
+  std::optional<Poco::Net::SocketAddress> admin;  // none: no admin server is started
   std::uint64_t seed = 0;
   Limits limits;
   Shape shape;
   List known;
   Settings settings;
   HostSettings host;
-  std::shared_ptr<const Routes> routes;  // none: the first part of the path is the class
-  FleetOptions fleet;                    // from the file of our own, if there is one
-  // From a .shore file. Empty: there is one pool, which is what stands above.
+  std::shared_ptr<const Routes> routes;  // none: the first path segment is the class
+  FleetOptions fleet;                    // from the platform file, if there is one
+  // From a .shore file. Empty: there is one pool, described by the fields above.
   std::vector<PoolConfig> pools;
-  std::optional<FleetConfig> shared;  // what this process shares with others; only .shore files say it
-  std::vector<std::string> warnings;  // of the .shore file, in the checker's words
+  std::optional<FleetConfig> shared;  // state shared with other processes; only .shore files configure it
+  std::vector<std::string> warnings;  // to be logged at start and reload
 };
 
-// The pools of any configuration, at least one.
+// Returns the pools of a configuration in either format; at least one.
 std::vector<PoolConfig> pools_of(const Config& config);
 
-// Where a value given outside the file wins over the one in it; empty = not given.
+// Values from outside the file that take precedence over it; empty = not given.
 struct Overrides {
   std::string name;
   std::string listen;
@@ -83,22 +87,22 @@
   std::string admin{};
 };
 
-// A flag wins over the variable of the same name; a variable tells of the start only, so where the file has
-// been replaced since (`again`), the address of discovery that it names is the newer one.
-Overrides merge(const Overrides& flags, const Overrides& variables, bool again);
+// A flag takes precedence over the variable of the same name. The environment is as old as the process, so at
+// a reload (`reload`) the discovery address in the file takes precedence over the variable.
+Overrides merge(const Overrides& flags, const Overrides& variables, bool reload);
 
-// Throw FieldError with the field and the cause.
+// Throws FieldError with the field and the cause, as do the functions below.
 Config parse_config(std::string text, const Overrides& overrides);
-// Flags and variables, merged, win over the file.
-// The file is there and could not be read now, so what it says is not known: to be read again.
+// The file exists but reading it failed, so its content is unknown; the caller may retry.
 class UnreadableConfig : public FieldError {
  public:
   using FieldError::FieldError;
 };
 
-Config load_config(const std::string& path, const Overrides& flags, const Overrides& variables, bool again);
+// The merged flags and variables take precedence over the file.
+Config load_config(const std::string& path, const Overrides& flags, const Overrides& variables, bool reload);
 List parse_list(const Json& object);
 List read_list(const std::string& text);
-ListedBackend parse_backend(const Json& item);  // one entry of it
+ListedBackend parse_backend(const Json& item);  // one entry of a list
 
 }  // namespace shorelead::node
--- a/src/node/config_checks.cpp
+++ b/src/node/config_checks.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 void check_class(const RequestClass& c, const std::string& name) {
-  const auto need = [&name](bool fine, const char* field, const char* what) {
-    if (!fine) fields::bad(field, ("of \"" + name + "\" is " + what).c_str());
+  const auto need = [&name](bool valid, const char* field, const char* cause) {
+    if (!valid) fields::bad(field, ("of \"" + name + "\" is " + cause).c_str());
   };
   if (name.empty()) fields::bad("Name", "of a class is empty");
   need(c.deadline > 0, "GiveUp", "not over 0");
@@ -22,30 +22,30 @@
 
 }  // namespace
 
-// What a node must not guess: a figure that stood in would be another deployment's. Whatever else is absent
-// is not allowed, costs nothing or tells nothing apart.
-void check_keys(const std::set<std::string>& keys, bool ask) {
-  std::vector<std::string> needed = {"Instances",
-                                     "Me",
-                                     "RegistryMode",
-                                     "Allowed.Probing",
-                                     "Allowed.MostTries",
-                                     "Allowed.ConnIdle",
-                                     "Allowed.ConnectTimeout",
-                                     "Invariants.ColdShare",
-                                     "Invariants.WarmUp",
-                                     "Invariants.FallMultiple",
-                                     "Invariants.Fall"};
-  if (ask) needed.emplace_back("Invariants.AskEvery");
-  for (const std::string& key : needed) {
+// These keys have no safe default, as the right value depends on the deployment. Any other missing key means
+// that the feature is not allowed, costs nothing or makes no distinction.
+void check_keys(const std::set<std::string>& keys, bool list_on_request) {
+  std::vector<std::string> required = {"Instances",
+                                       "Me",
+                                       "RegistryMode",
+                                       "Allowed.Probing",
+                                       "Allowed.MostTries",
+                                       "Allowed.ConnIdle",
+                                       "Allowed.ConnectTimeout",
+                                       "Invariants.ColdShare",
+                                       "Invariants.WarmUp",
+                                       "Invariants.FallMultiple",
+                                       "Invariants.Fall"};
+  if (list_on_request) required.emplace_back("Invariants.AskEvery");
+  for (const std::string& key : required) {
     if (keys.count("settings." + key) == 0) fields::bad(key.c_str(), "is missing");
   }
 }
 
-// What a deployment cannot be run by, though each field is of its kind.
+// Rejects values of the right type that no deployment can run with.
 void check_values(const Settings& settings, const HostSettings& host) {
-  const auto need = [](bool fine, const char* field, const char* what) {
-    if (!fine) fields::bad(field, what);
+  const auto need = [](bool valid, const char* field, const char* cause) {
+    if (!valid) fields::bad(field, cause);
   };
   need(!settings.classes.empty(), "Services", "names no class");
   for (std::size_t n = 0; n < settings.classes.size(); ++n) {
@@ -54,8 +54,8 @@
          ("\"" + host.classes[n] + "\" stands twice").c_str());
   }
   for (const Tenant& tenant : settings.tenants) need(tenant.quota_rps >= 0, "QuotaRps", "is below 0");
-  const auto places = static_cast<int>(host.zones.size());
-  need(places == 0 || settings.zone < places, "Locality", "is not the number of a zone in Azs");
+  const auto zones = static_cast<int>(host.zones.size());
+  need(zones == 0 || settings.zone < zones, "Locality", "is not the number of a zone in Azs");
   need(settings.instances > 0, "Instances", "is not over 0");
   need(settings.max_attempts > 0, "MostTries", "is not over 0");
   need(settings.streams_per_connection > 0, "StreamsPerConn", "is not over 0");
--- a/src/node/platform_file.h
+++ b/src/node/platform_file.h
@@ -1,6 +1,5 @@
-// The file of our own (TOML): what the platform's configuration has no word for. Owns its reading and its
-// checks: an unknown key, a wrong kind and an impossible value are errors that name file, line and cause. It
-// must never let a mistake pass for a default.
+// The platform file (TOML): options that the JSON configuration has no key for (subsets, probe limits). An
+// unknown key, a wrong type and a value out of range are errors that name file, line and cause.
 #pragma once
 
 #include <string>
@@ -10,10 +9,11 @@
 
 namespace shorelead::node {
 
-// Puts what the text says into the configuration, which was read before: the number of nodes and this node's
-// place among them are the platform's unless the file tells. Throws FieldError; `file` is for its words only.
+// Applies the text to a configuration that has been read already. The number of nodes and this node's index
+// come from the JSON configuration unless this file sets them. Throws FieldError; `file` is used in its
+// message only.
 void apply_platform_file(std::string_view text, const std::string& file, Config& config);
-// The same from a file; nothing is done where `path` is empty.
+// The same from a file; does nothing if `path` is empty.
 void load_platform_file(const std::string& path, Config& config);
 
 }  // namespace shorelead::node
