--- a/src/node/affinity_binding.cpp
+++ b/src/node/affinity_binding.cpp
@@ -15,7 +15,7 @@
 using affinity::KeySource;
 using language::Section;
 
-KeySource key_of(const std::vector<std::string>& words) {
+KeySource key_of(const std::vector<std::string>& arguments) {
   constexpr std::array<std::pair<std::string_view, KeySource::From>, 5> kSources = {
       {{"header", KeySource::From::kField},
        {"cookie", KeySource::From::kCookie},
@@ -24,12 +24,13 @@
        {"tenant", KeySource::From::kTenant}}};
   KeySource key;
   for (const auto& [name, from] : kSources) {
-    if (name == words.front()) key.from = from;
+    if (name == arguments.front()) key.from = from;
   }
-  if (key.from == KeySource::From::kField) key.name = in_small(words[1]);
-  if (key.from == KeySource::From::kCookie || key.from == KeySource::From::kParameter) key.name = words[1];
+  if (key.from == KeySource::From::kField) key.name = to_lower(arguments[1]);
+  if (key.from == KeySource::From::kCookie || key.from == KeySource::From::kParameter)
+    key.name = arguments[1];
   if (key.from == KeySource::From::kPart) {
-    std::from_chars(words[1].data(), words[1].data() + words[1].size(), key.part);
+    std::from_chars(arguments[1].data(), arguments[1].data() + arguments[1].size(), key.part);
   }
   return key;
 }
@@ -52,59 +53,59 @@
   return rule;
 }
 
-// The condition as it stands, with a caret under the mistake.
-std::string shown(const std::string& text, const affinity::Parsed& parsed) {
+// Returns the condition as written, with a caret under the error.
+std::string with_caret(const std::string& text, const affinity::Parsed& parsed) {
   return "\n    " + text + "\n    " + std::string(parsed.column - 1, ' ') + "^";
 }
 
-bool may_take(const affinity::Rule& rule, affinity::Subject subject, const std::string& value,
-              const affinity::Universe& universe) {
+bool can_match(const affinity::Rule& rule, affinity::Subject subject, const std::string& value,
+               const affinity::Universe& universe) {
   return affinity::can_hold(affinity::all({affinity::is(subject, value), rule.when}), universe) !=
          affinity::Can::kNo;
 }
 
-// The pools that a rule's requests can go to by themselves, by place.
-std::set<std::size_t> pools_of_rule(const affinity::Rule& rule, const Config& config,
-                                    const affinity::Universe& universe) {
+// Returns the indices of the pools that requests of a rule can be routed to; fallbacks are not counted.
+std::set<std::size_t> reachable_pools(const affinity::Rule& rule, const Config& config,
+                                      const affinity::Universe& universe) {
   std::set<std::size_t> pools;
   if (!config.routes) return {0};
   for (const routing::Route& route : config.routes->routes) {
-    if (!may_take(rule, affinity::Subject::kRoute, route.name, universe)) continue;
+    if (!can_match(rule, affinity::Subject::kRoute, route.name, universe)) continue;
     if (route.arms.empty()) pools.insert(0);
     for (const routing::Arm& arm : route.arms) pools.insert(static_cast<std::size_t>(arm.pool));
   }
   return pools;
 }
 
-// One key has one backend, so a rule's requests have one pool; and who has to find that backend has to see
-// all.
-void find_pool(affinity::Rule& rule, const Config& config, const affinity::Universe& universe) {
-  const std::set<std::size_t> pools = pools_of_rule(rule, config, universe);
-  const auto refuse = [&rule](const std::string& cause) {
+// A key is bound to one backend, so all requests of a rule must go to one pool. A `must` rule needs all
+// backends of the pool, as a subset may not contain the key's backend.
+void assign_pool(affinity::Rule& rule, const Config& config, const affinity::Universe& universe) {
+  const std::set<std::size_t> pools = reachable_pools(rule, config, universe);
+  const auto fail = [&rule](const std::string& cause) {
     throw FieldError(rule.place + ": error: affinity " + rule.name + ": " + cause);
   };
   if (pools.size() > 1) {
-    refuse("it takes requests of the pools " + config.pools[*pools.begin()].name + " and " +
-           config.pools[*std::next(pools.begin())].name +
-           ", and a key has one box: say in its condition which route it is for");
+    fail("it takes requests of the pools " + config.pools[*pools.begin()].name + " and " +
+         config.pools[*std::next(pools.begin())].name +
+         ", and a key has one box: say in its condition which route it is for");
   }
   if (pools.empty() || config.pools.empty()) return;
   const PoolConfig& pool = config.pools[*pools.begin()];
   rule.pool = pool.name;
   if (rule.must && pool.fleet.subset) {
-    refuse("pool " + pool.name + " shows this node a part of its boxes, and `must` needs them all");
+    fail("pool " + pool.name + " shows this node a part of its boxes, and `must` needs them all");
   }
 }
 
 }  // namespace
 
-Millis longest_bound(const std::vector<affinity::Rule>& rules, const Config& config,
-                     const FleetConfig& fleet) {
+Millis longest_keyed_request(const std::vector<affinity::Rule>& rules, const Config& config,
+                             const FleetConfig& fleet) {
   const affinity::Universe universe = universe_of(config, fleet);
   Millis longest = 0;
   for (const affinity::Rule& rule : rules) {
     for (std::size_t n = 0; rule.must && n < config.settings.classes.size(); ++n) {
-      if (!may_take(rule, affinity::Subject::kClass, config.host.classes[n], universe)) continue;
+      if (!can_match(rule, affinity::Subject::kClass, config.host.classes[n], universe)) continue;
       longest = std::max(longest, config.settings.classes[n].deadline);
     }
   }
@@ -136,7 +137,7 @@
     for (const std::string& tenant : plan.tenants) universe.tenants[tenant] = name_of(tenant);
   }
   universe.no_plan = name_of("");
-  // Backends that stand in the file; where they come from a registry their number is not known.
+  // Counts backends listed in the file; the number of backends from a registry is unknown here.
   for (const PoolConfig& pool : config.pools) universe.units += pool.known.backends.size();
   return universe;
 }
@@ -144,7 +145,7 @@
 std::vector<affinity::Rule> affinity_of(const language::Document& document, const Config& config,
                                         const FleetConfig& fleet) {
   std::vector<affinity::Rule> rules;
-  std::string wrong;
+  std::string errors;
   for (const Section& section : document.sections) {
     if (section.block->name != "affinity") continue;
     rules.push_back(rule_of(section));
@@ -152,29 +153,29 @@
     affinity::Parsed parsed = affinity::parse_condition(section.word("when"));
     if (!parsed.cause.empty()) {
       const language::Place& place = section.places.at("when");
-      wrong.append(wrong.empty() ? "" : "\n")
+      errors.append(errors.empty() ? "" : "\n")
           .append(place.file)
           .append(":")
           .append(std::to_string(place.line));
-      wrong.append(":")
+      errors.append(":")
           .append(std::to_string(place.column))
           .append(": error: affinity ")
           .append(section.name);
-      wrong.append(": ").append(parsed.cause).append(shown(section.word("when"), parsed));
+      errors.append(": ").append(parsed.cause).append(with_caret(section.word("when"), parsed));
     }
     rules.back().when = std::move(parsed.condition);
   }
-  if (!wrong.empty()) throw FieldError(wrong);
+  if (!errors.empty()) throw FieldError(errors);
   const affinity::Universe universe = universe_of(config, fleet);
   for (const affinity::Problem& problem : affinity::problems_of(rules, universe)) {
-    wrong.append(wrong.empty() ? "" : "\n").append(problem.place).append(": error: affinity ");
-    wrong.append(rules[problem.rule].name).append(": ").append(problem.cause);
+    errors.append(errors.empty() ? "" : "\n").append(problem.place).append(": error: affinity ");
+    errors.append(rules[problem.rule].name).append(": ").append(problem.cause);
     if (!problem.other) continue;
     const affinity::Rule& other = rules[*problem.other];
-    wrong.append("\n  ").append(other.place).append(": here is affinity ").append(other.name);
+    errors.append("\n  ").append(other.place).append(": here is affinity ").append(other.name);
   }
-  if (!wrong.empty()) throw FieldError(wrong);
-  for (affinity::Rule& rule : rules) find_pool(rule, config, universe);
+  if (!errors.empty()) throw FieldError(errors);
+  for (affinity::Rule& rule : rules) assign_pool(rule, config, universe);
   return affinity::completed(std::move(rules), universe);
 }
 
--- a/src/node/affinity_binding.h
+++ b/src/node/affinity_binding.h
@@ -1,4 +1,4 @@
-// The affinity blocks of a checked .shore document as rules. It must never let a rule pass that cannot work.
+// Maps the affinity blocks of a checked .shore document to rules. A rule that cannot work is rejected.
 #pragma once
 
 #include <vector>
@@ -9,14 +9,15 @@
 
 namespace shorelead::node {
 
-// `fleet` has the plans so far. Throws FieldError with all that is wrong with the rules, each with its place.
+// `fleet` has its plans already. Throws FieldError with every error of the rules, each with its place.
 std::vector<affinity::Rule> affinity_of(const language::Document& document, const Config& config,
                                         const FleetConfig& fleet);
 
-// How long what `must` rules bind can be under way, whatever becomes of who sent it.
-Millis longest_bound(const std::vector<affinity::Rule>& rules, const Config& config,
-                     const FleetConfig& fleet);
-// What the rules are held against.
+// Returns the longest time for which a request under a `must` rule can be in progress, also after the process
+// that sent it has died: the longest deadline of the classes that such rules can match.
+Millis longest_keyed_request(const std::vector<affinity::Rule>& rules, const Config& config,
+                             const FleetConfig& fleet);
+// Returns the classes, routes, tenants, plans and backends that the rules are checked against.
 affinity::Universe universe_of(const Config& config, const FleetConfig& fleet);
 
 }  // namespace shorelead::node
--- a/src/node/fleet_binding.cpp
+++ b/src/node/fleet_binding.cpp
@@ -46,9 +46,9 @@
   return plan;
 }
 
-// How long one that was spent of a count at once can be in use: a request's whole wait, over the classes that
-// the budget is for.
-Millis longest_wait(const fleet::Budget& budget, const Config& config) {
+// Returns how long a request can occupy a unit of a concurrency budget: the longest deadline of the classes
+// that the budget applies to.
+Millis longest_deadline(const fleet::Budget& budget, const Config& config) {
   Millis longest = 0;
   for (std::size_t n = 0; n < config.settings.classes.size(); ++n) {
     if (!budget.scope.request_class.empty() && budget.scope.request_class != config.host.classes[n]) continue;
@@ -64,31 +64,32 @@
   if (section == nullptr) return std::nullopt;
   FleetConfig fleet;
   for (const std::string& one : section->words.at("store")) {
-    fleet.store.push_back(machine_address(*section, "store", one));
+    fleet.store.push_back(numeric_address(*section, "store", one));
   }
   fleet.sharing.prefix = section->word("prefix");
   fleet.sharing.most_processes = static_cast<int>(*section->number("processes"));
   fleet.sharing.lease = section->number("lease").value_or(fleet.sharing.lease);
   fleet.sharing.drift = section->number("drift").value_or(fleet.sharing.drift);
-  fleet.client = in_small(section->word("client"));
+  fleet.client = to_lower(section->word("client"));
   fleet.zone = document.find("node")->word("zone");
   for (const Section& one : document.sections) {
     if (one.block->name == "budget") fleet.budgets.push_back(budget_of(one));
     if (one.block->name == "plan") fleet.plans.push_back(plan_of(one));
   }
-  // What is meant for few binds before what is meant for all, which then loses nothing to requests that are
-  // refused.
-  const auto narrow = [](const fleet::Budget& b) {
+  // The most specific budgets are checked first, so that a request they refuse spends nothing of broader
+  // ones.
+  const auto specificity = [](const fleet::Budget& b) {
     return !b.scope.pool.empty() + !b.scope.route.empty() + !b.scope.request_class.empty() +
            2 * !b.scope.tenant.empty();
   };
-  std::stable_sort(fleet.budgets.begin(), fleet.budgets.end(),
-                   [&](const fleet::Budget& a, const fleet::Budget& b) { return narrow(a) > narrow(b); });
+  std::stable_sort(
+      fleet.budgets.begin(), fleet.budgets.end(),
+      [&](const fleet::Budget& a, const fleet::Budget& b) { return specificity(a) > specificity(b); });
   for (fleet::Budget& budget : fleet.budgets) {
-    if (budget.kind == fleet::BudgetKind::kAtOnce) budget.hold = longest_wait(budget, config);
+    if (budget.kind == fleet::BudgetKind::kAtOnce) budget.hold = longest_deadline(budget, config);
   }
   fleet.affinity = affinity_of(document, config, fleet);
-  fleet.sharing.longest = longest_bound(fleet.affinity, config, fleet);
+  fleet.sharing.longest = longest_keyed_request(fleet.affinity, config, fleet);
   return fleet;
 }
 
--- a/src/node/fleet_binding.h
+++ b/src/node/fleet_binding.h
@@ -1,5 +1,4 @@
-// The blocks fleet, budget and plan of a checked .shore document as the node goes by them. It must never
-// guess what was meant.
+// Maps the blocks fleet, budget and plan of a checked .shore document to a FleetConfig.
 #pragma once
 
 #include <optional>
@@ -10,7 +9,8 @@
 
 namespace shorelead::node {
 
-// Nothing where there is no such block. Throws FieldError where an address is none of a machine.
+// Returns nothing if there is no fleet block. Throws FieldError if an address is not numeric, and for errors
+// of affinity rules.
 std::optional<FleetConfig> fleet_of(const language::Document& document, const Config& config);
 
 }  // namespace shorelead::node
--- a/src/node/fleet_config.h
+++ b/src/node/fleet_config.h
@@ -1,4 +1,5 @@
-// What a .shore file says of the fleet that this process is one of. Pure data, as the parts in force read it.
+// The fleet part of a .shore configuration: shared store, budgets, plans and affinity rules of the processes
+// that act as one. Plain data.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -17,8 +18,8 @@
   fleet::Sharing sharing;
   std::vector<fleet::Budget> budgets;
   std::vector<plans::PlanSpec> plans;
-  std::vector<affinity::Rule> affinity;  // in their order
-  std::string client;  // the header that tells a tenant's clients apart, in small letters; empty = none
+  std::vector<affinity::Rule> affinity;  // first match applies
+  std::string client;  // lower-case name of the header that identifies a client of a tenant; empty = none
   std::string zone;
 
   bool operator==(const FleetConfig&) const = default;
--- a/src/node/language_binding.cpp
+++ b/src/node/language_binding.cpp
@@ -16,7 +16,7 @@
 
 constexpr double kMegabyte = 1048576;
 
-RequestClass class_of(const Section& section) {
+RequestClass request_class_of(const Section& section) {
   RequestClass c;
   const std::string effect = section.word("effect");
   c.effect = effect == "safe" ? Effect::kSafe : effect == "keyed" ? Effect::kKeyed : Effect::kUnsafe;
@@ -30,32 +30,32 @@
   return c;
 }
 
-// The classes that may come to each pool: those of the routes that lead there, or to a pool that it stands in
-// for. So a class that is told anew leaves pools alone that never see it.
-void share_classes(Config& config) {
+// Gives each pool the classes whose requests can reach it: those of routes that lead to it, or to a pool that
+// it is the fallback of. So a changed class does not affect pools that never get its requests.
+void assign_classes_to_pools(Config& config) {
   const std::size_t count = config.settings.classes.size();
-  std::vector<std::vector<bool>> comes(config.pools.size(),
-                                       std::vector<bool>(count, config.pools.size() == 1 || !config.routes));
+  std::vector<std::vector<bool>> reachable(
+      config.pools.size(), std::vector<bool>(count, config.pools.size() == 1 || !config.routes));
   if (config.pools.size() > 1 && config.routes) {
     for (const routing::Route& route : config.routes->routes) {
       for (const routing::Arm& arm : route.arms) {
-        std::vector<bool> seen(config.pools.size());
-        for (int at = arm.pool; at >= 0 && !seen[static_cast<std::size_t>(at)];
+        std::vector<bool> visited(config.pools.size());
+        for (int at = arm.pool; at >= 0 && !visited[static_cast<std::size_t>(at)];
              at = config.pools[static_cast<std::size_t>(at)].fallback) {
-          seen[static_cast<std::size_t>(at)] = true;
-          comes[static_cast<std::size_t>(at)][static_cast<std::size_t>(route.request_class)] = true;
+          visited[static_cast<std::size_t>(at)] = true;
+          reachable[static_cast<std::size_t>(at)][static_cast<std::size_t>(route.request_class)] = true;
         }
       }
     }
   }
   for (std::size_t p = 0; p < config.pools.size(); ++p) {
     PoolConfig& pool = config.pools[p];
-    // A pool that nothing comes to still has a module, which needs a class.
-    if (std::none_of(comes[p].begin(), comes[p].end(), [](bool c) { return c; }))
-      comes[p].assign(count, true);
+    // A pool that no class can reach still has a decision module, which needs at least one class.
+    if (std::none_of(reachable[p].begin(), reachable[p].end(), [](bool c) { return c; }))
+      reachable[p].assign(count, true);
     for (std::size_t n = 0; n < count; ++n) {
-      pool.classes.push_back(comes[p][n] ? static_cast<int>(pool.settings.classes.size()) : -1);
-      if (!comes[p][n]) continue;
+      pool.classes.push_back(reachable[p][n] ? static_cast<int>(pool.settings.classes.size()) : -1);
+      if (!reachable[p][n]) continue;
       pool.settings.classes.push_back(config.settings.classes[n]);
       pool.host.classes.push_back(config.host.classes[n]);
     }
@@ -69,30 +69,30 @@
 Config load_shore(const std::string& path, const Overrides& overrides, const language::Reader& reader) {
   const language::Document document = language::check(path, reader);
   if (!document.problems.empty()) {
-    std::string all;
+    std::string errors;
     for (const language::Problem& problem : document.problems)
-      all.append(all.empty() ? "" : "\n").append(problem.text());
-    throw FieldError(all);
+      errors.append(errors.empty() ? "" : "\n").append(problem.text());
+    throw FieldError(errors);
   }
   Config config;
-  for (const language::Problem& doubt : document.warnings) config.warnings.push_back(doubt.text());
+  for (const language::Problem& warning : document.warnings) config.warnings.push_back(warning.text());
   const Section& node = *document.find("node");
   config.name = overrides.name.empty() ? node.name : overrides.name;
-  config.listen = told_address(node, "listen", overrides.listen);
+  config.listen = address_or_override(node, "listen", overrides.listen);
   const bool needs_discovery = node.places.count("discovery") > 0;
-  if (needs_discovery) config.discovery = told_address(node, "discovery", overrides.discovery);
+  if (needs_discovery) config.discovery = address_or_override(node, "discovery", overrides.discovery);
   const std::string seed = node.word("seed");
   const auto [rest, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (error != std::errc() || rest != seed.data() + seed.size()) {
-    bad_field(node, "seed", "seed is " + seed + ", which is no hexadecimal number of 64 bits");
+    fail_field(node, "seed", "seed is " + seed + ", which is not a hexadecimal number of 64 bits");
   }
-  config.limits.sockets = whole_number(node, "sockets", config.limits.sockets);
+  config.limits.sockets = integer_or(node, "sockets", config.limits.sockets);
   config.limits.memory_mb = node.number("memory").value_or(0) / kMegabyte;
-  config.settings.instances = whole_number(node, "nodes", 1);
-  config.settings.instance = whole_number(node, "index", 0);
+  config.settings.instances = integer_or(node, "nodes", 1);
+  config.settings.instance = integer_or(node, "index", 0);
   for (const Section& section : document.sections) {
     if (section.block->name != "class") continue;
-    config.settings.classes.push_back(class_of(section));
+    config.settings.classes.push_back(request_class_of(section));
     config.host.classes.push_back(section.name);
   }
   std::vector<std::string> names;
@@ -103,8 +103,8 @@
     if (section.block->name != "pool") continue;
     config.pools.push_back(pool_of(node, section, names, config));
   }
-  take_routes(document, names, config);
-  // What the first pool is told stands at the top as well, as in the platform's form.
+  bind_routes(document, names, config);
+  // The top-level fields repeat the first pool, as in a JSON configuration.
   const PoolConfig& first = config.pools.front();
   const std::vector<RequestClass> classes = config.settings.classes;
   config.settings = first.settings;
@@ -114,7 +114,7 @@
   config.fleet = first.fleet;
   config.known = first.known;
   if (!needs_discovery && first.discovery) config.discovery = *first.discovery;
-  share_classes(config);
+  assign_classes_to_pools(config);
   config.shared = fleet_of(document, config);
   return config;
 }
--- a/src/node/language_binding.h
+++ b/src/node/language_binding.h
@@ -1,6 +1,5 @@
-// A configuration in our own language (.shore) as what a node is told. Owns the mapping from the checked
-// document to Config; a deployment said in both forms behaves the same. It must never take a document with a
-// mistake.
+// Loads a configuration written in the configuration language (.shore): maps the checked document to Config.
+// The same deployment written as JSON and as .shore behaves the same. A document with errors is rejected.
 #pragma once
 
 #include <string>
@@ -11,7 +10,7 @@
 namespace shorelead::node {
 
 bool is_shore(const std::string& path);
-// Throws FieldError with every mistake of the files, each with its place.
+// Throws FieldError with every error of the files, each with file, line and column.
 Config load_shore(const std::string& path, const Overrides& overrides, const language::Reader& reader);
 
 }  // namespace shorelead::node
--- a/src/node/pool_binding.cpp
+++ b/src/node/pool_binding.cpp
@@ -8,7 +8,7 @@
 
 using language::Section;
 
-// Those that stand in the file, under a number that says what they are: the same backends, the same number.
+// Returns the backends listed in the file.
 List backends_of(const Section& pool) {
   List list;
   list.whole = true;
@@ -19,76 +19,78 @@
     listed.dial = backend.word("dial");
     listed.health = backend.number("draining").value_or(0) > 0 ? "draining" : "ready";
     listed.site = backend.word("zone");
-    listed.cell = whole_number(backend, "cell", 0);
+    listed.cell = integer_or(backend, "cell", 0);
     listed.size = backend.number("size").value_or(1);
     if (!parse_address(listed.dial)) {
-      bad_field(backend, "dial",
-                "dial is " + listed.dial + ", which is no address of a machine (no names are looked up)");
+      fail_field(backend, "dial",
+                 "dial is " + listed.dial +
+                     ", which is not a numeric address with a port (host names are not resolved)");
     }
     list.backends.push_back(std::move(listed));
   }
   return list;
 }
 
-void take_pool(const Section& pool, PoolConfig& config) {
-  Settings& s = config.settings;
-  s.list_on_request = pool.word("list") != "watched";
-  s.ask_every = pool.number("ask_every").value_or(0);
-  s.probing = pool.number("probing").value_or(1) > 0;
-  s.reports_with_answers = pool.word("reports") != "probes";
-  s.cancelling = pool.number("cancelling").value_or(1) > 0;
-  s.parallel_attempts = pool.number("parallel").value_or(0) > 0;
-  s.max_attempts = whole_number(pool, "attempts", 3);
-  s.connect_timeout = pool.number("connect_within").value_or(200);
-  s.advise_wait = pool.places.count("advise_wait") > 0;
-  s.max_wait_advice = pool.number("advise_wait").value_or(0);
-  s.idle_timeout = config.host.idle_timeout = pool.number("idle").value_or(0);
+void apply_pool(const Section& pool, PoolConfig& config) {
+  Settings& settings = config.settings;
+  settings.list_on_request = pool.word("list") != "watched";
+  settings.ask_every = pool.number("ask_every").value_or(0);
+  settings.probing = pool.number("probing").value_or(1) > 0;
+  settings.reports_with_answers = pool.word("reports") != "probes";
+  settings.cancelling = pool.number("cancelling").value_or(1) > 0;
+  settings.parallel_attempts = pool.number("parallel").value_or(0) > 0;
+  settings.max_attempts = integer_or(pool, "attempts", 3);
+  settings.connect_timeout = pool.number("connect_within").value_or(200);
+  settings.advise_wait = pool.places.count("advise_wait") > 0;
+  settings.max_wait_advice = pool.number("advise_wait").value_or(0);
+  settings.idle_timeout = config.host.idle_timeout = pool.number("idle").value_or(0);
   const auto zones = pool.words.find("zones");
   if (zones != pool.words.end()) config.host.zones = zones->second;
   if (const Section* const cold = pool.find("cold")) {
-    s.cold_share = *cold->number("share");
-    s.warm_up = *cold->number("warm_up");
-    s.fall_multiple = *cold->number("fall_multiple");
-    s.fall_span = *cold->number("fall_span");
+    settings.cold_share = *cold->number("share");
+    settings.warm_up = *cold->number("warm_up");
+    settings.fall_multiple = *cold->number("fall_multiple");
+    settings.fall_span = *cold->number("fall_span");
   }
   if (const Section* const probes = pool.find("probes")) {
-    s.most_probes = probes->number("per_second").value_or(0);
-    s.most_probes_backend = probes->number("per_box").value_or(0);
+    settings.most_probes = probes->number("per_second").value_or(0);
+    settings.most_probes_backend = probes->number("per_box").value_or(0);
   }
 }
 
 membership::registry::Spec registry_of(const Section& section) {
   membership::registry::Spec spec;
   spec.prefix = section.word("prefix");
-  for (const std::string& one : section.words.at("endpoints")) {
-    spec.endpoints.push_back(machine_address(section, "endpoints", one));
+  for (const std::string& endpoint : section.words.at("endpoints")) {
+    spec.endpoints.push_back(numeric_address(section, "endpoints", endpoint));
   }
   if (section.places.count("ca") > 0) {
     spec.tls = net::TlsFiles{section.word("ca"), section.word("certificate"), section.word("key"),
                              section.word("name")};
 #ifndef SHORELEAD_TLS
-    bad_field(section, "ca", "this build has no TLS (cmake -DSHORELEAD_TLS=ON)");
+    fail_field(section, "ca", "this build has no TLS (cmake -DSHORELEAD_TLS=ON)");
 #endif
   }
   return spec;
 }
 
-void take_zone(const Section& node, const Section& section, PoolConfig& pool) {
+void apply_zone(const Section& node, const Section& section, PoolConfig& pool) {
   const std::string zone = node.word("zone");
   if (zone.empty()) return;
   auto& zones = pool.host.zones;
   if (zones.empty()) zones.push_back(zone);
-  const auto it = std::find(zones.begin(), zones.end(), zone);
-  if (it == zones.end())
-    bad_field(node, "zone", "zone is " + zone + ", which pool " + section.name + " does not name");
-  pool.settings.zone = static_cast<int>(it - zones.begin());
+  const auto found = std::find(zones.begin(), zones.end(), zone);
+  if (found == zones.end())
+    fail_field(node, "zone", "zone is " + zone + ", which pool " + section.name + " does not name");
+  pool.settings.zone = static_cast<int>(found - zones.begin());
 }
 
-void take_subset(const Section& node, const Section& part, const Config& config, PoolConfig& pool) {
+void apply_subset(const Section& node, const Section& subset_section, const Config& config,
+                  PoolConfig& pool) {
   subset::Options options;
-  options.target = whole_number(part, "size", options.target);
-  options.slack = part.number("slack").value_or(options.slack);
-  options.whole_up_to = whole_number(part, "above", options.target * 2);
+  options.target = integer_or(subset_section, "size", options.target);
+  options.slack = subset_section.number("slack").value_or(options.slack);
+  options.whole_up_to = integer_or(subset_section, "above", options.target * 2);
   pool.fleet.subset = options;
   pool.fleet.place.name = subset::hash_of(config.name);
   if (node.number("nodes")) pool.fleet.place.nodes = config.settings.instances;
@@ -103,10 +105,10 @@
   pool.name = section.name;
   pool.settings.instances = config.settings.instances;
   pool.settings.instance = config.settings.instance;
-  take_pool(section, pool);
+  apply_pool(section, pool);
   pool.known = backends_of(section);
   if (section.places.count("discovery") > 0) {
-    pool.discovery = told_address(section, "discovery", "");
+    pool.discovery = address_or_override(section, "discovery", "");
   } else if (const Section* const registry = section.find("registry")) {
     pool.registry = registry_of(*registry);
     pool.settings.list_on_request = false;
@@ -123,11 +125,12 @@
     pool.view = options;
     pool.keep = section.word("keep");
   }
-  if (const std::string other = section.word("fallback"); !other.empty()) {
-    pool.fallback = number_of(names, other);
+  if (const std::string fallback = section.word("fallback"); !fallback.empty()) {
+    pool.fallback = index_of(names, fallback);
   }
-  take_zone(node, section, pool);
-  if (const Section* const part = section.find("subset")) take_subset(node, *part, config, pool);
+  apply_zone(node, section, pool);
+  if (const Section* const subset_section = section.find("subset"))
+    apply_subset(node, *subset_section, config, pool);
   return pool;
 }
 
--- a/src/node/pool_route_binding.h
+++ b/src/node/pool_route_binding.h
@@ -1,5 +1,4 @@
-// What the blocks pool and route of a checked .shore document mean to the node. It must never guess what was
-// meant.
+// Maps the blocks pool and route of a checked .shore document to the node's configuration.
 #pragma once
 
 #include <string>
@@ -10,10 +9,10 @@
 
 namespace shorelead::node {
 
-// `names` are those of all pools; `config` has what is said of the node so far.
+// `names`: the names of all pools; `config`: has the node's own fields and the classes already.
 PoolConfig pool_of(const language::Section& node, const language::Section& section,
                    const std::vector<std::string>& names, const Config& config);
-// Throws FieldError where routes cannot be told apart.
-void take_routes(const language::Document& document, const std::vector<std::string>& pools, Config& config);
+// Throws FieldError if a route can never be reached.
+void bind_routes(const language::Document& document, const std::vector<std::string>& pools, Config& config);
 
 }  // namespace shorelead::node
--- a/src/node/section_fields.h
+++ b/src/node/section_fields.h
@@ -1,4 +1,4 @@
-// Small readings of a checked section that all parts of a .shore file share.
+// Accessors for fields of a checked section, shared by the code that binds the blocks of a .shore file.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -10,15 +10,15 @@
 namespace shorelead::node {
 
 // Throws FieldError with the field's place and the cause.
-[[noreturn]] void bad_field(const language::Section& section, const char* field, const std::string& cause);
-// The address of a machine, one word of that field.
-Poco::Net::SocketAddress machine_address(const language::Section& section, const char* field,
+[[noreturn]] void fail_field(const language::Section& section, const char* field, const std::string& cause);
+// Parses one word of the field: a numeric address with a port, as host names are not resolved.
+Poco::Net::SocketAddress numeric_address(const language::Section& section, const char* field,
                                          const std::string& word);
-// The field's address, unless one given outside the file wins over it.
-Poco::Net::SocketAddress told_address(const language::Section& section, const char* field,
-                                      const std::string& over);
-int whole_number(const language::Section& section, std::string_view field, int otherwise);
-int number_of(const std::vector<std::string>& names, const std::string& name);  // its place among them
-std::string in_small(std::string name);                                         // letters
+// Returns the address in `override_value` or, if that is empty, the field's.
+Poco::Net::SocketAddress address_or_override(const language::Section& section, const char* field,
+                                             const std::string& override_value);
+int integer_or(const language::Section& section, std::string_view field, int fallback);
+int index_of(const std::vector<std::string>& names, const std::string& name);  // position in `names`
+std::string to_lower(std::string name);                                        // ASCII
 
 }  // namespace shorelead::node
