--- a/src/node/difference.cpp
+++ b/src/node/config_diff.cpp
@@ -1,4 +1,4 @@
-#include "node/difference.h"
+#include "node/config_diff.h"
 
 #include <algorithm>
 #include <map>
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -16,7 +16,7 @@
 #include "files/whole_file.h"
 #include "language/reference.h"
 #include "node/config.h"
-#include "node/difference.h"
+#include "node/config_diff.h"
 #include "node/explain.h"
 #include "node/language_binding.h"
 #include "node/migrate.h"
--- a/tests/affinity/shore_test.cpp
+++ b/tests/affinity/shore_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <sstream>
 
-#include "node/difference.h"
+#include "node/config_diff.h"
 #include "node/explain.h"
 #include "node/language_binding.h"
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -11,7 +11,7 @@
 #include <set>
 #include <tuple>
 
-#include "node/difference.h"
+#include "node/config_diff.h"
 #include "node/language_binding.h"
 #include "node/list_reader.h"
 #include "node/migrate.h"
