--- a/src/node/affinity_text.cpp
+++ b/src/node/affinity_text.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::array kUnits = {"box", "cell", "zone"};
 
-std::string key_words(const KeySource& key) {
+std::string describe_key(const KeySource& key) {
   switch (key.from) {
     case KeySource::From::kField:
       return "header " + key.name;
@@ -39,7 +39,7 @@
     return;
   }
   const Rule& rule = rules[found->rule];
-  out << "affinity " << rule.name << " (" << rule.place << "): by " << key_words(rule.key);
+  out << "affinity " << rule.name << " (" << rule.place << "): by " << describe_key(rule.key);
   if (!found->keyed) {
     out << ", which it has not: it goes as without the rule\n";
     return;
@@ -54,16 +54,16 @@
       << "force it is refused\n";
 }
 
-void affinity_facts(const std::vector<Rule>& rules, std::map<std::string, std::string>& facts) {
+void add_affinity_fields(const std::vector<Rule>& rules, std::map<std::string, std::string>& fields) {
   std::string order;
   for (const Rule& rule : rules) {
     order.append(order.empty() ? "" : " ").append(rule.name);
     const auto put = [&](const char* what, std::string value) {
-      facts["affinity " + rule.name + ": " + what] = std::move(value);
+      fields["affinity " + rule.name + ": " + what] = std::move(value);
     };
     const std::string when = affinity::text_of(rule.when);
     put("when", when.empty() ? "always" : when);
-    put("keys", fmt::format("by {} to a {} (map {})", key_words(rule.key),
+    put("keys", fmt::format("by {} to a {} (map {})", describe_key(rule.key),
                             kUnits[static_cast<std::size_t>(rule.to)], affinity::map_name(rule)));
     put("must", rule.must ? "yes" : "no");
     put("hold", rule.on_loss == affinity::OnLoss::kRefuse ? fmt::format("{} ms", rule.hold) : "none");
@@ -74,7 +74,7 @@
     put("slots", fmt::format("{}", rule.slots));
     put("wait", rule.must ? fmt::format("{} ms", rule.wait) : "none");
   }
-  if (rules.size() > 1) facts["affinity: order"] = order;
+  if (rules.size() > 1) fields["affinity: order"] = order;
 }
 
 }  // namespace shorelead::node
--- a/src/node/affinity_text.h
+++ b/src/node/affinity_text.h
@@ -1,5 +1,5 @@
-// Rules of affinity in words for people: what they do to a request, and what of them a change of the file
-// changes. It must never name a backend: only the plan knows which has a key.
+// Affinity rules as text: how a rule applies to a request, and the fields that `differences` compares. Names
+// no backend, as only the plan in the shared store knows which backend has a key.
 #pragma once
 
 #include <map>
@@ -14,8 +14,9 @@
 void explain_affinity(const std::vector<affinity::Rule>& rules, const affinity::Request& request,
                       std::ostream& out);
 
-// Adds what `differences` compares. Whatever is under "keys" makes another map: all keys of the rule may
-// move.
-void affinity_facts(const std::vector<affinity::Rule>& rules, std::map<std::string, std::string>& facts);
+// Adds the rules' fields to the map that `differences` compares. A change under "keys" makes a new slot map,
+// so all keys of the rule may move.
+void add_affinity_fields(const std::vector<affinity::Rule>& rules,
+                         std::map<std::string, std::string>& fields);
 
 }  // namespace shorelead::node
--- a/src/node/config_diff.h
+++ b/src/node/config_diff.h
@@ -1,6 +1,6 @@
-// What changes for traffic from one configuration to another. Pure. Owns the comparison of what the node goes
-// by, not of text: what is told in other words, another order or by default is the same. It must never leave
-// out a field that the node goes by.
+// Compares two configurations by their effect on traffic. The text does not matter: another order, another
+// unit and a default that is spelled out make no difference. Pure functions. Every field that affects the
+// node has to be compared here, else `diff` misses a change.
 #pragma once
 
 #include <string>
@@ -10,13 +10,13 @@
 
 namespace shorelead::node {
 
-struct Difference {
+struct ConfigDiff {
   std::string what;    // "class check: aim", "route GET /a/{}"
-  std::string before;  // empty = there was none
-  std::string after;   // empty = there is none any more
+  std::string before;  // empty = was absent
+  std::string after;   // empty = is absent
 };
 
-// In a fixed order; none where the node would do the same.
-std::vector<Difference> differences(const Config& before, const Config& after);
+// In a fixed order; empty if the two configurations behave the same.
+std::vector<ConfigDiff> differences(const Config& before, const Config& after);
 
 }  // namespace shorelead::node
--- a/src/node/explain.cpp
+++ b/src/node/explain.cpp
@@ -11,9 +11,10 @@
 namespace shorelead::node {
 namespace {
 
-// Where a route leads, and what a request's key makes of its shares.
-int to_pool(const Config& config, const routing::Route& route,
-            const std::function<std::string_view(std::string_view)>& field, std::ostream& out) {
+// Prints the pools of a route and returns the one that the request goes to; -1 if a split route lacks its
+// key.
+int explain_pool(const Config& config, const routing::Route& route,
+                 const std::function<std::string_view(std::string_view)>& field, std::ostream& out) {
   const auto name = [&config](int pool) { return config.pools[static_cast<std::size_t>(pool)].name; };
   int to = route.arms.empty() ? 0 : route.arms.front().pool;
   if (route.arms.size() > 1) {
@@ -39,16 +40,16 @@
   return first;
 }
 
-// Budgets, plan, rank and affinity.
-void fleet_words(const Config& config, int pool, int route, int request_class,
-                 const std::function<std::string_view(std::string_view)>& field, affinity::Request request,
-                 std::ostream& out) {
+// Prints the budgets, the plan with its rank, and the affinity rule of a request.
+void explain_fleet(const Config& config, int pool, int route, int request_class,
+                   const std::function<std::string_view(std::string_view)>& field, affinity::Request request,
+                   std::ostream& out) {
   const FleetConfig& fleet = *config.shared;
   const std::string_view tenant = field("x-tenant-id");
   const std::uint64_t mask = FleetRules(fleet, config).budgets_of(pool, route, request_class, tenant);
   for (std::size_t b = 0; b < fleet.budgets.size(); ++b) {
     if ((mask >> b & 1) == 0) continue;
-    out << "budget " << fleet.budgets[b].name << ": " << words_of(fleet.budgets[b])
+    out << "budget " << fleet.budgets[b].name << ": " << describe(fleet.budgets[b])
         << ", of all processes together\n";
   }
   std::vector<double> worths;
@@ -77,7 +78,7 @@
   const std::size_t blank = request.find(' ');
   const std::size_t slash = request.find('/', blank == std::string::npos ? 0 : blank);
   if (blank == std::string::npos || slash == std::string::npos) {
-    throw FieldError("a request is said as in: 'GET a.example.org/checks/7'");
+    throw FieldError("malformed request; expected METHOD host/path, as in 'GET a.example.org/checks/7'");
   }
   const std::string method = request.substr(0, blank);
   const std::string host = request.substr(blank + 1, slash - blank - 1);
@@ -91,29 +92,30 @@
     }
     return {};
   };
-  std::optional<int> found;
+  std::optional<int> request_class;
   int pool = 0;
-  int number = -1;  // of the route
+  int route_number = -1;  // index of the route; -1 = none
   if (config.routes) {
     const auto rule = config.routes->table.find({host, target, method, &field});
     if (rule) {
       const auto& route = config.routes->routes[*rule];
       out << "route " << route.name << " (" << route.place << ")\n";
-      pool = to_pool(config, route, field, out);
-      number = static_cast<int>(*rule);
-      found = route.request_class;
+      pool = explain_pool(config, route, field, out);
+      route_number = static_cast<int>(*rule);
+      request_class = route.request_class;
     }
   } else {
     const std::string first = target.substr(1, std::min(target.find_first_of("/?#", 1), target.size()) - 1);
     const auto known = std::find(config.host.classes.begin(), config.host.classes.end(), first);
-    if (known != config.host.classes.end()) found = static_cast<int>(known - config.host.classes.begin());
+    if (known != config.host.classes.end())
+      request_class = static_cast<int>(known - config.host.classes.begin());
     out << "no routes: the first part of the path is the class\n";
   }
-  if (!found) {
+  if (!request_class) {
     out << "answered 404: " << (config.routes ? "no route takes it" : "there is no such class") << "\n";
     return false;
   }
-  const auto n = static_cast<std::size_t>(*found);
+  const auto n = static_cast<std::size_t>(*request_class);
   const RequestClass& c = config.settings.classes[n];
   const char* const effects[] = {"safe", "keyed", "unsafe"};
   out << "class " << config.host.classes[n] << ": " << effects[static_cast<int>(c.effect)] << ", wanted in "
@@ -121,11 +123,11 @@
       << "attempts: " << config.settings.max_attempts << " at most"
       << (c.effect == Effect::kUnsafe ? ", another only where none can have run" : "") << "\n";
   if (config.shared) {
-    affinity::Request asked;
-    asked.method = method;
-    asked.path = target;
-    asked.field = &field;
-    fleet_words(config, pool, number, *found, field, asked, out);
+    affinity::Request affinity_request;
+    affinity_request.method = method;
+    affinity_request.path = target;
+    affinity_request.field = &field;
+    explain_fleet(config, pool, route_number, *request_class, field, affinity_request, out);
   }
   return true;
 }
--- a/src/node/explain.h
+++ b/src/node/explain.h
@@ -1,5 +1,5 @@
-// Which route, pool, class, budgets and plan a request gets, in words for people. It must never say what the
-// node would not do.
+// Explains in text which route, pool, class, budgets, plan and affinity rule apply to a request, using the
+// same lookups as the request path.
 #pragma once
 
 #include <functional>
@@ -12,8 +12,8 @@
 
 namespace shorelead::node {
 
-// `request` is "METHOD host/path", headers "Name: value". Returns whether it would be taken. Throws
-// FieldError where the request is none.
+// `request` is "METHOD host/path"; `headers` are "Name: value". Returns whether the request matches a class
+// (it is answered with 404 otherwise). Throws FieldError if `request` is malformed.
 bool explain(const Config& config, const std::string& request, const std::vector<std::string>& headers,
              std::ostream& out);
 
--- a/src/node/fleet_text.cpp
+++ b/src/node/fleet_text.cpp
@@ -6,7 +6,7 @@
 
 namespace shorelead::node {
 
-std::string words_of(const fleet::Budget& budget) {
+std::string describe(const fleet::Budget& budget) {
   switch (budget.kind) {
     case fleet::BudgetKind::kRate:
       return fmt::format("{} requests a second and {} more in any span", budget.whole, budget.burst);
@@ -19,18 +19,18 @@
   return "";
 }
 
-void fleet_facts(const FleetConfig& fleet, std::map<std::string, std::string>& facts) {
+void add_fleet_fields(const FleetConfig& fleet, std::map<std::string, std::string>& fields) {
   std::string store;
   for (const auto& address : fleet.store) store.append(store.empty() ? "" : " ").append(address.toString());
-  facts["fleet: store"] = store;
-  facts["fleet: prefix"] = fleet.sharing.prefix;
-  facts["fleet: processes"] = fmt::format("{}", fleet.sharing.most_processes);
-  facts["fleet: lease"] = fmt::format("{} ms", fleet.sharing.lease);
-  facts["fleet: drift"] = fmt::format("{} %", fleet.sharing.drift * 100);
-  facts["fleet: client"] = fleet.client.empty() ? "none" : fleet.client;
+  fields["fleet: store"] = store;
+  fields["fleet: prefix"] = fleet.sharing.prefix;
+  fields["fleet: processes"] = fmt::format("{}", fleet.sharing.most_processes);
+  fields["fleet: lease"] = fmt::format("{} ms", fleet.sharing.lease);
+  fields["fleet: drift"] = fmt::format("{} %", fleet.sharing.drift * 100);
+  fields["fleet: client"] = fleet.client.empty() ? "none" : fleet.client;
   for (const fleet::Budget& budget : fleet.budgets) {
     const std::string name = "budget " + budget.name;
-    facts[name] = words_of(budget);
+    fields[name] = describe(budget);
     std::string scope;
     const auto add = [&scope](const char* what, const std::string& of) {
       if (!of.empty()) scope += fmt::format("{}{} {}", scope.empty() ? "" : ", ", what, of);
@@ -39,19 +39,19 @@
     add("route", budget.scope.route);
     add("class", budget.scope.request_class);
     add("tenant", budget.scope.tenant);
-    facts[name + ": of"] = scope.empty() ? "all" : scope;
-    facts[name + ": reserve"] = fmt::format("{} %", budget.reserve * 100);
-    facts[name + ": least_part"] = fmt::format("{} %", budget.least_part * 100);
-    facts[name + ": most_part"] = fmt::format("{} %", budget.most_part * 100);
+    fields[name + ": of"] = scope.empty() ? "all" : scope;
+    fields[name + ": reserve"] = fmt::format("{} %", budget.reserve * 100);
+    fields[name + ": least_part"] = fmt::format("{} %", budget.least_part * 100);
+    fields[name + ": most_part"] = fmt::format("{} %", budget.most_part * 100);
   }
   for (const plans::PlanSpec& plan : fleet.plans) {
-    facts["plan " + plan.name + ": rank"] = fmt::format("{}", plan.rank);
-    facts["plan " + plan.name + ": floor"] = fmt::format("{} %", plan.floor * 100);
+    fields["plan " + plan.name + ": rank"] = fmt::format("{}", plan.rank);
+    fields["plan " + plan.name + ": floor"] = fmt::format("{} %", plan.floor * 100);
     for (const std::string& tenant : plan.tenants)
-      facts["tenant " + tenant] = fmt::format("plan {}", plan.name);
-    if (plan.is_default) facts["tenants that no plan names"] = fmt::format("plan {}", plan.name);
+      fields["tenant " + tenant] = fmt::format("plan {}", plan.name);
+    if (plan.is_default) fields["tenants that no plan names"] = fmt::format("plan {}", plan.name);
   }
-  affinity_facts(fleet.affinity, facts);
+  add_affinity_fields(fleet.affinity, fields);
 }
 
 }  // namespace shorelead::node
--- a/src/node/fleet_text.h
+++ b/src/node/fleet_text.h
@@ -1,4 +1,4 @@
-// What a configuration says of the fleet, in words for people.
+// The fleet part of a configuration as text, for `explain` and `diff`.
 #pragma once
 
 #include <map>
@@ -8,8 +8,8 @@
 
 namespace shorelead::node {
 
-std::string words_of(const fleet::Budget& budget);  // "200 a second, 20 more at once"
-// What is compared between two configurations, by what it is of.
-void fleet_facts(const FleetConfig& fleet, std::map<std::string, std::string>& facts);
+std::string describe(const fleet::Budget& budget);  // "200 requests a second and 20 more in any span"
+// Adds the fleet's fields, each under its name, to the map that `differences` compares.
+void add_fleet_fields(const FleetConfig& fleet, std::map<std::string, std::string>& fields);
 
 }  // namespace shorelead::node
--- a/tests/affinity/shore_test.cpp
+++ b/tests/affinity/shore_test.cpp
@@ -121,7 +121,7 @@
 TEST(AffinityFile, DifferencesSayWhoseKeysMove) {
   const auto changed = [](const std::string& before, const std::string& after) {
     std::vector<std::string> all;
-    for (const Difference& one : differences(loaded(before), loaded(after))) all.push_back(one.what);
+    for (const ConfigDiff& one : differences(loaded(before), loaded(after))) all.push_back(one.what);
     return all;
   };
   using Words = std::vector<std::string>;
