--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -74,17 +74,17 @@
 
 // Writes the counterpart of an old configuration for the new shape; `output` empty: to standard output.
 int migrate_file(const std::string& path, const std::string& output, bool dry, bool replace,
-                 const shorelead::node::NewShape& shape) {
+                 const shorelead::node::MigrationOptions& options) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf())) throw shorelead::FieldError(path + " cannot be read, or is empty");
-  const auto migration = shorelead::node::migrate(std::move(text).str(), path, shape);
-  if (migration.already) {
+  const auto migration = shorelead::node::migrate(std::move(text).str(), path, options);
+  if (migration.already_migrated) {
     std::cerr << path << ": of the new shape already, nothing to do\n";
     return 0;
   }
   for (const std::string& line : migration.changed) std::cerr << "changed " << line << "\n";
-  for (const std::string& line : migration.left) std::cerr << "left " << line << "\n";
+  for (const std::string& line : migration.remaining_steps) std::cerr << "left " << line << "\n";
   if (!dry && output.empty()) std::cout << migration.text;
   if (!output.empty() && std::filesystem::exists(output)) {
     if (std::filesystem::equivalent(output, path))
@@ -93,9 +93,9 @@
       throw shorelead::FieldError(output + " is there already; --replace puts the new one in its place");
   }
   if (!dry && !output.empty()) write_whole(output, migration.text);
-  std::cerr << path << ": " << migration.changed.size() << " changed, " << migration.left.size()
+  std::cerr << path << ": " << migration.changed.size() << " changed, " << migration.remaining_steps.size()
             << " left to do" << (dry ? "; nothing written" : "") << "\n";
-  return migration.left.empty() ? 0 : kSomethingLeft;
+  return migration.remaining_steps.empty() ? 0 : kSomethingLeft;
 }
 
 int check_file(const std::string& path, bool strict) {
@@ -197,11 +197,11 @@
     std::string output;
     bool dry = false;
     bool replace = false;
-    shorelead::node::NewShape shape;
+    shorelead::node::MigrationOptions migration_options;
     migrating->add_option("old", file)->required();
     migrating->add_option("--output", output, "where to write it; standard output if not told");
-    migrating->add_option("--nodes", shape.nodes, "how many client processes have a node");
-    migrating->add_option("--index", shape.index, "which of them this one is, from 0");
+    migrating->add_option("--nodes", migration_options.nodes, "how many client processes have a node");
+    migrating->add_option("--index", migration_options.index, "which of them this one is, from 0");
     migrating->add_flag("--dry-run", dry, "only say what would change");
     migrating->add_flag("--replace", replace, "where --output names a file that is there");
     CLI::App* const reference =
@@ -218,7 +218,7 @@
       return 0;
     }
     if (check->parsed()) return check_file(file, strict);
-    if (migrating->parsed()) return migrate_file(file, output, dry, replace, shape);
+    if (migrating->parsed()) return migrate_file(file, output, dry, replace, migration_options);
     if (explaining->parsed())
       return shorelead::node::explain(shorelead::node::load_shore(file, {}, shorelead::language::disk()),
                                       request, headers, std::cout)
--- a/src/node/migrate.cpp
+++ b/src/node/migrate.cpp
@@ -26,87 +26,93 @@
   return std::to_string(line) + ":" + std::to_string(column);
 }
 
-std::string shown(const Value& value) {
+std::string to_json(const Value& value) {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   value.Accept(writer);
   return buffer.GetString();
 }
 
-class Translator {
+class Migrator {
  public:
-  Translator(Document& document, Migration& out) : document_(document), out_(out) {}
+  Migrator(Document& document, Migration& out) : document_(document), migration_(out) {}
 
-  void run(const NewShape& shape) {
+  void run(const MigrationOptions& options) {
     for (const char* const name : {"listen", "mgmt"}) bind_to_loopback(name);
-    // Before anything is held of the document: members move up when one goes.
-    drop(document_, "", "known", "it names the old fleet's boxes; the node starts with an empty list");
+    // First, as removing a member moves others and so invalidates references to them.
+    remove(document_, "", "known", "it lists the boxes of the old fleet; the node starts with an empty list");
     Value& settings = document_["settings"];
     set(child(settings, "Report"), "settings.Report.", "Source", text("probe"));
     set(child(settings, "Allowed"), "settings.Allowed.", "PeerMessages", Value(true));
     set(settings, "settings.", "RegistryMode", text("automatic"));
-    drop(child(settings, "Invariants"), "settings.Invariants.", "AskEvery",
-         "lists come by themselves, so none is asked for");
-    number(settings, "Instances", shape.nodes, 1,
-           "give --nodes: how many client processes have a node (the cold boxes' budget is parted by it)");
-    number(settings, "Me", shape.index, 0, "give --index: which of them this node is, from 0");
+    remove(child(settings, "Invariants"), "settings.Invariants.", "AskEvery",
+           "lists are pushed by discovery, so none is requested");
+    set_number(
+        settings, "Instances", options.nodes, 1,
+        "give --nodes: how many client processes have a node (the slow-start budget is divided by it)");
+    set_number(settings, "Me", options.index, 0, "give --index: which of them this node is, from 0");
     if (document_.HasMember("limits"))
-      leave("limits", "kept as they were: say what a node beside a client process may use");
-    leave("seed", "kept: give each node a seed of its own, or they probe in step");
+      add_remaining_step("limits", "kept: set what a node beside a client process may use");
+    add_remaining_step("seed", "kept: give each node its own seed, or all probe in step");
     const Value& allowed = settings["Allowed"];
-    if (!allowed.HasMember("CpuUsPerS")) leave("settings.Allowed.CpuUsPerS", "not told: what a node may use");
+    if (!allowed.HasMember("CpuUsPerS"))
+      add_remaining_step("settings.Allowed.CpuUsPerS", "missing: what a node may use");
     if (!child(settings, "Report").HasMember("Fields"))
-      leave("settings.Report.Fields", "not told: the figures that boxes report to probes");
+      add_remaining_step("settings.Report.Fields", "missing: the fields that boxes report to probes");
   }
 
  private:
-  Document::AllocatorType& pool() { return document_.GetAllocator(); }
-  Value text(const std::string& words) { return Value(words.c_str(), pool()); }
+  Document::AllocatorType& allocator() { return document_.GetAllocator(); }
+  Value text(const std::string& value) { return Value(value.c_str(), allocator()); }
 
   Value& child(Value& object, const char* name) {
-    if (!object.HasMember(name)) object.AddMember(Value(name, pool()), Value(rapidjson::kObjectType), pool());
+    if (!object.HasMember(name))
+      object.AddMember(Value(name, allocator()), Value(rapidjson::kObjectType), allocator());
     if (!object[name].IsObject()) fields::bad(name, "is not an object");
     return object[name];
   }
 
   void set(Value& object, const std::string& path, const char* name, Value value) {
-    const bool there = object.HasMember(name);
-    if (there && object[name] == value) return;
-    out_.changed.push_back(path + name + ": " + (there ? shown(object[name]) : "(new)") + " -> " +
-                           shown(value));
-    if (there) {
+    const bool exists = object.HasMember(name);
+    if (exists && object[name] == value) return;
+    migration_.changed.push_back(path + name + ": " + (exists ? to_json(object[name]) : "(new)") + " -> " +
+                                 to_json(value));
+    if (exists) {
       object[name] = value;
     } else {
-      object.AddMember(Value(name, pool()), value, pool());
+      object.AddMember(Value(name, allocator()), value, allocator());
     }
   }
 
-  void drop(Value& object, const std::string& path, const char* name, const char* why) {
-    if (object.EraseMember(name)) leave(path + name, why);
+  void remove(Value& object, const std::string& path, const char* name, const char* step) {
+    if (object.EraseMember(name)) add_remaining_step(path + name, step);
   }
 
-  void leave(const std::string& key, const std::string& why) { out_.left.push_back(key + ": " + why); }
+  void add_remaining_step(const std::string& key, const std::string& step) {
+    migration_.remaining_steps.push_back(key + ": " + step);
+  }
 
-  void number(Value& settings, const char* name, const std::optional<int>& told, int least, const char* why) {
-    if (!told) return leave(std::string("settings.") + name, why);
-    if (*told < least) fields::bad(name, "is less than it can be");
-    set(settings, "settings.", name, Value(*told));
+  void set_number(Value& settings, const char* name, const std::optional<int>& value, int min,
+                  const char* step) {
+    if (!value) return add_remaining_step(std::string("settings.") + name, step);
+    if (*value < min) fields::bad(name, "is below its minimum");
+    set(settings, "settings.", name, Value(*value));
   }
 
-  // A node beside its client is reached by that client alone.
+  // Only the client on the same machine reaches the node.
   void bind_to_loopback(const char* name) {
     if (!document_.HasMember(name)) return;
-    const std::string old(fields::text(document_, name));
-    const std::size_t colon = old.rfind(':');
+    const std::string address(fields::text(document_, name));
+    const std::size_t colon = address.rfind(':');
     if (colon == std::string::npos) fields::bad(name, "is not an address with a port");
-    set(document_, "", name, text(kLoopback + old.substr(colon)));
+    set(document_, "", name, text(kLoopback + address.substr(colon)));
   }
 
   Document& document_;
-  Migration& out_;
+  Migration& migration_;
 };
 
-bool of_new_shape(const Document& document) {
+bool has_new_shape(const Document& document) {
   const Value& settings = document["settings"];
   const Json* const report = fields::find(settings, "Report");
   const Json* const allowed = fields::find(settings, "Allowed");
@@ -119,7 +125,7 @@
 
 }  // namespace
 
-Migration migrate(std::string_view text, const std::string& file, const NewShape& shape) {
+Migration migrate(std::string_view text, const std::string& file, const MigrationOptions& options) {
   Document document;
   document.Parse(text.data(), text.size());
   if (document.HasParseError()) {
@@ -128,14 +134,14 @@
   }
   Migration out;
   try {
-    parse_config(std::string(text), {});  // what a node would not start from is not translated either
-    if (of_new_shape(document)) {
-      out.already = true;
+    parse_config(std::string(text), {});  // rejects input that a node would not start with
+    if (has_new_shape(document)) {
+      out.already_migrated = true;
       return out;
     }
-    if (shape.nodes && shape.index && *shape.index >= *shape.nodes)
-      throw FieldError("--index is counted from 0, below --nodes");
-    Translator(document, out).run(shape);
+    if (options.nodes && options.index && *options.index >= *options.nodes)
+      throw FieldError("--index must be from 0 to --nodes - 1");
+    Migrator(document, out).run(options);
     rapidjson::StringBuffer buffer;
     rapidjson::PrettyWriter<rapidjson::StringBuffer> writer(buffer);
     writer.SetIndent(' ', 2);
--- a/src/node/migrate.h
+++ b/src/node/migrate.h
@@ -1,6 +1,6 @@
-// Turns a configuration of the old shape (a pool of nodes that clients reach over the network) into its
-// counterpart for the new one (a node beside each client process). It owns that translation and the list of
-// what it could not carry over. It must never touch a file: the command line reads and writes.
+// Migrates a JSON configuration for a pool of nodes that clients reach over the network (the old deployment
+// shape) to one for a node beside each client process (the new shape), and lists what could not be migrated.
+// No file I/O: the command line reads and writes the files.
 #pragma once
 
 #include <optional>
@@ -10,21 +10,22 @@
 
 namespace shorelead::node {
 
-// What only an operator knows; empty: not told, and said to be left.
-struct NewShape {
-  std::optional<int> nodes;  // client processes, each with its node
-  std::optional<int> index;  // which of them this is, from 0
+// Values that only the operator knows; each empty one is listed as a remaining step.
+struct MigrationOptions {
+  std::optional<int> nodes;  // number of client processes, each with a node
+  std::optional<int> index;  // of this node among them, from 0
 };
 
 struct Migration {
-  bool already = false;  // the text was of the new shape; nothing else is set
+  bool already_migrated = false;  // the input has the new shape; no other field is set
   std::string text;
   std::vector<std::string> changed;  // a line each: key, before, after
-  std::vector<std::string> left;     // a line each: what was not carried over, and what is to be done
+  std::vector<std::string>
+      remaining_steps;  // a line each: key that was not migrated, and what to do about it
 };
 
-// Throws FieldError with the place and the cause where the text is no configuration of a node, or the result
-// would be none. The same text and wishes give the same result.
-Migration migrate(std::string_view text, const std::string& file, const NewShape& shape);
+// Throws FieldError with the file and the cause if the input or the result is not a valid configuration. The
+// result depends on the arguments only.
+Migration migrate(std::string_view text, const std::string& file, const MigrationOptions& options);
 
 }  // namespace shorelead::node
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -710,11 +710,11 @@
       << "what is not of the shape stays";
   EXPECT_NE(done.text.find("\"Novel\""), std::string::npos) << "also keys that this version does not know";
   EXPECT_TRUE(names(done.changed, "settings.Report.Source"));
-  EXPECT_TRUE(names(done.left, "known") && names(done.left, "seed"));
-  EXPECT_FALSE(names(done.left, "settings.Instances"));
-  EXPECT_TRUE(names(migrate(config(), "old.json", {}).left, "settings.Instances"));
+  EXPECT_TRUE(names(done.remaining_steps, "known") && names(done.remaining_steps, "seed"));
+  EXPECT_FALSE(names(done.remaining_steps, "settings.Instances"));
+  EXPECT_TRUE(names(migrate(config(), "old.json", {}).remaining_steps, "settings.Instances"));
   EXPECT_EQ(migrate(config(), "old.json", {97, 3}).text, done.text);
-  EXPECT_TRUE(migrate(done.text, "new.json", {97, 3}).already);
+  EXPECT_TRUE(migrate(done.text, "new.json", {97, 3}).already_migrated);
   EXPECT_THROW(migrate(config(), "old.json", {97, 97}), FieldError);
 }
 
