--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -73,11 +73,11 @@
 
 }  // namespace
 
-void Shape::covers(const Shape& before) const {
-  for (const std::string& key : before.keys) {
+void ConfigKeys::require_all_of(const ConfigKeys& before) const {
+  for (const std::string& key : before.paths) {
     const std::string array_marker = key.substr(0, key.rfind('.') + 1);
-    if (key == array_marker || keys.count(array_marker) > 0) continue;  // of an empty array
-    if (keys.count(key) == 0) fields::bad(key.c_str(), "is missing, but the running configuration has it");
+    if (key == array_marker || paths.count(array_marker) > 0) continue;  // of an empty array
+    if (paths.count(key) == 0) fields::bad(key.c_str(), "is missing, but the running configuration has it");
   }
 }
 
@@ -138,8 +138,8 @@
   const Json& settings = fields::object(document, "settings");
   config.settings = parse_settings(settings);
   config.host = parse_host_settings(settings);
-  config.shape.keys = collect_keys(document, "");
-  check_keys(config.shape.keys, config.settings.list_on_request);
+  config.keys.paths = collect_keys(document, "");
+  check_keys(config.keys.paths, config.settings.list_on_request);
   check_values(config.settings, config.host);
   // Features of the decision module that have no wire format between nodes.
   if (config.settings.peer_messages) {
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -30,11 +30,11 @@
 
 // The keys present in a JSON configuration, as dotted paths; empty for .shore files. A reload must not lose a
 // key that the running configuration has.
-struct Shape {
-  std::set<std::string> keys;
+struct ConfigKeys {
+  std::set<std::string> paths;
 
   // Throws FieldError with the first key of `before` that is missing here.
-  void covers(const Shape& before) const;
+  void require_all_of(const ConfigKeys& before) const;
 };
 
 // Maps requests to classes and pools where routes are configured; without routes, the first path segment
@@ -64,7 +64,7 @@
   std::optional<Poco::Net::SocketAddress> admin;  // none: no admin server is started
   std::uint64_t seed = 0;
   Limits limits;
-  Shape shape;
+  ConfigKeys keys;
   List known;
   Settings settings;
   HostSettings host;
--- a/src/node/config_reloader.cpp
+++ b/src/node/config_reloader.cpp
@@ -23,7 +23,7 @@
   Config fresh;
   try {
     fresh = read();
-    fresh.shape.covers(host_.shape());
+    fresh.keys.require_all_of(host_.keys());
   } catch (const UnreadableConfig& error) {
     if (++tries_ >= kMostTries) return refuse("reloaded", error);
     spdlog::warn("configuration not read, it is read again: {}", error.what());
--- a/src/node/config_reloader.h
+++ b/src/node/config_reloader.h
@@ -15,8 +15,8 @@
  public:
   using Read = std::function<Config()>;
   struct Host {
-    std::function<const Shape&()> shape;  // of the file in force, whose keys a new one has to have
-    std::function<void(Config)> take_up;  // throws where that cannot be; all is as before then
+    std::function<const ConfigKeys&()> keys;  // of the running configuration; a new one must have all of them
+    std::function<void(Config)> take_up;      // throws where that cannot be; all is as before then
   };
 
   ConfigReloader(Loop& loop, Host host) : loop_(loop), host_(std::move(host)) {}
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -23,9 +23,9 @@
       recorder_(loop),
       config_(config),
       limits_(config.limits),
-      shape_(config.shape),
+      keys_in_force_(config.keys),
       waits_(waits),
-      reloader_(loop, {[this]() -> const Shape& { return shape_; },
+      reloader_(loop, {[this]() -> const ConfigKeys& { return keys_in_force_; },
                        [this](Config fresh) { take_up(std::move(fresh)); }}),
       admissions_(loop, place.inherited.has_value(),
                   [this](RequestId request) { request_table_.again(request); }),
@@ -210,7 +210,7 @@
     flows_->state(flow_bytes());
     throw;
   }
-  shape_ = std::move(fresh.shape);
+  keys_in_force_ = std::move(fresh.keys);
 }
 
 void Server::log_counters() const {
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -78,7 +78,7 @@
   Recorder recorder_;
   const Config& config_;  // as at the start
   Limits limits_;
-  Shape shape_;  // of the file in force
+  ConfigKeys keys_in_force_;  // of the running configuration
   const Waits waits_;
   ConfigReloader reloader_;
   std::shared_ptr<net::FlowBudget> flows_;  // memory for bodies that are not kept whole
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -113,7 +113,7 @@
   const Config in_force = parse_config(config(), {});
   const auto refused = [&in_force](const std::string& text, const std::string& words) {
     try {
-      parse_config(text, {}).shape.covers(in_force.shape);
+      parse_config(text, {}).keys.require_all_of(in_force.keys);
       ADD_FAILURE() << "accepted: " << text;
     } catch (const FieldError& error) {
       EXPECT_NE(std::string(error.what()).find(words), std::string::npos) << error.what();
@@ -163,7 +163,7 @@
   // Other classes with other effects are no broken file, whatever keys only some of the old ones had.
   EXPECT_NO_THROW(
       parse_config(config(R"("Effect":"token","Group":"zone","DedupWindow":800)", R"("Effect":"pure")"), {})
-          .shape.covers(in_force.shape));
+          .keys.require_all_of(in_force.keys));
 }
 
 TEST(Config, AFileThatIsNotThereIsNamed) {
--- a/tests/crossings/settings_keys_test.cpp
+++ b/tests/crossings/settings_keys_test.cpp
@@ -54,10 +54,10 @@
 }
 
 // How a file is refused; empty: it is taken.
-std::string refusal(const std::string& text, const Shape* in_force) {
+std::string refusal(const std::string& text, const ConfigKeys* in_force) {
   try {
     const Config fresh = parse_config(text, {});
-    if (in_force != nullptr) fresh.shape.covers(*in_force);
+    if (in_force != nullptr) fresh.keys.require_all_of(*in_force);
     return {};
   } catch (const FieldError& error) {
     return error.what();
@@ -115,7 +115,7 @@
   Made whole = made(chance);
   while (whole.classes.size() > 4) whole.classes.pop_back();
   const Config in_force = parse_config(whole.text(), {});
-  RC_ASSERT(refusal(whole.text(), &in_force.shape).empty());
+  RC_ASSERT(refusal(whole.text(), &in_force.keys).empty());
   std::vector<Keys> all;
   all_keys(read(whole.text()), {}, all);
   for (const Keys& path : all) {
@@ -130,7 +130,7 @@
     if (!named && !(at_start.empty() && may_be_absent(key, whole)))
       RC_FAIL("without " + key + " the start says \"" + at_start + "\": " + text);
     if (of_some_classes(key) || path.front() == "known") continue;
-    if (refusal(text, &in_force.shape).find(key) == std::string::npos)
+    if (refusal(text, &in_force.keys).find(key) == std::string::npos)
       RC_FAIL("without " + key + " a reload takes " + text);
   }
 }
@@ -140,7 +140,7 @@
   Chance chance(*rc::gen::arbitrary<std::uint32_t>());
   const Config in_force = parse_config(made(chance).text(), {});
   const std::string next = made(chance).text();
-  if (!refusal(next, &in_force.shape).empty()) RC_FAIL(refusal(next, &in_force.shape) + ": " + next);
+  if (!refusal(next, &in_force.keys).empty()) RC_FAIL(refusal(next, &in_force.keys) + ": " + next);
 }
 
 // Of another kind, or out of its range.
