--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// What a node is told before it starts: every field that is missing or wrong is named.
+// Parsing, validation, comparison and migration of a node's configuration in all its formats.
 #include "node/config.h"
 
 #include <gtest/gtest.h>
@@ -39,7 +39,7 @@
   return text;
 }
 
-TEST(Config, ReadsAllThatTheNodeNeeds) {
+TEST(Config, ParsesEveryField) {
   const Config read = parse_config(config(), {});
   EXPECT_EQ(read.name, "n3");
   EXPECT_EQ(read.listen.toString(), "127.0.0.4:8081");
@@ -58,15 +58,15 @@
   EXPECT_TRUE(read.settings.list_on_request);
 }
 
-TEST(Config, WhatIsGivenOutsideTheFileWins) {
+TEST(Config, OverridesTakePrecedenceOverTheFile) {
   const Config read = parse_config(config(), {"n9", "127.0.0.7:1", "127.0.0.8:2"});
   EXPECT_EQ(read.name, "n9");
   EXPECT_EQ(read.listen.toString(), "127.0.0.7:1");
   EXPECT_EQ(read.discovery.toString(), "127.0.0.8:2");
 }
 
-// The variables are those of the start; a file that is read again names where discovery is now.
-TEST(Config, AFileReadAgainWinsOverTheVariableForDiscovery) {
+// Environment variables date from the start of the process, so the address in a reloaded file is newer.
+TEST(Config, AtAReloadTheFilesDiscoveryAddressTakesPrecedenceOverTheVariable) {
   const std::string path = testing::TempDir() + "shorelead_config_test.json";
   std::ofstream(path) << config();
   const Overrides variables{"n9", "127.0.0.7:1", "127.0.0.8:2"};
@@ -82,8 +82,8 @@
   std::remove(path.c_str());
 }
 
-TEST(Config, NamesTheFieldAndTheCause) {
-  const auto refused = [](const std::string& text, const std::string& words) {
+TEST(Config, ErrorsNameTheFieldAndTheCause) {
+  const auto expect_error = [](const std::string& text, const std::string& words) {
     try {
       parse_config(text, {});
       ADD_FAILURE() << "accepted: " << words;
@@ -91,27 +91,26 @@
       EXPECT_NE(std::string(error.what()).find(words), std::string::npos) << error.what();
     }
   };
-  refused("{", "broken JSON");
-  refused("[]", "not a JSON object");
-  refused(config(R"("name":"n3",)"), "\"name\" is missing");
-  refused(config("127.0.0.4:8081", "here:80"), "\"listen\" is not an address");
-  refused(config("127.0.0.5:8500", "127.0.0.5"), "\"discovery\" is not an address");
-  refused(config("127.0.0.5:8500", "127.0.0.5:70000"), "\"discovery\" is not an address");
-  refused(config("8c1f30d27a5be964", "xyz"), "\"seed\"");
-  refused(config("\"sockets\":1024", "\"sockets\":12"), "\"sockets\"");
-  refused(config("\"seq\":41", "\"seq\":-1"), "\"seq\"");
-  refused(config("127.0.0.9:8081", "nowhere"), "\"dial\"");
-  refused(config("\"health\":\"ready\",", ""), "\"health\" is missing");
-  refused(config("\"Effect\":\"token\"", "\"Effect\":\"odd\""), "unknown Effect");
-  refused(config("\"Name\":\"charge\",", ""), "\"Name\" is missing");
-  refused(config("\"Allowed\"", "\"Other\""), "\"Allowed\" is missing");
-}
-
-// Every way in which a file can be broken, each refused with words that name the place; what stands is not
-// touched.
-TEST(Config, BrokenSettingsAreRefusedWithTheKeyAndTheReason) {
+  expect_error("{", "broken JSON");
+  expect_error("[]", "not a JSON object");
+  expect_error(config(R"("name":"n3",)"), "\"name\" is missing");
+  expect_error(config("127.0.0.4:8081", "here:80"), "\"listen\" is not an address");
+  expect_error(config("127.0.0.5:8500", "127.0.0.5"), "\"discovery\" is not an address");
+  expect_error(config("127.0.0.5:8500", "127.0.0.5:70000"), "\"discovery\" is not an address");
+  expect_error(config("8c1f30d27a5be964", "xyz"), "\"seed\"");
+  expect_error(config("\"sockets\":1024", "\"sockets\":12"), "\"sockets\"");
+  expect_error(config("\"seq\":41", "\"seq\":-1"), "\"seq\"");
+  expect_error(config("127.0.0.9:8081", "nowhere"), "\"dial\"");
+  expect_error(config("\"health\":\"ready\",", ""), "\"health\" is missing");
+  expect_error(config("\"Effect\":\"token\"", "\"Effect\":\"odd\""), "unknown Effect");
+  expect_error(config("\"Name\":\"charge\",", ""), "\"Name\" is missing");
+  expect_error(config("\"Allowed\"", "\"Other\""), "\"Allowed\" is missing");
+}
+
+// Truncated files, missing keys and bad values: each is rejected with a message that names the key.
+TEST(Config, InvalidSettingsAreRejectedWithTheKeyAndTheCause) {
   const Config in_force = parse_config(config(), {});
-  const auto refused = [&in_force](const std::string& text, const std::string& words) {
+  const auto expect_error = [&in_force](const std::string& text, const std::string& words) {
     try {
       parse_config(text, {}).keys.require_all_of(in_force.keys);
       ADD_FAILURE() << "accepted: " << text;
@@ -122,7 +121,7 @@
   int count = 0;
   const std::string whole = config();
   for (std::size_t cut = 0; cut < whole.size(); cut += whole.size() / 40, ++count)
-    refused(whole.substr(0, cut), "broken JSON");
+    expect_error(whole.substr(0, cut), "broken JSON");
   const std::vector<std::pair<std::string, std::string>> without = {
       {R"("Aim":400,)", "Aim"},
       {R"("GiveUp":1000,)", "GiveUp"},
@@ -142,7 +141,7 @@
       {R"("seed":"8c1f30d27a5be964",)", "seed"},
       {R"("Azs":["a","b"],)", "Azs"},
       {R"(,"sockets":1024)", "sockets"}};
-  for (const auto& [key, name] : without) refused(config(key, ""), name), ++count;
+  for (const auto& [key, name] : without) expect_error(config(key, ""), name), ++count;
   const std::vector<std::tuple<std::string, std::string, std::string>> wrong = {
       {"\"GiveUp\":1000", "\"GiveUp\":0", "\"GiveUp\" of \"check\" is not over 0"},
       {"\"GiveUp\":1000", "\"GiveUp\":-5", "\"GiveUp\" of \"check\" is not over 0"},
@@ -158,15 +157,15 @@
       {"\"Group\":\"zone\"", "\"Group\":\"planet\"", "unknown Group"},
       {"\"Effect\":\"token\"", "\"Effect\":5", "\"Effect\""},
       {"\"Probing\":true", "\"Probing\":1", "\"Probing\""}};
-  for (const auto& [from, to, words] : wrong) refused(config(from, to), words), ++count;
+  for (const auto& [from, to, words] : wrong) expect_error(config(from, to), words), ++count;
   EXPECT_GE(count, 60);
-  // Other classes with other effects are no broken file, whatever keys only some of the old ones had.
+  // Classes may change their effect at a reload, and with it lose the keys that depend on the effect.
   EXPECT_NO_THROW(
       parse_config(config(R"("Effect":"token","Group":"zone","DedupWindow":800)", R"("Effect":"pure")"), {})
           .keys.require_all_of(in_force.keys));
 }
 
-TEST(Config, AFileThatIsNotThereIsNamed) {
+TEST(Config, TheErrorForAMissingFileNamesIt) {
   try {
     load_config("/nonexistent/config.json", {}, {}, false);
     ADD_FAILURE();
@@ -175,15 +174,15 @@
   }
 }
 
-// A backend that is gone may come without the address it had.
+// A list may omit the address of a backend that is gone.
 TEST(Config, GoneBackendsNeedNoAddress) {
   rapidjson::Document document;
   document.Parse(R"({"seq":2,"whole":false,"hosts":[{"host":"s-1","health":"gone"}]})");
   EXPECT_EQ(parse_list(document).backends.at(0).health, "gone");
 }
 
-// The file of our own: a mistake is named with its line, and nothing of it passes for a default.
-TEST(OwnFile, MistakesAreNamedWithTheirPlace) {
+// An unknown key or a bad value in the platform file is an error, never replaced by a default.
+TEST(PlatformFile, ErrorsNameFileLineAndCause) {
   const std::pair<const char*, const char*> cases[] = {
       {"[subset]\nsise = 50",
        "own.toml:2: [subset] has no key \"sise\"; it knows: size, above, slack, nodes, index"},
@@ -202,7 +201,7 @@
     Config read = parse_config(config(), {});
     try {
       apply_platform_file(text, "own.toml", read);
-      ADD_FAILURE() << text << " was taken";
+      ADD_FAILURE() << text << " was accepted";
     } catch (const FieldError& error) {
       EXPECT_EQ(std::string(error.what()).substr(0, std::string(cause).size()), cause) << text;
     }
@@ -211,9 +210,9 @@
   EXPECT_THROW(load_platform_file("/nowhere/own.toml", read), FieldError);
 }
 
-TEST(OwnFile, ThePlatformsFileHalvesWhoMeetsAtABackendOfAGrownFleet) {
-  // 100 nodes before 60 backends, where connections at a backend are scarce. With the file that `run` names,
-  // at most 65 nodes have a backend in hand; a fleet of the first size is worked with whole.
+TEST(PlatformFile, TheDeployedFileLimitsNodesPerBackendInALargeFleet) {
+  // 100 nodes and 60 backends, each with few connections. With deploy/platform.toml at most 65 nodes connect
+  // to a backend; with 14 backends every node uses all of them.
   for (const int backends : {60, 14}) {
     std::map<std::string, int> nodes;
     for (int me = 0; me < 100; ++me) {
@@ -223,15 +222,15 @@
       subset::Subset subset(*read.fleet.subset, subset::Place{0, me, 100});
       for (int n = 0; n < backends; ++n) subset.put({"s-" + std::to_string(n), n % 3, 1, true});
       subset.settle();
-      EXPECT_LE(subset.size(), backends == 60 ? 38 : 14);  // with the slack of a quarter
+      EXPECT_LE(subset.size(), backends == 60 ? 38 : 14);  // 30 and the slack of a quarter
       for (const std::string& id : subset.members()) ++nodes[id];
     }
     for (const auto& [id, count] : nodes) EXPECT_LE(count, backends == 60 ? 65 : 100) << id;
-    EXPECT_EQ(nodes.size(), static_cast<std::size_t>(backends)) << "each box has somebody";
+    EXPECT_EQ(nodes.size(), static_cast<std::size_t>(backends)) << "each backend is used by a node";
   }
 }
 
-TEST(OwnFile, TheNodesPlaceIsThePlatformsUnlessItTells) {
+TEST(PlatformFile, NodeCountAndIndexComeFromTheJsonUnlessSet) {
   Config read = parse_config(config(), {});
   apply_platform_file("", "own.toml", read);
   EXPECT_FALSE(read.fleet.subset);  // off unless set
@@ -247,9 +246,9 @@
   EXPECT_EQ(read.settings.most_probes_backend, 2.5);
 }
 
-// ---- the same in our own language ----
+// ---- the configuration language ----
 
-const std::string kShore = R"(
+const std::string kShoreText = R"(
 node n3 { listen 127.0.0.4:8081; discovery 127.0.0.5:8500; seed 8c1f30d27a5be964; memory 192 MiB; nodes 2; index 1; zone b }
 class check { effect keyed; group zone; window 800 ms; aim 400 ms; give_up 1 s }
 class charge { effect unsafe; aim 400 ms; give_up 1 s }
@@ -259,17 +258,17 @@
 }
 )";
 
-Config shore(const std::string& text, const Overrides& overrides = {}) {
+Config load(const std::string& text, const Overrides& overrides = {}) {
   language::Reader reader;
   reader.read = [&text](const std::string&) { return std::optional(text); };
   reader.glob = [](const std::string&) { return std::vector<std::string>(); };
   return load_shore("n3.shore", overrides, reader);
 }
 
-// A deployment said in both forms is the same to the node, field by field.
-TEST(Shore, SaysWhatTheJsonSays) {
+// The same deployment in both formats gives the same configuration, field by field.
+TEST(Shore, GivesTheSameConfigAsTheJson) {
   const Config a = parse_config(config(), {});
-  const Config b = shore(kShore);
+  const Config b = load(kShoreText);
   EXPECT_EQ(a.name, b.name);
   EXPECT_EQ(a.listen, b.listen);
   EXPECT_EQ(a.discovery, b.discovery);
@@ -298,7 +297,7 @@
   EXPECT_FALSE(b.fleet.subset);
 }
 
-TEST(Shore, WhatOnlyTheNodeCanTellIsAMistakeWithItsPlace) {
+TEST(Shore, ErrorsFoundByTheBindingNameTheirPlace) {
   const std::pair<const char*, const char*> changes[] = {
       {"discovery 127.0.0.5:8500", "discovery boxes.example.org:8500"},
       {"seed 8c1f30d27a5be964", "seed 8c1f30d27a5be964x"},
@@ -306,41 +305,41 @@
       {"attempts 3", "attempts 6"},
   };
   for (const auto& [from, to] : changes) {
-    std::string text = kShore;
+    std::string text = kShoreText;
     text.replace(text.find(from), std::string(from).size(), to);
     try {
-      shore(text);
-      ADD_FAILURE() << to << " was taken";
+      load(text);
+      ADD_FAILURE() << to << " was accepted";
     } catch (const FieldError& error) {
       EXPECT_EQ(std::string(error.what()).rfind("n3.shore:", 0), 0U) << error.what();
     }
   }
-  EXPECT_EQ(shore(kShore, {"n9", "127.0.0.9:1", ""}).listen.toString(), "127.0.0.9:1");  // a flag wins
+  EXPECT_EQ(load(kShoreText, {"n9", "127.0.0.9:1", ""}).listen.toString(), "127.0.0.9:1");  // overridden
 }
 
-// Routes are compiled when the file is read; what cannot be reached is said with both places.
-TEST(Shore, RoutesLeadToClassesOrAreRefused) {
+// Routes are compiled on load; an unreachable route is an error that names its place and the other route's.
+TEST(Shore, RoutesResolveToClassesAndUnreachableOnesAreRejected) {
   const std::string routes =
       "route results { path \"/v1/{id}/result\"; methods GET; header X-Version 2; class check }\n"
       "route rest { host *.example.org; path /v1/*; class charge }\n";
-  const Config with = shore(kShore + routes);
+  const Config with = load(kShoreText + routes);
   ASSERT_TRUE(with.routes);
-  const std::function<std::string_view(std::string_view)> two = [](std::string_view name) {
+  const std::function<std::string_view(std::string_view)> version_header = [](std::string_view name) {
     return name == "x-version" ? "2" : "";
   };
   const auto to = [&](std::string_view host, std::string_view path) -> std::string {
-    const auto rule = with.routes->table.find({host, path, "GET", &two});
+    const auto rule = with.routes->table.find({host, path, "GET", &version_header});
     return rule ? with.routes->routes[*rule].name + " " +
                       std::to_string(with.routes->routes[*rule].request_class)
                 : "";
   };
   EXPECT_EQ(to("h", "/v1/7/result"), "results 0");
-  EXPECT_EQ(to("a.example.org:80", "/v1/7/result"), "rest 1");  // a host that is told goes before any
+  EXPECT_EQ(to("a.example.org:80", "/v1/7/result"), "rest 1");  // a rule with a host has precedence
   EXPECT_EQ(to("h", "/v2"), "");
-  EXPECT_FALSE(shore(kShore).routes);
+  EXPECT_FALSE(load(kShoreText).routes);
   try {
-    shore(kShore + routes + "route again { host *.EXAMPLE.org; path /v1/*; class check }\n");
-    ADD_FAILURE() << "a route that is never reached was taken";
+    load(kShoreText + routes + "route again { host *.EXAMPLE.org; path /v1/*; class check }\n");
+    ADD_FAILURE() << "an unreachable route was accepted";
   } catch (const FieldError& error) {
     EXPECT_EQ(std::string(error.what()),
               "n3.shore:11: error: route again: it is never reached: another route takes the same requests\n"
@@ -348,18 +347,18 @@
   }
 }
 
-// The difference is of what the node goes by: other words, another order and what is so anyway are none.
-TEST(Shore, TheDifferenceIsOfBehaviour) {
+// Other units, another order and defaults that are spelled out make no difference.
+TEST(Shore, DifferencesAreOfBehaviourNotOfText) {
   const std::string routes = "route a { path \"/v1/{id}\"; methods GET POST; class check }\n";
   const std::string same =
       "route z { methods POST; path \"/v1/{key}\"; class check }\nroute y { methods GET; path \"/v1/{n}\"; "
       "class check }\n";
-  std::string reordered = kShore + same;
+  std::string reordered = kShoreText + same;
   const std::pair<const char*, const char*> words[] = {
       {"aim 400 ms; give_up 1 s }\nclass charge", "give_up 1000 ms; aim 0.4 s; worth 1 }\nclass charge"},
       {"attempts 3; idle 60 s", "idle 1 min; probing yes"}};
   for (const auto& [from, to] : words) reordered.replace(reordered.find(from), std::string(from).size(), to);
-  EXPECT_TRUE(differences(shore(kShore + routes), shore(reordered)).empty());
+  EXPECT_TRUE(differences(load(kShoreText + routes), load(reordered)).empty());
   const std::pair<const char*, const char*> changes[] = {
       {"attempts 3", "attempts 2"},
       {"give_up 1 s", "give_up 2 s"},
@@ -373,28 +372,27 @@
       {"pool main {", "pool main { subset { }"},
   };
   for (const auto& [from, to] : changes) {
-    std::string text = kShore + routes;
+    std::string text = kShoreText + routes;
     text.replace(text.find(from), std::string(from).size(), to);
-    EXPECT_FALSE(differences(shore(kShore + routes), shore(text)).empty()) << to;
+    EXPECT_FALSE(differences(load(kShoreText + routes), load(text)).empty()) << to;
   }
-  const auto moved = differences(shore(kShore), shore(kShore + routes));
-  ASSERT_EQ(moved.size(), 3U);
-  EXPECT_EQ(moved[0].what, "route GET any host /v1/{}");
-  EXPECT_EQ(moved[0].after, "class check, pool main");
-  EXPECT_EQ(moved[2].what, "routes");
+  const auto found = differences(load(kShoreText), load(kShoreText + routes));
+  ASSERT_EQ(found.size(), 3U);
+  EXPECT_EQ(found[0].what, "route GET any host /v1/{}");
+  EXPECT_EQ(found[0].after, "class check, pool main");
+  EXPECT_EQ(found[2].what, "routes");
 }
 
 // ---- properties of whole configurations ----
 
-// A configuration as a few choices, so that two that differ in one of them can be had; said in an order and
-// in words that are drawn anew each time.
+// Choices that make up a configuration; a test can vary one. The text has random order and wording.
 struct Choices {
   int classes = 1;
   int pools = 1;
   std::vector<int> aims;       // by class
   std::vector<int> attempts;   // by pool
-  std::vector<int> fallbacks;  // by pool: a later one, or none
-  struct Way {
+  std::vector<int> fallbacks;  // by pool: a later one, or itself for none
+  struct RouteChoice {
     int host = 0;
     int path = 0;
     int method = 0;
@@ -402,7 +400,7 @@
     int pool = 0;
     int share = 100;  // of `pool`; the rest goes to the next
   };
-  std::vector<Way> ways;  // no two take the same requests
+  std::vector<RouteChoice> routes;  // no two match the same requests
 };
 
 const char* const kHosts[] = {"", "a.example.org", "*.example.org"};
@@ -416,27 +414,28 @@
   for (int n = 0; n < c.classes; ++n) c.aims.push_back(*rc::gen::inRange(100, 105));
   for (int n = 0; n < c.pools; ++n) {
     c.attempts.push_back(*rc::gen::inRange(1, 6));
-    c.fallbacks.push_back(*rc::gen::inRange(n, c.pools));  // itself: none
+    c.fallbacks.push_back(*rc::gen::inRange(n, c.pools));  // itself = none
   }
-  std::set<std::tuple<int, int, int>> told;
+  std::set<std::tuple<int, int, int>> seen;
   for (int n = *rc::gen::inRange(1, 8); n > 0; --n) {
-    Choices::Way way{*rc::gen::inRange(0, 3),       *rc::gen::inRange(0, 5),
-                     *rc::gen::inRange(0, 3),       *rc::gen::inRange(0, c.classes),
-                     *rc::gen::inRange(0, c.pools), *rc::gen::element(100, 100, 60)};
-    if (c.pools == 1) way.share = 100;
-    if (told.emplace(way.host, way.path, way.method).second) c.ways.push_back(way);
+    Choices::RouteChoice route{*rc::gen::inRange(0, 3),       *rc::gen::inRange(0, 5),
+                               *rc::gen::inRange(0, 3),       *rc::gen::inRange(0, c.classes),
+                               *rc::gen::inRange(0, c.pools), *rc::gen::element(100, 100, 60)};
+    if (c.pools == 1) route.share = 100;
+    if (seen.emplace(route.host, route.path, route.method).second) c.routes.push_back(route);
   }
   return c;
 }
 
-std::string gen_said(const Choices& c) {
+std::string gen_text(const Choices& c) {
   std::vector<std::string> blocks{"node n { listen 127.0.0.1:1; discovery 127.0.0.1:2; seed 1f }\n"};
   const auto name = [](const char* kind, int n) { return kind + std::to_string(n); };
   for (int n = 0; n < c.classes; ++n) {
     const int aim = c.aims[static_cast<std::size_t>(n)];
-    const std::string as =
+    const std::string aim_text =
         *rc::gen::arbitrary<bool>() ? std::to_string(aim) + " ms" : "0." + std::to_string(aim) + "s";
-    blocks.push_back("class " + name("c", n) + " {\n effect safe # why\n give_up 1 s\n aim " + as + " }\n");
+    blocks.push_back("class " + name("c", n) + " {\n effect safe # why\n give_up 1 s\n aim " + aim_text +
+                     " }\n");
   }
   for (int n = 0; n < c.pools; ++n) {
     const int other = c.fallbacks[static_cast<std::size_t>(n)];
@@ -446,19 +445,19 @@
                      (*rc::gen::arbitrary<bool>() ? "; probing yes }\n" : " }\n"));
   }
   int number = 0;
-  for (const Choices::Way& way : c.ways) {
+  for (const Choices::RouteChoice& route : c.routes) {
     std::string text = "route r" + std::to_string(*rc::gen::inRange(0, 1000) * 10 + number++) + " {";
-    if (way.host > 0) text.append(" host ").append(kHosts[way.host]).append(";");
+    if (route.host > 0) text.append(" host ").append(kHosts[route.host]).append(";");
     text.append(" path \"")
-        .append(kPaths[way.path])
+        .append(kPaths[route.path])
         .append("\"; class ")
-        .append(name("c", way.request_class));
-    if (way.method > 0) text.append("; methods ").append(kMethods[way.method]);
-    if (way.share == 100) {
-      text.append("; pool ").append(name("p", way.pool));
+        .append(name("c", route.request_class));
+    if (route.method > 0) text.append("; methods ").append(kMethods[route.method]);
+    if (route.share == 100) {
+      text.append("; pool ").append(name("p", route.pool));
     } else {
-      const std::string first = "; split " + name("p", way.pool) + " 60 %";
-      const std::string second = "; split " + name("p", (way.pool + 1) % c.pools) + " 40 %";
+      const std::string first = "; split " + name("p", route.pool) + " 60 %";
+      const std::string second = "; split " + name("p", (route.pool + 1) % c.pools) + " 40 %";
       text += *rc::gen::arbitrary<bool>() ? first + second : second + first;
       text.append("; by X-Client-ID");
     }
@@ -472,9 +471,9 @@
   return all;
 }
 
-// What becomes of a request, in words that do not hang on the file's names for routes.
-std::string fate(const Config& config, std::string_view host, std::string_view path, std::string_view method,
-                 std::string_view client) {
+// Describes the class, pools and attempts that a request gets, independent of route names.
+std::string outcome(const Config& config, std::string_view host, std::string_view path,
+                    std::string_view method, std::string_view client) {
   const auto rule = config.routes->table.find({host, path, method, nullptr});
   if (!rule) return "404";
   const routing::Route& route = config.routes->routes[*rule];
@@ -488,12 +487,12 @@
   return text;
 }
 
-bool same_fates(const Config& a, const Config& b) {
+bool same_outcomes(const Config& a, const Config& b) {
   for (const char* host : {"a.example.org", "b.example.org", "c.org"}) {
     for (const char* path : {"/", "/v1/a", "/v1/7", "/v1/7/x", "/v2"}) {
       for (const char* method : {"GET", "POST", "PUT"}) {
         for (const char* client : {"1", "2", "3", "4"}) {
-          if (fate(a, host, path, method, client) != fate(b, host, path, method, client)) return false;
+          if (outcome(a, host, path, method, client) != outcome(b, host, path, method, client)) return false;
         }
       }
     }
@@ -501,22 +500,22 @@
   return true;
 }
 
-// The same said in another order and other words is no difference, and neither is what the formatter makes.
-RC_GTEST_PROP(Shore, NoDifferenceWhereOnlyTheWordsDiffer, ()) {
+// The same choices in another order and wording, or formatted, make no difference.
+RC_GTEST_PROP(Shore, NoDifferenceForAnEquivalentText, ()) {
   const Choices choices = gen_choices();
-  const std::string text = gen_said(choices);
-  const Config one = shore(text);
-  const Config other = shore(gen_said(choices));
+  const std::string text = gen_text(choices);
+  const Config one = load(text);
+  const Config other = load(gen_text(choices));
   RC_LOG() << text;
   RC_ASSERT(differences(one, other).empty());
-  RC_ASSERT(same_fates(one, other));
-  const Config formatted = shore(language::format(language::parse(text, "t")));
+  RC_ASSERT(same_outcomes(one, other));
+  const Config formatted = load(language::format(language::parse(text, "t")));
   RC_ASSERT(differences(one, formatted).empty());
 }
 
-// Where any request fares otherwise, the difference says something; and each pool knows every class that can
-// come to it, by a number of its own.
-RC_GTEST_PROP(Shore, ADifferenceWhereARequestFaresOtherwise, ()) {
+// If any request has another outcome, there is a difference; and each pool has every class that can reach it,
+// under its own number.
+RC_GTEST_PROP(Shore, ADifferenceWhereverARequestHasAnotherOutcome, ()) {
   const Choices before = gen_choices();
   Choices after = before;
   switch (*rc::gen::inRange(0, 5)) {
@@ -527,19 +526,19 @@
       after.attempts.back() = after.attempts.back() % 5 + 1;
       break;
     case 2:
-      after.ways.pop_back();
+      after.routes.pop_back();
       break;
     case 3:
-      after.ways.front().pool = (after.ways.front().pool + 1) % after.pools;
+      after.routes.front().pool = (after.routes.front().pool + 1) % after.pools;
       break;
     default:
       after.fallbacks[0] = after.pools - 1;
       break;
   }
-  RC_PRE(!after.ways.empty());
-  const Config one = shore(gen_said(before));
-  const Config other = shore(gen_said(after));
-  if (differences(one, other).empty()) RC_ASSERT(same_fates(one, other));
+  RC_PRE(!after.routes.empty());
+  const Config one = load(gen_text(before));
+  const Config other = load(gen_text(after));
+  if (differences(one, other).empty()) RC_ASSERT(same_outcomes(one, other));
   for (const routing::Route& route : one.routes->routes) {
     for (const routing::Arm& arm : route.arms) {
       for (int pool = arm.pool; pool >= 0; pool = one.pools[static_cast<std::size_t>(pool)].fallback) {
@@ -554,7 +553,7 @@
   }
 }
 
-// A pool that goes on under another name is one line, not a list of all that it was.
+// A pool that was only renamed is one line, not a removed and an added pool.
 TEST(Shore, ARenamedPoolIsOneDifference) {
   const std::string text =
       "node n { listen 127.0.0.1:1; discovery 127.0.0.1:2; seed 1f }\nclass c { effect safe; aim 1 s; "
@@ -567,15 +566,15 @@
     const std::size_t at = renamed.find(from);
     renamed.replace(renamed.find(" a", at), 2, " aa");
   }
-  const auto found = differences(shore(text), shore(renamed));
+  const auto found = differences(load(text), load(renamed));
   ASSERT_EQ(found.size(), 1U) << found[1].what << ": " << found[1].before << " -> " << found[1].after;
   EXPECT_EQ(found[0].what, "pool a: name");
   EXPECT_EQ(found[0].after, "aa");
 }
 
-// ---- lists in slices ----
+// ---- sliced parsing of lists ----
 
-// What a reader says of a text: "ok", or that it refuses.
+// Parses a whole list; returns "ok" or "refused".
 std::string read_whole(const std::string& text, List& list) {
   rapidjson::Document document;
   document.Parse(text.data(), text.size());
@@ -599,9 +598,9 @@
   return "ok";
 }
 
-// A list read in slices is the list read at once, whatever stands in it and wherever a slice ends; and what
-// the one refuses the other does: nothing is passed over.
-TEST(ListReader, ReadsWhatIsReadAtOnce) {
+// ListReader, which parses in slices, gives the same list or the same rejection as parsing at once, wherever
+// a slice ends.
+TEST(ListReader, SlicedParsingEqualsWholeParsing) {
   const std::string entry = R"({"host":"s-1","dial":"127.0.0.9:81","site":"b","health":"ready","share":2})";
   const std::string odd = R"({"host":"]}\\\"{[,","dial":"127.0.0.9:81","health":"ready","new":{"a":[1,{}]}})";
   const std::string cases[] = {
@@ -637,12 +636,12 @@
   }
 }
 
-// The same for texts hurt at any byte.
-RC_GTEST_PROP(ListReader, AgreesOnHurtTexts, ()) {
+// The same for texts corrupted at random bytes.
+RC_GTEST_PROP(ListReader, SlicedAndWholeParsingAgreeOnCorruptedTexts, ()) {
   std::string text = R"({"seq":4,"hosts":[{"host":"s-\"1","dial":"127.0.0.9:81","health":"ready"},)"
                      R"({"host":"s-2","health":"gone"}],"whole":true})";
-  const auto hurts = *rc::gen::inRange(1, 4);
-  for (int n = 0; n < hurts; ++n) {
+  const auto corruptions = *rc::gen::inRange(1, 4);
+  for (int n = 0; n < corruptions; ++n) {
     const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
     text[at] = *rc::gen::elementOf(std::string("{}[],:\"\\ a1"));
     if (*rc::gen::arbitrary<bool>()) text.erase(*rc::gen::inRange<std::size_t>(0, text.size()), 1);
@@ -654,9 +653,9 @@
   RC_ASSERT(sliced.backends == whole.backends);
 }
 
-// ---- the move to a node beside each client ----
+// ---- migration to a node beside each client ----
 
-TEST(Config, SettingsOfTheNewShapeAreReadAndChecked) {
+TEST(Config, SettingsOfANodePerClientAreParsedAndChecked) {
   const auto with = [](const std::string& more) { return parse_config(config("\"Novel\":{}", more), {}); };
   const Config plain = parse_config(config(), {});
   EXPECT_TRUE(plain.settings.reports_with_answers);
@@ -671,7 +670,7 @@
   EXPECT_EQ(read.settings.kept_promises, 0.2);
   EXPECT_EQ(read.settings.borne_misses, 0.02);
   EXPECT_EQ(read.settings.idle_timeout, 60000);
-  EXPECT_FALSE(read.settings.warm_keys) << "sockets carry no key";
+  EXPECT_FALSE(read.settings.warm_keys) << "requests carry no key on the wire";
   ASSERT_EQ(read.warnings.size(), 1U);
   EXPECT_NE(read.warnings[0].find("WarmKeys"), std::string::npos);
   const std::map<std::string, std::string> broken = {
@@ -686,18 +685,18 @@
   for (const auto& [text, key] : broken) {
     try {
       with(text);
-      ADD_FAILURE() << text << " was taken";
+      ADD_FAILURE() << text << " was accepted";
     } catch (const FieldError& error) {
       EXPECT_NE(std::string(error.what()).find(key), std::string::npos) << text << ": " << error.what();
     }
   }
 }
 
-bool names(const std::vector<std::string>& lines, const std::string& key) {
+bool has_line_for(const std::vector<std::string>& lines, const std::string& key) {
   return std::any_of(lines.begin(), lines.end(), [&](const std::string& l) { return l.rfind(key, 0) == 0; });
 }
 
-TEST(Migrate, WritesTheCounterpartAndSaysWhatIsLeft) {
+TEST(Migrate, WritesTheNewConfigAndListsRemainingSteps) {
   const Migration done = migrate(config(), "old.json", {97, 3});
   const Config read = parse_config(done.text, {});
   EXPECT_EQ(read.listen.toString(), "127.0.0.1:8081");
@@ -707,24 +706,24 @@
   EXPECT_FALSE(read.settings.list_on_request);
   EXPECT_TRUE(read.known.backends.empty());
   EXPECT_EQ(read.host.classes, (std::vector<std::string>{"check", "charge"}))
-      << "what is not of the shape stays";
-  EXPECT_NE(done.text.find("\"Novel\""), std::string::npos) << "also keys that this version does not know";
-  EXPECT_TRUE(names(done.changed, "settings.Report.Source"));
-  EXPECT_TRUE(names(done.remaining_steps, "known") && names(done.remaining_steps, "seed"));
-  EXPECT_FALSE(names(done.remaining_steps, "settings.Instances"));
-  EXPECT_TRUE(names(migrate(config(), "old.json", {}).remaining_steps, "settings.Instances"));
+      << "settings that the migration does not concern stay";
+  EXPECT_NE(done.text.find("\"Novel\""), std::string::npos) << "unknown keys stay too";
+  EXPECT_TRUE(has_line_for(done.changed, "settings.Report.Source"));
+  EXPECT_TRUE(has_line_for(done.remaining_steps, "known") && has_line_for(done.remaining_steps, "seed"));
+  EXPECT_FALSE(has_line_for(done.remaining_steps, "settings.Instances"));
+  EXPECT_TRUE(has_line_for(migrate(config(), "old.json", {}).remaining_steps, "settings.Instances"));
   EXPECT_EQ(migrate(config(), "old.json", {97, 3}).text, done.text);
   EXPECT_TRUE(migrate(done.text, "new.json", {97, 3}).already_migrated);
   EXPECT_THROW(migrate(config(), "old.json", {97, 97}), FieldError);
 }
 
-// Cut at every place: an error that names the file and where, or what is missing; never a result.
-TEST(Migrate, ACutOrBrokenFileIsRefusedWithItsPlace) {
+// Truncated at any byte: an error that names the file and the place or the missing key, never a result.
+TEST(Migrate, ATruncatedOrInvalidFileIsRejectedWithItsPlace) {
   const std::string whole = config();
   for (std::size_t n = 0; n < whole.size(); n += 3) {
     try {
       migrate(whole.substr(0, n), "old.json", {97, 3});
-      ADD_FAILURE() << "cut at " << n << " was taken";
+      ADD_FAILURE() << "truncated at " << n << " was accepted";
     } catch (const FieldError& error) {
       EXPECT_EQ(std::string(error.what()).rfind("old.json:", 0), 0U) << error.what();
     }
