--- a/tests/crossings/settings_judge.h
+++ b/tests/crossings/settings_checker.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "crossings/settings_made.h"
+#include "crossings/settings_random.h"
 #include "node/net.h"
 
 namespace shorelead::node {
--- a/tests/crossings/settings_keys_test.cpp
+++ b/tests/crossings/settings_keys_test.cpp
@@ -8,7 +8,7 @@
 
 #include <set>
 
-#include "crossings/settings_made.h"
+#include "crossings/settings_random.h"
 #include "node/config.h"
 
 namespace shorelead::node {
--- a/tests/crossings/settings_order_test.cpp
+++ b/tests/crossings/settings_order_test.cpp
@@ -2,7 +2,7 @@
 // forced.
 #include <gtest/gtest.h>
 
-#include "crossings/settings_world.h"
+#include "crossings/settings_simulation.h"
 
 namespace shorelead::node {
 namespace {
--- a/tests/crossings/settings_reload_test.cpp
+++ b/tests/crossings/settings_reload_test.cpp
@@ -5,7 +5,7 @@
 
 #include <sstream>
 
-#include "crossings/settings_made.h"
+#include "crossings/settings_random.h"
 #include "node/server.h"
 
 namespace shorelead::node {
--- a/tests/crossings/settings_world.h
+++ b/tests/crossings/settings_simulation.h
@@ -2,7 +2,7 @@
 // in simulated time. Owns the clock; what happens to requests it tells the judge.
 #pragma once
 
-#include "crossings/settings_judge.h"
+#include "crossings/settings_checker.h"
 #include "node/config.h"
 #include "node/policy_host.h"
 
--- a/tests/crossings/settings_test.cpp
+++ b/tests/crossings/settings_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "crossings/settings_world.h"
+#include "crossings/settings_simulation.h"
 
 namespace shorelead::node {
 namespace {
