--- a/tests/crossings/settings_checker.h
+++ b/tests/crossings/settings_checker.h
@@ -1,6 +1,6 @@
-// The rules on requests, told of each thing as it happens to one: what came, was sent, ended and was
-// answered. Owns what was told. It judges by the settings under which a request came, never by what the
-// module thinks.
+// Checks the rules on retries, deadlines and answers for each request, from the events of a test: received,
+// sent, ended, answered. It goes by the settings in force when a request came, not by the state of the
+// decision module.
 #pragma once
 
 #include <algorithm>
@@ -15,51 +15,52 @@
 
 namespace shorelead::node {
 
-struct Spot {
+struct TestBackend {
   std::string zone;
   int cell = 0;
-  std::string health;  // as last told
+  std::string health;  // from the last list
   Millis born = 0;
 };
 
-class Judge {
+class RequestChecker {
  public:
   struct Attempt {
-    Spot spot;
+    TestBackend backend;
     Millis sent = 0;
-    bool out = true;
+    bool in_flight = true;
     bool may_have_run = true;
   };
   struct Request {
-    MadeClass rules;  // and what was allowed when it came
-    int most = 1;
+    RandomClass request_class;  // as in the settings when the request came, like the next three
+    int max_attempts = 1;
     bool parallel = false;
-    bool advise = false;
+    bool advise_wait = false;
     Millis due = 0;
-    bool over = false;
+    bool finished = false;
     std::vector<Attempt> attempts{};
   };
 
-  void came(std::uint32_t id, Request request) { requests_.emplace(id, std::move(request)); }
-  void left(std::uint32_t id) { requests_.at(id).over = true; }
+  void received(std::uint32_t id, Request request) { requests_.emplace(id, std::move(request)); }
+  void client_gone(std::uint32_t id) { requests_.at(id).finished = true; }
 
-  void sent(std::uint32_t id, int attempt, const Spot& to, Millis until, Millis now) {
+  void sent(std::uint32_t id, int attempt, const TestBackend& to, Millis until, Millis now) {
     Request& r = requests_.at(id);
     ++sent_;
-    if (r.over) broken("sent on after its end");
-    if (to.health != "ready") broken("sent to one that is " + to.health);
-    if (until > r.due) broken("an attempt may last beyond the client's time");
-    if (attempt >= r.most) broken("more attempts than are allowed");
-    if (attempt < static_cast<int>(r.attempts.size())) broken("attempts are not numbered in turn");
-    // Those that were decided and never handed out.
+    if (r.finished) add_violation("an attempt sent after the request had ended");
+    if (to.health != "ready") add_violation("an attempt sent to a backend that is " + to.health);
+    if (until > r.due) add_violation("an attempt may last beyond the request's deadline");
+    if (attempt >= r.max_attempts) add_violation("more attempts than are allowed");
+    if (attempt < static_cast<int>(r.attempts.size()))
+      add_violation("attempts are not numbered consecutively");
+    // Attempts that were decided on but never sent.
     r.attempts.resize(static_cast<std::size_t>(attempt), {to, now, false, false});
-    int out = 0;
+    int in_flight = 0;
     for (const Attempt& a : r.attempts) {
-      out += a.out ? 1 : 0;
-      if (a.may_have_run) repeated(r.rules, a, to, now);
+      in_flight += a.in_flight ? 1 : 0;
+      if (a.may_have_run) check_retry(r.request_class, a, to, now);
     }
-    if (out > 0 && !r.parallel) broken("two attempts at once where that is not allowed");
-    if (out > 1) broken("three attempts at once");
+    if (in_flight > 0 && !r.parallel) add_violation("two attempts at once although that is not allowed");
+    if (in_flight > 1) add_violation("three attempts at once");
     r.attempts.push_back({to, now});
   }
 
@@ -68,58 +69,63 @@
                                                     net::Ending::kConnectTimeout, net::Ending::kBrokenUnsent,
                                                     net::Ending::kStoppedUnsent,  net::Ending::kNoDescriptor};
     Attempt& a = requests_.at(id).attempts.at(static_cast<std::size_t>(attempt));
-    a.out = false;
+    a.in_flight = false;
     a.may_have_run = kNeverRan.count(ending) == 0;
   }
 
-  void served(std::uint32_t id, Millis now) { ++served_, answered(id, "served", now); }
-  void failed(std::uint32_t id, Millis now) { answered(id, "failed", now); }
+  void served(std::uint32_t id, Millis now) { ++served_, finish(id, "served", now); }
+  void failed(std::uint32_t id, Millis now) { finish(id, "failed", now); }
   void refused(std::uint32_t id, Millis wait, bool advised_now, Millis now) {
-    answered(id, "refused", now);
+    finish(id, "refused", now);
     const Request& r = requests_.at(id);
     const bool ran =
         std::any_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.may_have_run; });
-    const bool anywhere = r.rules.effect == Effect::kKeyed && r.rules.group == DedupGroup::kAll;
-    if (ran && r.rules.effect != Effect::kSafe && !anywhere) broken("refused, though it may have run");
-    if (wait > 0 && !r.advise && !advised_now) broken("Retry-After where there is none");
+    const bool any_backend =
+        r.request_class.effect == Effect::kKeyed && r.request_class.group == DedupGroup::kAll;
+    if (ran && r.request_class.effect != Effect::kSafe && !any_backend)
+      add_violation("refused although it may have run");
+    if (wait > 0 && !r.advise_wait && !advised_now)
+      add_violation("Retry-After although the settings do not allow it");
   }
 
-  Millis last_due(Millis least) const {
-    for (const auto& [id, request] : requests_) least = std::max(least, request.due);
-    return least;
+  Millis latest_due(Millis latest) const {
+    for (const auto& [id, request] : requests_) latest = std::max(latest, request.due);
+    return latest;
   }
-  void end() {
+  void check_all_answered() {
     for (const auto& [id, request] : requests_) {
-      if (!request.over) broken("request " + std::to_string(id) + " has no final answer");
+      if (!request.finished) add_violation("request " + std::to_string(id) + " has no final answer");
     }
   }
 
-  void broken(const std::string& what) { broken_.push_back(what); }
-  const std::vector<std::string>& broken() const { return broken_; }
+  void add_violation(const std::string& what) { violations_.push_back(what); }
+  const std::vector<std::string>& violations() const { return violations_; }
   int sent() const { return sent_; }
   int served() const { return served_; }
 
  private:
-  // Whether it may go to `to` too, after an attempt that may have run.
-  void repeated(const MadeClass& rules, const Attempt& a, const Spot& to, Millis now) {
-    if (rules.effect == Effect::kSafe) return;
-    if (rules.effect == Effect::kUnsafe) return broken("an unsafe request again, after it may have run");
-    if (now - a.sent >= rules.window) broken("a keyed request again, after its window");
-    const bool zone = rules.group == DedupGroup::kAll || a.spot.zone == to.zone;
-    const bool cell = rules.group != DedupGroup::kCell || a.spot.cell == to.cell;
-    if (!zone || !cell) broken("a keyed request again, outside of its group");
+  // Checks that the request may be sent to `to` as well, after attempt `a`, which may have run.
+  void check_retry(const RandomClass& request_class, const Attempt& a, const TestBackend& to, Millis now) {
+    if (request_class.effect == Effect::kSafe) return;
+    if (request_class.effect == Effect::kUnsafe)
+      return add_violation("an unsafe request retried after it may have run");
+    if (now - a.sent >= request_class.window)
+      add_violation("a keyed request retried after its deduplication window");
+    const bool same_zone = request_class.group == DedupGroup::kAll || a.backend.zone == to.zone;
+    const bool same_cell = request_class.group != DedupGroup::kCell || a.backend.cell == to.cell;
+    if (!same_zone || !same_cell) add_violation("a keyed request retried outside its deduplication group");
   }
 
-  void answered(std::uint32_t id, const std::string& how, Millis now) {
-    constexpr Millis kLate = 1.1;  // the host's slack behind the last attempt's time-out
+  void finish(std::uint32_t id, const std::string& kind, Millis now) {
+    constexpr Millis kTolerance = 1.1;  // how long after the last attempt's timeout the host may answer
     Request& r = requests_.at(id);
-    if (r.over) broken("a second answer: " + how);
-    if (now > r.due + kLate) broken("an answer after its due time: " + how);
-    r.over = true;
+    if (r.finished) add_violation("a second answer: " + kind);
+    if (now > r.due + kTolerance) add_violation("an answer after its deadline: " + kind);
+    r.finished = true;
   }
 
   std::map<std::uint32_t, Request> requests_;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
   int sent_ = 0;
   int served_ = 0;
 };
--- a/tests/crossings/settings_keys_test.cpp
+++ b/tests/crossings/settings_keys_test.cpp
@@ -1,5 +1,5 @@
-// A file of settings that is wrong, by any one key of it: refused at the start with the key's name, and at a
-// reload nothing is taken of it.
+// Settings with one missing or bad key: rejected at the start with the key's name, and at a reload without
+// any change.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <rapidjson/document.h>
@@ -14,24 +14,24 @@
 namespace shorelead::node {
 namespace {
 
-using Keys = std::vector<std::string>;
+using KeyPath = std::vector<std::string>;
 
-// Every member of an object, also those within members and items, as a path of names and numbers.
-void all_keys(const rapidjson::Value& value, const Keys& path, std::vector<Keys>& found) {
-  const auto within = [&](const std::string& name, const rapidjson::Value& inner, bool itself) {
-    Keys here = path;
+// Collects the path of every member, recursively; a path has member names and array indices.
+void all_keys(const rapidjson::Value& value, const KeyPath& path, std::vector<KeyPath>& found) {
+  const auto visit = [&](const std::string& name, const rapidjson::Value& inner, bool itself) {
+    KeyPath here = path;
     here.push_back(name);
     if (itself) found.push_back(here);
     all_keys(inner, here, found);
   };
   if (value.IsObject()) {
-    for (const auto& member : value.GetObject()) within(member.name.GetString(), member.value, true);
+    for (const auto& member : value.GetObject()) visit(member.name.GetString(), member.value, true);
   } else if (value.IsArray()) {
-    for (rapidjson::SizeType n = 0; n < value.Size(); ++n) within(std::to_string(n), value[n], false);
+    for (rapidjson::SizeType n = 0; n < value.Size(); ++n) visit(std::to_string(n), value[n], false);
   }
 }
 
-rapidjson::Value& holder(rapidjson::Document& document, const Keys& path) {
+rapidjson::Value& parent_of(rapidjson::Document& document, const KeyPath& path) {
   rapidjson::Value* at = &document;
   for (std::size_t n = 0; n + 1 < path.size(); ++n) {
     at = at->IsArray() ? &(*at)[static_cast<rapidjson::SizeType>(std::stoi(path[n]))]
@@ -40,21 +40,21 @@
   return *at;
 }
 
-std::string written(const rapidjson::Document& document) {
+std::string to_json(const rapidjson::Document& document) {
   rapidjson::StringBuffer text;
   rapidjson::Writer<rapidjson::StringBuffer> writer(text);
   document.Accept(writer);
   return text.GetString();
 }
 
-rapidjson::Document read(const std::string& text) {
+rapidjson::Document parse(const std::string& text) {
   rapidjson::Document document;
   document.Parse(text.c_str());
   return document;
 }
 
-// How a file is refused; empty: it is taken.
-std::string refusal(const std::string& text, const ConfigKeys* in_force) {
+// Returns the error for a file; empty if it is accepted.
+std::string rejection(const std::string& text, const ConfigKeys* in_force) {
   try {
     const Config fresh = parse_config(text, {});
     if (in_force != nullptr) fresh.keys.require_all_of(*in_force);
@@ -64,12 +64,12 @@
   }
 }
 
-// Only keyed classes need them.
-bool of_some_classes(const std::string& key) { return key == "Group" || key == "DedupWindow"; }
+// Only keyed classes require these keys.
+bool depends_on_effect(const std::string& key) { return key == "Group" || key == "DedupWindow"; }
 
-// Absent, these say that something is not there, not allowed, costs nothing or tells nothing apart; or the
-// node has no use for them.
-bool may_be_absent(const std::string& key, const Made& made) {
+// Keys that may be missing: the feature is then absent, not allowed, free of cost or makes no distinction, or
+// the node does not use the key.
+bool may_be_absent(const std::string& key, const RandomSettings& settings) {
   static const std::set<std::string> kAlways = {"cores",
                                                 "memory_mb",
                                                 "limits",
@@ -101,70 +101,71 @@
                                                 "PeerMessages",
                                                 "StreamsPerConn",
                                                 "StopSendingWithin"};
-  if (key == "AskEvery") return !made.ask;
-  if (of_some_classes(key)) return true;
+  if (key == "AskEvery") return !settings.list_on_request;
+  if (depends_on_effect(key)) return true;
   return kAlways.count(key) > 0;
 }
 
-bool unread(const std::string& key) {
+bool is_not_checked(const std::string& key) {
   return key == "Share" || key == "Fields" || key == "StopSendingWithin";
 }
 
-RC_GTEST_PROP(SettingsKeys, OneThatIsMissingIsNamedAndAReloadTakesNothing, ()) {
-  Chance chance(*rc::gen::arbitrary<std::uint32_t>());
-  Made whole = made(chance);
-  while (whole.classes.size() > 4) whole.classes.pop_back();
-  const Config in_force = parse_config(whole.text(), {});
-  RC_ASSERT(refusal(whole.text(), &in_force.keys).empty());
-  std::vector<Keys> all;
-  all_keys(read(whole.text()), {}, all);
-  for (const Keys& path : all) {
-    rapidjson::Document document = read(whole.text());
-    holder(document, path).RemoveMember(path.back().c_str());
-    const std::string text = written(document);
+RC_GTEST_PROP(SettingsKeys, AMissingKeyIsNamedAndTheReloadRejected, ()) {
+  RandomSource random(*rc::gen::arbitrary<std::uint32_t>());
+  RandomSettings settings = random_settings(random);
+  while (settings.classes.size() > 4) settings.classes.pop_back();
+  const Config in_force = parse_config(settings.text(), {});
+  RC_ASSERT(rejection(settings.text(), &in_force.keys).empty());
+  std::vector<KeyPath> all;
+  all_keys(parse(settings.text()), {}, all);
+  for (const KeyPath& path : all) {
+    rapidjson::Document document = parse(settings.text());
+    parent_of(document, path).RemoveMember(path.back().c_str());
+    const std::string text = to_json(document);
     const std::string& key = path.back();
-    const std::string at_start = refusal(text, nullptr);
+    const std::string at_start = rejection(text, nullptr);
     const bool named = at_start.find(key) != std::string::npos;
-    const bool keyed = of_some_classes(key) && holder(document, path)["Effect"] == "token";
-    if (keyed && !named) RC_FAIL("a keyed class without " + key + " is taken: " + text);
-    if (!named && !(at_start.empty() && may_be_absent(key, whole)))
+    const bool keyed = depends_on_effect(key) && parent_of(document, path)["Effect"] == "token";
+    if (keyed && !named) RC_FAIL("a keyed class without " + key + " is accepted: " + text);
+    if (!named && !(at_start.empty() && may_be_absent(key, settings)))
       RC_FAIL("without " + key + " the start says \"" + at_start + "\": " + text);
-    if (of_some_classes(key) || path.front() == "known") continue;
-    if (refusal(text, &in_force.keys).find(key) == std::string::npos)
-      RC_FAIL("without " + key + " a reload takes " + text);
+    if (depends_on_effect(key) || path.front() == "known") continue;
+    if (rejection(text, &in_force.keys).find(key) == std::string::npos)
+      RC_FAIL("without " + key + " a reload accepts " + text);
   }
 }
 
-// Other classes, tenants and zones, more of them or fewer, are no broken file.
-RC_GTEST_PROP(SettingsKeys, AnyOtherWholeFileIsTakenAtAReload, ()) {
-  Chance chance(*rc::gen::arbitrary<std::uint32_t>());
-  const Config in_force = parse_config(made(chance).text(), {});
-  const std::string next = made(chance).text();
-  if (!refusal(next, &in_force.keys).empty()) RC_FAIL(refusal(next, &in_force.keys) + ": " + next);
+// A reload may change the classes, tenants and zones and their number.
+RC_GTEST_PROP(SettingsKeys, AReloadAcceptsAnyOtherValidFile, ()) {
+  RandomSource random(*rc::gen::arbitrary<std::uint32_t>());
+  const Config in_force = parse_config(random_settings(random).text(), {});
+  const std::string next = random_settings(random).text();
+  if (!rejection(next, &in_force.keys).empty()) RC_FAIL(rejection(next, &in_force.keys) + ": " + next);
 }
 
-// Of another kind, or out of its range.
-RC_GTEST_PROP(SettingsKeys, OneThatIsSpoiltIsNamed, ()) {
-  Chance chance(*rc::gen::arbitrary<std::uint32_t>());
-  Made whole = made(chance);
-  while (whole.classes.size() > 4) whole.classes.pop_back();
-  std::vector<Keys> all;
-  all_keys(read(whole.text()), {}, all);
-  for (const Keys& path : all) {
-    if (unread(path.back()) || path.back() == "cores" || path.back() == "memory_mb") continue;
-    rapidjson::Document document = read(whole.text());
-    rapidjson::Value& value = holder(document, path)[path.back().c_str()];
+// A value of another type or out of range.
+RC_GTEST_PROP(SettingsKeys, AKeyWithABadValueIsNamed, ()) {
+  RandomSource random(*rc::gen::arbitrary<std::uint32_t>());
+  RandomSettings settings = random_settings(random);
+  while (settings.classes.size() > 4) settings.classes.pop_back();
+  std::vector<KeyPath> all;
+  all_keys(parse(settings.text()), {}, all);
+  for (const KeyPath& path : all) {
+    if (is_not_checked(path.back()) || path.back() == "cores" || path.back() == "memory_mb") continue;
+    rapidjson::Document document = parse(settings.text());
+    rapidjson::Value& value = parent_of(document, path)[path.back().c_str()];
     if (value.IsNumber()) {
-      chance.yes() ? value.SetInt(-7) : value.SetString("much");
+      random.chance() ? value.SetInt(-7) : value.SetString("much");
     } else if (value.IsString()) {
-      chance.yes() && path.size() > 2 && path.back() != "Name" ? value.SetString("sideways")
-                                                               : value.SetInt(7);
+      random.chance() && path.size() > 2 && path.back() != "Name" ? value.SetString("sideways")
+                                                                  : value.SetInt(7);
     } else {
       value.SetInt(7);
     }
-    const std::string text = written(document);
-    if (refusal(text, nullptr).find(path.back()) != std::string::npos) continue;
-    RC_FAIL("spoilt " + path.back() + ", and the answer is \"" + refusal(text, nullptr) + "\": " + text);
+    const std::string text = to_json(document);
+    if (rejection(text, nullptr).find(path.back()) != std::string::npos) continue;
+    RC_FAIL("bad value of " + path.back() + ", and the error is \"" + rejection(text, nullptr) +
+            "\": " + text);
   }
 }
 
--- a/tests/crossings/settings_order_test.cpp
+++ b/tests/crossings/settings_order_test.cpp
@@ -1,5 +1,5 @@
-// What settings, a reload and a list make of a decision that is on its way: each order that broke a rule,
-// forced.
+// Regression tests for event orders found by the settings simulation: a reload or a list arrives between a
+// decision and its execution.
 #include <gtest/gtest.h>
 
 #include "crossings/settings_simulation.h"
@@ -7,9 +7,9 @@
 namespace shorelead::node {
 namespace {
 
-// Four backends that answer probes at once and hold on to requests.
-struct Held {
-  explicit Held(const Settings& settings, const HostSettings& names = host())
+// A policy host with four backends that answer probes at once and do not answer requests.
+struct SlowBackends {
+  explicit SlowBackends(const Settings& settings, const HostSettings& names = host())
       : policy_host(settings, names, 1) {
     policy_host.start(list("ready"), now);
   }
@@ -21,7 +21,7 @@
     c.aim = c.deadline = 1000;
     s.classes.push_back(c);
     s.max_attempts = 9;
-    s.reports_with_answers = false;  // so it looks before it sends, and may hedge
+    s.reports_with_answers = false;  // so that it probes before sending, and may hedge
     s.parallel_attempts = parallel;
     return s;
   }
@@ -32,18 +32,18 @@
   }
   List list(const std::string& health) {
     List all;
-    all.whole = health == "ready";
+    expected.whole = health == "ready";
     for (int n = 0; n < 4; ++n) {
       ListedBackend one;
       one.host = std::string("s-").append(std::to_string(n));
       one.dial = "127.0.0.1:9000";
       one.health = health;
-      all.backends.push_back(one);
+      expected.backends.push_back(one);
     }
     return all;
   }
-  // Lets time pass up to `until`.
-  void pass(Millis until) {
+  // Advances the time to `until` and runs the actions that are due.
+  void advance(Millis until) {
     while (true) {
       const DeferredActions due = policy_host.tick(now);
       for (const Choice& choice : due.choices) {
@@ -61,11 +61,11 @@
     now = until;
   }
 
-  // Answers of 10 ms, so that a second is far longer than is expected.
-  void teach() {
+  // Records answers after 10 ms, so that a request without an answer counts as slow long before its deadline.
+  void record_fast_answers() {
     for (RequestId id = 1000; id < 1300; ++id) {
       policy_host.pick(id, {0, 0, now + 1000}, now);
-      pass(now + 10);
+      advance(now + 10);
       for (const Choice& one : std::exchange(sent, {}))
         policy_host.report(one.request, one.attempt, Ending::kServed, 10, nullptr, now);
     }
@@ -77,72 +77,73 @@
   PolicyHost policy_host;
 };
 
-TEST(Settings, TwoAttemptsAtOnceAreNotThree) {
-  Held f(Held::settings(true));
-  f.teach();
-  f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now);
-  f.pass(f.now + 990);
-  EXPECT_EQ(f.sent.size(), 2U) << "the first, and one beside it";
+TEST(Settings, HedgingSendsAtMostTwoAttemptsAtOnce) {
+  SlowBackends node(SlowBackends::settings(true));
+  node.record_fast_answers();
+  node.policy_host.pick(1, {0, 0, node.now + 1000}, node.now);
+  node.advance(node.now + 990);
+  EXPECT_EQ(node.sent.size(), 2U) << "the first attempt and one hedge";
 }
 
-TEST(Settings, AnOpenRequestIsNotHedgedForANewPermission) {
-  Held f(Held::settings(false));
-  f.teach();
-  f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now);
-  f.pass(f.now + 5);
-  ASSERT_EQ(f.sent.size(), 1U);
-  f.policy_host.adopt(Held::settings(true), Held::host(), f.now);
-  const Choice next = f.policy_host.report(1, 0, Ending::kTurnedAway, 5, nullptr, f.now);
-  if (next.kind == Choice::Kind::kSend) f.sent.push_back(next);
-  f.pass(f.now + 980);
-  EXPECT_EQ(f.sent.size(), 2U) << "the second is out, and came under settings that allow one at once";
+TEST(Settings, AReloadThatAllowsHedgingDoesNotHedgeOpenRequests) {
+  SlowBackends node(SlowBackends::settings(false));
+  node.record_fast_answers();
+  node.policy_host.pick(1, {0, 0, node.now + 1000}, node.now);
+  node.advance(node.now + 5);
+  ASSERT_EQ(node.sent.size(), 1U);
+  node.policy_host.adopt(SlowBackends::settings(true), SlowBackends::host(), node.now);
+  const Choice next = node.policy_host.report(1, 0, Ending::kTurnedAway, 5, nullptr, node.now);
+  if (next.kind == Choice::Kind::kSend) node.sent.push_back(next);
+  node.advance(node.now + 980);
+  EXPECT_EQ(node.sent.size(), 2U)
+      << "the retry is in flight, and the request came under settings that allow one attempt at once";
 }
 
-TEST(Settings, ProbesThatCostNothingStillKeepTheirPeriod) {
-  Held f(Held::settings(false));
-  f.pass(f.now + 10000);  // and no request comes
-  EXPECT_GE(f.probes, 4 * 9);
-  EXPECT_LE(f.probes, 4 * 11);
+TEST(Settings, FreeProbesKeepTheirPeriod) {
+  SlowBackends node(SlowBackends::settings(false));
+  node.advance(node.now + 10000);  // without requests
+  EXPECT_GE(node.probes, 4 * 9);
+  EXPECT_LE(node.probes, 4 * 11);
 }
 
-TEST(Settings, WhatWasDecidedBeforeAListSaidOtherwiseIsNotDone) {
-  Held f(Held::settings(false));
-  f.pass(f.now + 2000);
-  EXPECT_EQ(f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now).kind, Choice::Kind::kHold);
-  f.policy_host.report_list(f.list("draining"), ListSource::kWatch, f.now);
-  const DeferredActions due = f.policy_host.tick(f.now);
-  EXPECT_TRUE(due.probes.empty()) << "of backends that drain by now";
+TEST(Settings, AListThatDrainsBackendsCancelsPendingProbesAndAttempts) {
+  SlowBackends node(SlowBackends::settings(false));
+  node.advance(node.now + 2000);
+  EXPECT_EQ(node.policy_host.pick(1, {0, 0, node.now + 1000}, node.now).kind, Choice::Kind::kHold);
+  node.policy_host.report_list(node.list("draining"), ListSource::kWatch, node.now);
+  const DeferredActions due = node.policy_host.tick(node.now);
+  EXPECT_TRUE(due.probes.empty()) << "of backends that are draining";
   for (const Choice& choice : due.choices) EXPECT_NE(choice.kind, Choice::Kind::kSend);
 }
 
-// The answer to a look has it sent, and in the same turn a list says that all drain.
-TEST(Settings, AnAttemptDecidedBeforeAListSaidOtherwiseIsNotSent) {
-  Held f(Held::settings(false));
-  f.pass(f.now + 2000);
-  EXPECT_EQ(f.policy_host.pick(1, {0, 0, f.now + 1000}, f.now).kind, Choice::Kind::kHold);
-  const std::vector<BackendId> asked = f.policy_host.tick(f.now).probes;
-  ASSERT_FALSE(asked.empty());
+// The answer to a probe decides on an attempt; in the same turn a list reports all backends as draining.
+TEST(Settings, AnAttemptDecidedAfterAProbeIsNotSentToADrainingBackend) {
+  SlowBackends node(SlowBackends::settings(false));
+  node.advance(node.now + 2000);
+  EXPECT_EQ(node.policy_host.pick(1, {0, 0, node.now + 1000}, node.now).kind, Choice::Kind::kHold);
+  const std::vector<BackendId> probed = node.policy_host.tick(node.now).probes;
+  ASSERT_FALSE(probed.empty());
   LoadReport idle;
   idle.in_hand = idle.waiting = idle.busy = 0;
-  for (const BackendId one : asked) f.policy_host.report_probe(one, Ending::kServed, 1, &idle, f.now);
-  f.policy_host.report_list(f.list("draining"), ListSource::kWatch, f.now);
-  const DeferredActions due = f.policy_host.tick(f.now);
+  for (const BackendId one : probed) node.policy_host.report_probe(one, Ending::kServed, 1, &idle, node.now);
+  node.policy_host.report_list(node.list("draining"), ListSource::kWatch, node.now);
+  const DeferredActions due = node.policy_host.tick(node.now);
   for (const Choice& choice : due.choices) EXPECT_NE(choice.kind, Choice::Kind::kSend);
   ASSERT_FALSE(due.choices.empty());
-  EXPECT_EQ(due.choices.back().kind, Choice::Kind::kRefuse) << "nobody is left";
+  EXPECT_EQ(due.choices.back().kind, Choice::Kind::kRefuse) << "no backend is left";
 }
 
-// A class that a reload drops makes no other one look cheap, nor does its aim bind any more.
-TEST(Settings, ADroppedClassIsNoMeasureForTheOthers) {
-  Settings cheap = Held::settings(false);
+// A class that a reload removes counts neither in the comparison of worth nor with its aim.
+TEST(Settings, ARemovedClassDoesNotAffectTheOthers) {
+  Settings cheap = SlowBackends::settings(false);
   cheap.reports_with_answers = true;
   cheap.probing = false;
   Settings both = cheap;
   both.classes.push_back(both.classes[0]);
   both.classes[1].worth = 1000;
-  HostSettings names = Held::host();
+  HostSettings names = SlowBackends::host();
   names.classes.emplace_back("dear");
-  const auto taken = [](PolicyHost& policy_host, Millis now) {
+  const auto accepted_requests = [](PolicyHost& policy_host, Millis now) {
     int count = 0;
     while (count < 1000 &&
            policy_host.pick(static_cast<RequestId>(count + 1), {0, 0, now + 1000}, now).kind ==
@@ -150,13 +151,14 @@
       ++count;
     return count;
   };
-  Held never(cheap);
-  Held dropped(both, names);
-  Held still(both, names);
-  dropped.policy_host.adopt(cheap, Held::host(), dropped.now);
-  const int all = taken(never.policy_host, never.now);
-  EXPECT_EQ(taken(dropped.policy_host, dropped.now), all);
-  EXPECT_LT(taken(still.policy_host, still.now), all) << "beside a dear one it does give way";
+  SlowBackends without(cheap);
+  SlowBackends removed(both, names);
+  SlowBackends with(both, names);
+  removed.policy_host.adopt(cheap, SlowBackends::host(), removed.now);
+  const int expected = accepted_requests(without.policy_host, without.now);
+  EXPECT_EQ(accepted_requests(removed.policy_host, removed.now), expected);
+  EXPECT_LT(accepted_requests(with.policy_host, with.now), expected)
+      << "next to a class of higher worth, the class is limited";
 }
 
 }  // namespace
--- a/tests/crossings/settings_reload_test.cpp
+++ b/tests/crossings/settings_reload_test.cpp
@@ -1,4 +1,4 @@
-// A reload that fails half way, when a pool is made: whatever it had told already is as it was.
+// A reload that fails half way, when a pool is created: every change made so far has to be rolled back.
 #include <gtest/gtest.h>
 #include <spdlog/sinks/ostream_sink.h>
 #include <spdlog/spdlog.h>
@@ -11,8 +11,8 @@
 namespace shorelead::node {
 namespace {
 
-// What the log says when `act` is done, one line after the other.
-std::string logged(const std::function<void()>& act) {
+// Returns what is logged during `act`.
+std::string log_of(const std::function<void()>& act) {
   std::ostringstream out;
   const auto before = spdlog::default_logger();
   spdlog::set_default_logger(
@@ -22,44 +22,44 @@
   return out.str();
 }
 
-// The figure behind a word in it.
-std::string figure(const std::string& text, const std::string& word) {
+// Returns the value that follows `word` in the log text.
+std::string counter_in(const std::string& text, const std::string& word) {
   const std::size_t at = text.find(word);
   if (at == std::string::npos) return "none";
   const std::size_t from = at + word.size();
   return text.substr(from, text.find_first_of(" \n", from) - from);
 }
 
-TEST(SettingsReload, WhatCannotBeTakenUpLeavesAllAsItWas) {
-  Chance chance(7);
-  Config first = parse_config(made(chance).text(), {});
+TEST(SettingsReload, AReloadThatFailsInAPoolChangesNothing) {
+  RandomSource random(7);
+  Config first = parse_config(random_settings(random).text(), {});
   first.listen = Poco::Net::SocketAddress("127.0.0.1", 0);
   Loop loop;
   Server server(loop, first);
-  const std::string before = logged([&server] { server.log_counters(); });
+  const std::string before = log_of([&server] { server.log_counters(); });
 
   Config next = first;
   next.limits.sockets = 4096;
   next.pools = pools_of(first);
-  PoolConfig spoilt = next.pools.front();
-  spoilt.name = "spoilt";
-  spoilt.discovery.reset();
-  spoilt.view = membership::Options();
-  spoilt.registry =
+  PoolConfig invalid = next.pools.front();
+  invalid.name = "spoilt";
+  invalid.discovery.reset();
+  invalid.view = membership::Options();
+  invalid.registry =
       membership::registry::Spec{{Poco::Net::SocketAddress("127.0.0.1", 9)},
                                  "/boxes/",
                                  net::TlsFiles{"/nowhere/ca", "/nowhere/cert", "/nowhere/key", ""}};
-  next.pools.push_back(spoilt);
-  const std::string words = logged([&] { server.reload([&next] { return next; }); });
-  EXPECT_NE(words.find("not taken up"), std::string::npos) << words;
+  next.pools.push_back(invalid);
+  const std::string log = log_of([&] { server.reload([&next] { return next; }); });
+  EXPECT_NE(log.find("not taken up"), std::string::npos) << log;
 
-  const std::string after = logged([&server] { server.log_counters(); });
-  EXPECT_EQ(figure(after, " reloads="), "0");
-  EXPECT_EQ(figure(after, " bad_reloads="), "1");
-  EXPECT_EQ(figure(after, " generation="), figure(before, " generation="));
-  EXPECT_EQ(figure(after, "descriptors state=plenty most="),
-            figure(before, "descriptors state=plenty most="));
-  EXPECT_EQ(figure(after, " backends_budget="), figure(before, " backends_budget="));
+  const std::string after = log_of([&server] { server.log_counters(); });
+  EXPECT_EQ(counter_in(after, " reloads="), "0");
+  EXPECT_EQ(counter_in(after, " bad_reloads="), "1");
+  EXPECT_EQ(counter_in(after, " generation="), counter_in(before, " generation="));
+  EXPECT_EQ(counter_in(after, "descriptors state=plenty most="),
+            counter_in(before, "descriptors state=plenty most="));
+  EXPECT_EQ(counter_in(after, " backends_budget="), counter_in(before, " backends_budget="));
 }
 
 }  // namespace
--- a/tests/crossings/settings_simulation.h
+++ b/tests/crossings/settings_simulation.h
@@ -1,5 +1,5 @@
-// A policy host with drawn settings before backends, clients and lists that do whatever chance has them do,
-// in simulated time. Owns the clock; what happens to requests it tells the judge.
+// Runs a policy host with random settings against random backends, clients and lists in simulated time. Owns
+// the clock, and reports the events of each request to the checker.
 #pragma once
 
 #include "crossings/settings_checker.h"
@@ -8,39 +8,39 @@
 
 namespace shorelead::node {
 
-class World {
+class Simulation {
  public:
-  World(std::uint64_t seed, const Made& first)
-      : chance_(seed), made_(first), read_(parse_config(first.text(), {})), ever_(first) {
-    for (std::size_t n = 0; n < first.classes.size(); ++n) numbers_.push_back(static_cast<int>(n));
-    policy_host_.emplace(read_.settings, read_.host, seed);
+  Simulation(std::uint64_t seed, const RandomSettings& first)
+      : random_(seed), settings_(first), config_(parse_config(first.text(), {})), allowed_(first) {
+    for (std::size_t n = 0; n < first.classes.size(); ++n) class_numbers_.push_back(static_cast<int>(n));
+    policy_host_.emplace(config_.settings, config_.host, seed);
     policy_host_->on_deferred_action([this] { wake_ = true; });
     List known;
     known.whole = true;
-    for (int n = chance_.below(9); n > 0; --n) add(chance_.yes(0.2), known);
+    for (int n = random_.below(9); n > 0; --n) add_backend(random_.chance(0.2), known);
     policy_host_->start(known, now_);
-    settle();
+    run_due_actions();
   }
 
   void run(int steps) {
     for (int n = 0; n < steps; ++n) {
-      pass(chance_.yes(0.1) ? chance_.real(0, 900) : chance_.real(0, 20));
-      if (chance_.yes(0.8)) ask();
-      if (chance_.yes(0.06)) change_list();
-      if (chance_.yes(0.03)) leave();
-      if (chance_.yes(0.02)) policy_host_->report_watch_ended(now_);
-      if (chance_.yes(0.015)) reload();
-      settle();
+      advance(random_.chance(0.1) ? random_.real(0, 900) : random_.real(0, 20));
+      if (random_.chance(0.8)) receive_request();
+      if (random_.chance(0.06)) change_backends();
+      if (random_.chance(0.03)) drop_client();
+      if (random_.chance(0.02)) policy_host_->report_watch_ended(now_);
+      if (random_.chance(0.015)) reload();
+      run_due_actions();
     }
-    pass(judge_.last_due(now_) + 10 - now_);
-    judge_.end();
+    advance(checker_.latest_due(now_) + 10 - now_);
+    checker_.check_all_answered();
   }
 
-  const Judge& judge() const { return judge_; }
+  const RequestChecker& checker() const { return checker_; }
 
  private:
-  // What will come of an attempt, or of a probe where that has no number.
-  struct End {
+  // The future end of an attempt, or of a probe (attempt -1).
+  struct PendingEnd {
     RequestId request = 0;
     int attempt = -1;
     BackendId backend = 0;
@@ -48,68 +48,70 @@
     Ending ending = Ending::kServed;
   };
 
-  void pass(Millis span) {
+  void advance(Millis span) {
     const Millis until = now_ + span;
     while (true) {
-      const Millis end = ends_.empty() ? until + 1 : ends_.begin()->first;
-      const Millis next = next_ > 0 ? next_ : until + 1;
+      const Millis end = pending_ends_.empty() ? until + 1 : pending_ends_.begin()->first;
+      const Millis next = next_tick_ > 0 ? next_tick_ : until + 1;
       if (std::min(end, next) > until) break;
       now_ = std::max(now_, std::min(end, next));
       if (end <= next) {
-        const End done = ends_.begin()->second;
-        ends_.erase(ends_.begin());
+        const PendingEnd done = pending_ends_.begin()->second;
+        pending_ends_.erase(pending_ends_.begin());
         finish(done);
-        if (chance_.yes(0.2)) continue;  // something else comes in the same moment
+        if (random_.chance(0.2)) continue;  // another event at the same time
       }
-      settle();
+      run_due_actions();
     }
     now_ = until;
   }
 
-  void settle() {
+  void run_due_actions() {
     do {
       wake_ = false;
       const DeferredActions due = policy_host_->tick(now_);
-      next_ = due.next > 0 ? std::max(due.next, now_ + 0.01) : 0;
-      for (const Choice& choice : due.choices) carry_out(choice);
+      next_tick_ = due.next > 0 ? std::max(due.next, now_ + 0.01) : 0;
+      for (const Choice& choice : due.choices) execute(choice);
       for (const auto& [id, attempt] : due.call_off) call_off(id, attempt);
       for (const BackendId backend : due.probes) probe(backend);
-      if (due.watch && !ever_.ask) judge_.broken("a list is asked for where it comes by itself");
-      if (due.watch) chance_.yes(0.7) ? tell(whole()) : policy_host_->report_watch_ended(now_);
+      if (due.watch && !allowed_.list_on_request)
+        checker_.add_violation("a list is requested although lists are pushed");
+      if (due.watch) random_.chance(0.7) ? report_list(full_list()) : policy_host_->report_watch_ended(now_);
     } while (wake_);
   }
 
-  void ask() {
-    const int n = chance_.below(static_cast<int>(made_.classes.size()));
-    const MadeClass& c = made_.classes[static_cast<std::size_t>(n)];
-    const Millis due = now_ + c.deadline * (chance_.yes() ? 1 : chance_.real(0.02, 1.3));
-    judge_.came(++last_, {c, made_.attempts, made_.parallel, made_.retry_after, due});
-    RequestInfo asked;
-    asked.request_class = numbers_[static_cast<std::size_t>(n)];
-    asked.tenant = made_.tenants.empty() ? 0 : chance_.below(static_cast<int>(made_.tenants.size()));
-    asked.due = due;
-    asked.expected_work = !hints_ ? -1 : chance_.yes(0.1) ? 0 : chance_.real(0.01, 0.3) * c.aim;
-    asked.client_retry = chance_.yes(0.1);
-    carry_out(policy_host_->pick(last_, asked, now_));
-  }
-
-  void leave() {
-    if (last_ == 0) return;
-    const RequestId id = static_cast<RequestId>(chance_.from(1, static_cast<int>(last_)));
+  void receive_request() {
+    const int n = random_.below(static_cast<int>(settings_.classes.size()));
+    const RandomClass& c = settings_.classes[static_cast<std::size_t>(n)];
+    const Millis due = now_ + c.deadline * (random_.chance() ? 1 : random_.real(0.02, 1.3));
+    checker_.received(++last_request_,
+                      {c, settings_.attempts, settings_.parallel, settings_.retry_after, due});
+    RequestInfo info;
+    info.request_class = class_numbers_[static_cast<std::size_t>(n)];
+    info.tenant = settings_.tenants.empty() ? 0 : random_.below(static_cast<int>(settings_.tenants.size()));
+    info.due = due;
+    info.expected_work = !sends_hints_ ? -1 : random_.chance(0.1) ? 0 : random_.real(0.01, 0.3) * c.aim;
+    info.client_retry = random_.chance(0.1);
+    execute(policy_host_->pick(last_request_, info, now_));
+  }
+
+  void drop_client() {
+    if (last_request_ == 0) return;
+    const RequestId id = static_cast<RequestId>(random_.between(1, static_cast<int>(last_request_)));
     policy_host_->report_client_gone(id, now_);
-    judge_.left(id);
+    checker_.client_gone(id);
   }
 
-  void carry_out(const Choice& choice) {
+  void execute(const Choice& choice) {
     switch (choice.kind) {
       case Choice::Kind::kSend:
         return send(choice);
       case Choice::Kind::kRefuse:
-        return judge_.refused(choice.request, choice.wait, made_.retry_after, now_);
+        return checker_.refused(choice.request, choice.wait, settings_.retry_after, now_);
       case Choice::Kind::kFail:
-        return judge_.failed(choice.request, now_);
+        return checker_.failed(choice.request, now_);
       case Choice::Kind::kPass:
-        return judge_.served(choice.request, now_);
+        return checker_.served(choice.request, now_);
       case Choice::Kind::kHold:
       case Choice::Kind::kOver:
         return;
@@ -117,90 +119,91 @@
   }
 
   void send(const Choice& choice) {
-    judge_.sent(choice.request, choice.attempt, spots_.at(policy_host_->host(choice.backend)), choice.until,
-                now_);
-    End end{choice.request, choice.attempt, choice.backend, now_, chance_.one_of(kEndings)};
-    const bool at_its_end = end.ending == Ending::kTimeout || end.ending == Ending::kStoppedUnsent;
-    ends_.emplace(at_its_end ? choice.until : chance_.real(now_, choice.until), end);
+    checker_.sent(choice.request, choice.attempt, backends_.at(policy_host_->host(choice.backend)),
+                  choice.until, now_);
+    PendingEnd end{choice.request, choice.attempt, choice.backend, now_, random_.one_of(kEndings)};
+    const bool ends_at_timeout = end.ending == Ending::kTimeout || end.ending == Ending::kStoppedUnsent;
+    pending_ends_.emplace(ends_at_timeout ? choice.until : random_.real(now_, choice.until), end);
   }
 
   void call_off(RequestId id, int attempt) {
-    if (!ever_.cancel) judge_.broken("called off where that is not allowed");
-    for (auto it = ends_.begin(); it != ends_.end(); ++it) {
+    if (!allowed_.cancelling) checker_.add_violation("an attempt cancelled although that is not allowed");
+    for (auto it = pending_ends_.begin(); it != pending_ends_.end(); ++it) {
       if (it->second.request != id || it->second.attempt != attempt) continue;
-      End end = it->second;
+      PendingEnd end = it->second;
       end.ending = Ending::kCalledOff;
-      ends_.erase(it);
+      pending_ends_.erase(it);
       return finish(end);
     }
   }
 
   void probe(BackendId backend) {
     ++probes_;
-    if (!ever_.probes) judge_.broken("a probe where there are none");
-    if (spots_.at(policy_host_->host(backend)).health != "ready") judge_.broken("a probe of one not ready");
-    const Ending ending = chance_.yes(0.8) ? Ending::kServed : chance_.one_of(kEndings);
-    ends_.emplace(now_ + chance_.real(0, 400), End{0, -1, backend, now_, ending});
+    if (!allowed_.probing) checker_.add_violation("a probe although the settings allow none");
+    if (backends_.at(policy_host_->host(backend)).health != "ready")
+      checker_.add_violation("a probe of a backend that is not ready");
+    const Ending ending = random_.chance(0.8) ? Ending::kServed : random_.one_of(kEndings);
+    pending_ends_.emplace(now_ + random_.real(0, 400), PendingEnd{0, -1, backend, now_, ending});
   }
 
-  void finish(const End& end) {
+  void finish(const PendingEnd& end) {
     LoadReport load;
-    load.in_hand = chance_.real(0, 30);
-    load.waiting = chance_.real(0, 20);
-    load.busy = chance_.real(0, 1);
-    const LoadReport* const told = chance_.yes(0.4) ? &load : nullptr;
+    load.in_hand = random_.real(0, 30);
+    load.waiting = random_.real(0, 20);
+    load.busy = random_.real(0, 1);
+    const LoadReport* const report = random_.chance(0.4) ? &load : nullptr;
     const Millis elapsed = now_ - end.sent;
-    if (end.attempt < 0) return policy_host_->report_probe(end.backend, end.ending, elapsed, told, now_);
-    judge_.ended(end.request, end.attempt, end.ending);
-    carry_out(policy_host_->report(end.request, end.attempt, end.ending, elapsed, told, now_));
+    if (end.attempt < 0) return policy_host_->report_probe(end.backend, end.ending, elapsed, report, now_);
+    checker_.ended(end.request, end.attempt, end.ending);
+    execute(policy_host_->report(end.request, end.attempt, end.ending, elapsed, report, now_));
   }
 
   // ---- lists ----
 
-  ListedBackend listed(const std::string& host) const {
-    const Spot& spot = spots_.at(host);
-    return {host, "127.0.0.1:9000", spot.health, spot.zone, spot.cell, 1, spot.born};
+  ListedBackend list_entry(const std::string& host) const {
+    const TestBackend& backend = backends_.at(host);
+    return {host, "127.0.0.1:9000", backend.health, backend.zone, backend.cell, 1, backend.born};
   }
-  void add(bool cold, List& list) {
-    const std::string host = std::string("s-").append(std::to_string(spots_.size()));
-    const std::string zone = chance_.yes(0.1) ? "elsewhere" : chance_.one_of(made_.zones);
-    spots_[host] = {zone, chance_.below(3), "ready", cold ? now_ : 0};
-    list.backends.push_back(listed(host));
+  void add_backend(bool cold, List& list) {
+    const std::string host = std::string("s-").append(std::to_string(backends_.size()));
+    const std::string zone = random_.chance(0.1) ? "elsewhere" : random_.one_of(settings_.zones);
+    backends_[host] = {zone, random_.below(3), "ready", cold ? now_ : 0};
+    list.backends.push_back(list_entry(host));
   }
-  List whole() {
+  List full_list() {
     List list;
     list.version = ++version_;
     list.whole = true;
-    for (const auto& [host, spot] : spots_) {
-      if (spot.health != "gone") list.backends.push_back(listed(host));
+    for (const auto& [host, backend] : backends_) {
+      if (backend.health != "gone") list.backends.push_back(list_entry(host));
     }
     return list;
   }
-  void tell(const List& list) { policy_host_->report_list(list, ListSource::kWatch, now_); }
-  void change_list() {
+  void report_list(const List& list) { policy_host_->report_list(list, ListSource::kWatch, now_); }
+  void change_backends() {
     List list;
-    if (spots_.empty() || chance_.yes(0.2)) {
-      add(chance_.yes(), list);
+    if (backends_.empty() || random_.chance(0.2)) {
+      add_backend(random_.chance(), list);
     } else {
-      auto it = std::next(spots_.begin(), chance_.below(static_cast<int>(spots_.size())));
-      Spot& spot = it->second;
-      const bool ready = spot.health == "ready";
-      spot.health = ready ? chance_.one_of<std::string>({"draining", "gone"}) : "ready";
-      if (!ready) spot.born = now_;
-      list.backends.push_back(listed(it->first));
+      auto it = std::next(backends_.begin(), random_.below(static_cast<int>(backends_.size())));
+      TestBackend& backend = it->second;
+      const bool ready = backend.health == "ready";
+      backend.health = ready ? random_.one_of<std::string>({"draining", "gone"}) : "ready";
+      if (!ready) backend.born = now_;
+      list.backends.push_back(list_entry(it->first));
     }
     list.version = ++version_;
-    tell(chance_.yes(0.3) ? whole() : list);
+    report_list(random_.chance(0.3) ? full_list() : list);
   }
 
-  // New settings under what is open.
+  // Applies new settings while requests are open.
   void reload() {
-    made_ = made(chance_);
-    read_ = parse_config(made_.text(), {});
-    ever_.ask = ever_.ask || made_.ask;
-    ever_.probes = ever_.probes || made_.probes;
-    ever_.cancel = ever_.cancel || made_.cancel;
-    numbers_ = policy_host_->adopt(read_.settings, read_.host, now_);
+    settings_ = random_settings(random_);
+    config_ = parse_config(settings_.text(), {});
+    allowed_.list_on_request = allowed_.list_on_request || settings_.list_on_request;
+    allowed_.probing = allowed_.probing || settings_.probing;
+    allowed_.cancelling = allowed_.cancelling || settings_.cancelling;
+    class_numbers_ = policy_host_->adopt(config_.settings, config_.host, now_);
   }
 
   inline static const std::vector<Ending> kEndings = {
@@ -209,22 +212,22 @@
       Ending::kBrokenUnsent, Ending::kBroken,     Ending::kPeerClosed,   Ending::kStoppedUnsent,
       Ending::kRefused,      Ending::kMalformed,  Ending::kNoDescriptor, Ending::kServed};
 
-  Chance chance_;
-  Made made_;
-  Config read_;
-  Made ever_;  // what any settings so far allow
+  RandomSource random_;
+  RandomSettings settings_;
+  Config config_;
+  RandomSettings allowed_;  // features that any settings so far allowed
   std::optional<PolicyHost> policy_host_;
-  std::vector<int> numbers_;  // of the classes in force
-  Judge judge_;
+  std::vector<int> class_numbers_;  // by class in force: its number in the policy host
+  RequestChecker checker_;
   Millis now_ = 1.7e12;
-  Millis next_ = 0;
+  Millis next_tick_ = 0;
   bool wake_ = false;
-  bool hints_ = chance_.yes(0.3);
+  bool sends_hints_ = random_.chance(0.3);
   std::uint64_t version_ = 1;
-  RequestId last_ = 0;
+  RequestId last_request_ = 0;
   int probes_ = 0;
-  std::map<std::string, Spot> spots_;
-  std::multimap<Millis, End> ends_;
+  std::map<std::string, TestBackend> backends_;
+  std::multimap<Millis, PendingEnd> pending_ends_;
 };
 
 }  // namespace shorelead::node
--- a/tests/crossings/settings_test.cpp
+++ b/tests/crossings/settings_test.cpp
@@ -1,5 +1,5 @@
-// Settings of deployments that nobody has yet: whatever they are within the settings page, they are taken,
-// and a node keeps the rules under them while backends, clients and lists do what chance has them do.
+// Property test over random valid settings: the node accepts them and keeps the rules on retries, deadlines
+// and answers, whatever backends, clients and lists do.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -8,29 +8,29 @@
 namespace shorelead::node {
 namespace {
 
-RC_GTEST_PROP(Settings, WhateverTheyAreTheRulesHold, ()) {
-  const auto drawn = *rc::gen::arbitrary<std::uint32_t>();
-  for (std::uint64_t seed = 10ULL * drawn; seed < 10ULL * drawn + 10; ++seed) {
-    Chance chance(seed);
-    const Made first = made(chance);
-    World world(seed, first);
-    world.run(200);
-    if (world.judge().broken().empty()) continue;
-    RC_LOG() << "seed " << seed << ": " << first.text() << '\n';
-    RC_FAIL(world.judge().broken().front());
+RC_GTEST_PROP(Settings, RequestRulesHoldUnderAnyValidSettings, ()) {
+  const auto base_seed = *rc::gen::arbitrary<std::uint32_t>();
+  for (std::uint64_t seed = 10ULL * base_seed; seed < 10ULL * base_seed + 10; ++seed) {
+    RandomSource random(seed);
+    const RandomSettings settings = random_settings(random);
+    Simulation simulation(seed, settings);
+    simulation.run(200);
+    if (simulation.checker().violations().empty()) continue;
+    RC_LOG() << "seed " << seed << ": " << settings.text() << '\n';
+    RC_FAIL(simulation.checker().violations().front());
   }
 }
 
-// The run above proves nothing where nothing is sent.
-TEST(Settings, MostWorldsSendAndServe) {
+// Guards against a simulation that sends nothing, with which the test above would always pass.
+TEST(Settings, SimulationsSendAndServeRequests) {
   int sent = 0;
   int served = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    Chance chance(seed);
-    World world(seed, made(chance));
-    world.run(300);
-    sent += world.judge().sent();
-    served += world.judge().served();
+    RandomSource random(seed);
+    Simulation simulation(seed, random_settings(random));
+    simulation.run(300);
+    sent += simulation.checker().sent();
+    served += simulation.checker().served();
   }
   EXPECT_GT(sent, 60 * 100);
   EXPECT_GT(served, 60 * 30);
