--- a/tests/crossings/descriptors_test.cpp
+++ b/tests/crossings/descriptors_test.cpp
@@ -24,7 +24,7 @@
 }
 
 // What the node knows before: one backend, and where discovery is to be.
-NodeProcess::Told told(int stated, const Peer& backend, const DownAddress& discovery) {
+NodeProcess::ConfigChange told(int stated, const Peer& backend, const DownAddress& discovery) {
   ListedBackend known;
   known.host = "s-1", known.dial = backend.dial(), known.health = "ready";
   const Poco::Net::SocketAddress address("127.0.0.1", discovery.port());
@@ -75,7 +75,7 @@
   ASSERT_NO_FATAL_FAILURE(use(node, before, kept));
   SilentClients silent(node.port());
   silent.wait_for_evictions();  // it is full, and stays so
-  discovery.rise();
+  discovery.start_listening();
   ASSERT_NO_FATAL_FAILURE(stay_silent(discovery.accept()));
   expect_return(node, discovery, *kept);
 }
@@ -93,12 +93,12 @@
 TEST(Crossings, IdleClientsFillTheDescriptorsThatAReloadFindsWhileDiscoveryIsDown) {
   DownAddress first;
   DownAddress second;
-  second.rise();
+  second.start_listening();
   Peer before;
   const NodeProcess node(1024, told(1024, before, first), told(1024, before, second));
   std::optional<Line> kept;
   ASSERT_NO_FATAL_FAILURE(use(node, before, kept));
-  node.allow(64);
+  node.set_descriptor_limit(64);
   node.reload();
   Line call = second.accept();  // it has reloaded
   SilentClients silent(node.port());
--- a/tests/crossings/node_process.h
+++ b/tests/crossings/node_process.h
@@ -1,4 +1,4 @@
-// A node in a process of its own, whose descriptors are its alone.
+// Runs a node in a child process, so that a test can limit its file descriptors.
 #pragma once
 
 #include <sys/resource.h>
@@ -16,16 +16,16 @@
 
 class NodeProcess {
  public:
-  using Told = std::function<void(Config&)>;
+  using ConfigChange = std::function<void(Config&)>;
 
-  // `set` says what the node is told, `again` what changes in that with SIGHUP; the system allows it so many
-  // descriptors. Nothing of the test's stays open in it.
+  // `configure` sets the node's configuration, `on_reload` changes it at SIGHUP; `descriptors` is the
+  // process's RLIMIT_NOFILE. The child closes all descriptors of the test.
   NodeProcess(
-      int descriptors, const Told& set, const Told& again = [](Config&) {}) {
+      int descriptors, const ConfigChange& configure, const ConfigChange& on_reload = [](Config&) {}) {
     int ports[2];
     EXPECT_EQ(::pipe(ports), 0);
     child_ = ::fork();
-    if (child_ == 0) serve(descriptors, set, again, ports[1]);
+    if (child_ == 0) serve(descriptors, configure, on_reload, ports[1]);
     ::close(ports[1]);
     EXPECT_EQ(::read(ports[0], &port_, sizeof port_), static_cast<ssize_t>(sizeof port_));
     ::close(ports[0]);
@@ -39,27 +39,28 @@
 
   Line client() const { return Line::connect(port_); }
   unsigned short port() const { return port_; }
-  // The system allows it so many from now on.
-  void allow(int descriptors) const {
+  // Changes the RLIMIT_NOFILE of the running node.
+  void set_descriptor_limit(int descriptors) const {
     const rlimit limit{static_cast<rlim_t>(descriptors), static_cast<rlim_t>(descriptors)};
     EXPECT_EQ(::prlimit(child_, RLIMIT_NOFILE, &limit, nullptr), 0);
   }
   void reload() const { ::kill(child_, SIGHUP); }
 
  private:
-  [[noreturn]] static void serve(int descriptors, const Told& set, const Told& again, int told) {
-    ::dup2(told, STDERR_FILENO + 1);
+  [[noreturn]] static void serve(int descriptors, const ConfigChange& configure,
+                                 const ConfigChange& on_reload, int port_pipe) {
+    ::dup2(port_pipe, STDERR_FILENO + 1);
     ::close_range(STDERR_FILENO + 2, ~0U, 0);
     const rlimit limit{static_cast<rlim_t>(descriptors), static_cast<rlim_t>(descriptors)};
     if (::setrlimit(RLIMIT_NOFILE, &limit) != 0) ::_exit(1);
     Node node;
-    set(node.config);
+    configure(node.config);
     Loop loop;
     Server server(loop, node.config, node.waits);
     loop.on_signals([&](int) {
       server.reload([&] {
         Config fresh = node.config;
-        again(fresh);
+        on_reload(fresh);
         return fresh;
       });
     });
@@ -75,14 +76,14 @@
   unsigned short port_ = 0;
 };
 
-// An address that turns connections down until it is up.
+// A bound address that refuses connections until it starts listening.
 class DownAddress {
  public:
   DownAddress() : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    EXPECT_EQ(::bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof at), 0);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    EXPECT_EQ(::bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
     const timeval limit{kHangSeconds, 0};
     ::setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
   }
@@ -90,10 +91,10 @@
   DownAddress(const DownAddress&) = delete;
   DownAddress& operator=(const DownAddress&) = delete;
   unsigned short port() const { return port_of(fd_); }
-  void rise() { EXPECT_EQ(::listen(fd_, 8), 0); }
+  void start_listening() { EXPECT_EQ(::listen(fd_, 8), 0); }
   Line accept() {
     const int fd = ::accept(fd_, nullptr, nullptr);
-    EXPECT_GE(fd, 0) << "nobody connects";
+    EXPECT_GE(fd, 0) << "no connection arrives";
     return Line(fd);
   }
 
--- a/tests/migrate_test.sh
+++ b/tests/migrate_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# `shorelead config migrate` as an operator calls it: files, exit codes, and what it must not touch.
+# End-to-end test of `shorelead config migrate`: output, exit codes, and that existing files stay unchanged.
 set -euo pipefail
 shorelead=$1
 work=$(mktemp -d)
