--- a/src/node/affinity_binding.cpp
+++ b/src/node/affinity_binding.cpp
@@ -87,13 +87,13 @@
   if (pools.size() > 1) {
     fail("it takes requests of the pools " + config.pools[*pools.begin()].name + " and " +
          config.pools[*std::next(pools.begin())].name +
-         ", and a key has one box: say in its condition which route it is for");
+         ", and a key is bound to one box: restrict its condition to one route");
   }
   if (pools.empty() || config.pools.empty()) return;
   const PoolConfig& pool = config.pools[*pools.begin()];
   rule.pool = pool.name;
   if (rule.must && pool.fleet.subset) {
-    fail("pool " + pool.name + " shows this node a part of its boxes, and `must` needs them all");
+    fail("pool " + pool.name + " uses a subset of its boxes, and `must` needs all of them");
   }
 }
 
--- a/src/node/migrate.cpp
+++ b/src/node/migrate.cpp
@@ -53,7 +53,7 @@
     set_number(settings, "Me", options.index, 0, "give --index: which of them this node is, from 0");
     if (document_.HasMember("limits"))
       add_remaining_step("limits", "kept: set what a node beside a client process may use");
-    add_remaining_step("seed", "kept: give each node its own seed, or all probe in step");
+    add_remaining_step("seed", "kept: give each node its own seed, or all of them probe at the same times");
     const Value& allowed = settings["Allowed"];
     if (!allowed.HasMember("CpuUsPerS"))
       add_remaining_step("settings.Allowed.CpuUsPerS", "missing: what a node may use");
--- a/tests/crossings/settings_checker.h
+++ b/tests/crossings/settings_checker.h
@@ -1,5 +1,5 @@
 // Checks the rules on retries, deadlines and answers for each request, from the events of a test: received,
-// sent, ended, answered. It goes by the settings in force when a request came, not by the state of the
+// sent, ended, answered. It uses the settings in force when a request came, not by the state of the
 // decision module.
 #pragma once
 
