--- a/tests/crossings/settings_order_test.cpp
+++ b/tests/crossings/settings_order_test.cpp
@@ -32,13 +32,13 @@
   }
   List list(const std::string& health) {
     List all;
-    expected.whole = health == "ready";
+    all.whole = health == "ready";
     for (int n = 0; n < 4; ++n) {
       ListedBackend one;
       one.host = std::string("s-").append(std::to_string(n));
       one.dial = "127.0.0.1:9000";
       one.health = health;
-      expected.backends.push_back(one);
+      all.backends.push_back(one);
     }
     return all;
   }
