--- a/src/node/config_reloader.cpp
+++ b/src/node/config_reloader.cpp
@@ -23,7 +23,7 @@
   Config fresh;
   try {
     fresh = read();
-    fresh.shape.covers(host_.shape());
+    fresh.keys.require_all_of(host_.keys());
   } catch (const UnreadableConfig& error) {
     if (++attempts_ >= kMaxAttempts) return reject("reloaded", error);
     spdlog::warn("cannot read the configuration, retrying: {}", error.what());
--- a/src/node/config_reloader.h
+++ b/src/node/config_reloader.h
@@ -14,8 +14,8 @@
  public:
   using ReadConfig = std::function<Config()>;
   struct Host {
-    std::function<const Shape&()> shape;  // of the current file, whose keys a new one must have
-    std::function<void(Config)> apply;    // throws if it cannot be applied; nothing has changed then
+    std::function<const ConfigKeys&()> keys;  // of the current file, whose keys a new one must have
+    std::function<void(Config)> apply;        // throws if it cannot be applied; nothing has changed then
   };
 
   ConfigReloader(Loop& loop, Host host) : loop_(loop), host_(std::move(host)) {}
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -16,7 +16,7 @@
 #include "files/whole_file.h"
 #include "language/reference.h"
 #include "node/config.h"
-#include "node/difference.h"
+#include "node/config_diff.h"
 #include "node/explain.h"
 #include "node/language_binding.h"
 #include "node/migrate.h"
@@ -75,17 +75,17 @@
 
 // Migrates an old configuration to the new shape; an empty `output` stands for standard output.
 int migrate_file(const std::string& path, const std::string& output, bool dry, bool replace,
-                 const shorelead::node::NewShape& shape) {
+                 const shorelead::node::MigrationOptions& options) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf())) throw shorelead::FieldError(path + " cannot be read, or is empty");
-  const auto migration = shorelead::node::migrate(std::move(text).str(), path, shape);
-  if (migration.already) {
+  const auto migration = shorelead::node::migrate(std::move(text).str(), path, options);
+  if (migration.already_migrated) {
     std::cerr << path << ": of the new shape already, nothing to do\n";
     return 0;
   }
   for (const std::string& line : migration.changed) std::cerr << "changed " << line << "\n";
-  for (const std::string& line : migration.left) std::cerr << "left " << line << "\n";
+  for (const std::string& line : migration.remaining_steps) std::cerr << "left " << line << "\n";
   if (!dry && output.empty()) std::cout << migration.text;
   if (!output.empty() && std::filesystem::exists(output)) {
     if (std::filesystem::equivalent(output, path))
@@ -93,9 +93,9 @@
     if (!replace) throw shorelead::FieldError(output + " is there already; --replace overwrites it");
   }
   if (!dry && !output.empty()) write_whole(output, migration.text);
-  std::cerr << path << ": " << migration.changed.size() << " changed, " << migration.left.size()
+  std::cerr << path << ": " << migration.changed.size() << " changed, " << migration.remaining_steps.size()
             << " left to do" << (dry ? "; nothing written" : "") << "\n";
-  return migration.left.empty() ? 0 : kPartlyMigrated;
+  return migration.remaining_steps.empty() ? 0 : kPartlyMigrated;
 }
 
 int check_file(const std::string& path, bool strict) {
@@ -196,11 +196,11 @@
     std::string output;
     bool dry = false;
     bool replace = false;
-    shorelead::node::NewShape shape;
+    shorelead::node::MigrationOptions migration_options;
     migrating->add_option("old", file)->required();
     migrating->add_option("--output", output, "output file; standard output by default");
-    migrating->add_option("--nodes", shape.nodes, "number of client processes that have a node");
-    migrating->add_option("--index", shape.index, "index of this client process, from 0");
+    migrating->add_option("--nodes", migration_options.nodes, "number of client processes that have a node");
+    migrating->add_option("--index", migration_options.index, "index of this client process, from 0");
     migrating->add_flag("--dry-run", dry, "only show what would change");
     migrating->add_flag("--replace", replace, "overwrite an existing --output file");
     CLI::App* const reference =
@@ -217,7 +217,7 @@
       return 0;
     }
     if (check->parsed()) return check_file(file, strict);
-    if (migrating->parsed()) return migrate_file(file, output, dry, replace, shape);
+    if (migrating->parsed()) return migrate_file(file, output, dry, replace, migration_options);
     if (explaining->parsed())
       return shorelead::node::explain(shorelead::node::load_shore(file, {}, shorelead::language::disk()),
                                       request, headers, std::cout)
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -23,9 +23,9 @@
       recorder_(loop),
       config_(config),
       limits_(config.limits),
-      shape_(config.shape),
+      keys_in_force_(config.keys),
       timeouts_(timeouts),
-      reloader_(loop, {[this]() -> const Shape& { return shape_; },
+      reloader_(loop, {[this]() -> const ConfigKeys& { return keys_in_force_; },
                        [this](Config fresh) { apply(std::move(fresh)); }}),
       admissions_(loop, context.inherited.has_value(),
                   [this](RequestId request) { request_table_.reconsider(request); }),
@@ -218,7 +218,7 @@
     flow_budget_->state(flow_budget_bytes());
     throw;
   }
-  shape_ = std::move(fresh.shape);
+  keys_in_force_ = std::move(fresh.keys);
 }
 
 void Server::log_counters() const {
--- a/src/node/server.h
+++ b/src/node/server.h
@@ -80,7 +80,7 @@
   Recorder recorder_;
   const Config& config_;  // the one of the start
   Limits limits_;
-  Shape shape_;  // keys of the current configuration file
+  ConfigKeys keys_in_force_;  // keys of the current configuration file
   const Timeouts timeouts_;
   ConfigReloader reloader_;
   std::shared_ptr<net::FlowBudget> flow_budget_;  // memory for streamed bodies
--- a/tests/affinity/shore_test.cpp
+++ b/tests/affinity/shore_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <sstream>
 
-#include "node/difference.h"
+#include "node/config_diff.h"
 #include "node/explain.h"
 #include "node/language_binding.h"
 
@@ -121,7 +121,7 @@
 TEST(AffinityFile, DifferencesSayWhoseKeysMove) {
   const auto changed = [](const std::string& before, const std::string& after) {
     std::vector<std::string> all;
-    for (const Difference& one : differences(loaded(before), loaded(after))) all.push_back(one.what);
+    for (const ConfigDiff& one : differences(loaded(before), loaded(after))) all.push_back(one.what);
     return all;
   };
   using Words = std::vector<std::string>;
