--- a/fuzz/registry_fuzz.cpp
+++ b/fuzz/registry_fuzz.cpp
@@ -1,14 +1,14 @@
 // What a registry may answer and what a disk may give back, under any bytes: read or refused with a cause;
-// and what was read as a box or a kept list is read the same when it is written again. The first byte chooses
-// the reader. Run by fuzz/run with a fixed number of inputs.
+// and what was read as a backend or a kept list is read the same when it is written again. The first byte
+// chooses the reader. Run by fuzz/run with a fixed number of inputs.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
 
-#include "membership/kept_list.h"
 #include "membership/registry/follower.h"
 #include "membership/registry/messages.h"
 #include "membership/registry/writes.h"
+#include "membership/saved_list.h"
 
 using namespace shorelead::membership;
 
@@ -33,7 +33,7 @@
     } else if (const auto line = registry::parse_line(part, cause)) {
       follower.line(*line, now);
     }
-    if (follower.leave()) follower.ended(now);
+    if (follower.must_close()) follower.ended(now);
     must(!follower.next().body.empty());
     must(follower.next().at <= now + 10000);
     must(view.ready() <= view.size());
@@ -83,7 +83,7 @@
       break;
     }
     case 3: {
-      const auto list = read_kept(text, cause);
+      const auto list = read_saved_list(text, cause);
       must(list || !cause.empty());
       const auto bytes = registry::from_base64(text);
       must(!bytes || registry::from_base64(registry::base64(*bytes)) == bytes);
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -102,7 +102,7 @@
 
 struct ModelNode {
   std::unique_ptr<Policy> policy;
-  std::unique_ptr<subset::Subset> subset;  // for lots
+  std::unique_ptr<subset::Subset> subset;  // for shards
   std::uint32_t life = 0;
   std::vector<std::uint32_t> box_of;                       // by backend
   std::unordered_map<std::uint32_t, BackendId> number_of;  // by box
@@ -161,8 +161,8 @@
   subset::Options subset_options() const {
     subset::Options options;
     options.target = o_.size;
-    options.least_holders = o_.least_holders;
-    if (o_.way == "whole") options.whole_up_to = 1 << 30;
+    options.min_holders = o_.least_holders;
+    if (o_.way == "whole") options.divide_above = 1 << 30;
     return options;
   }
 
@@ -240,7 +240,7 @@
     s.fall_multiple = 3;
     s.fall_span = 1000;
     s.sizes_listed = true;
-    s.most_probes_backend = o_.probes_per_box;
+    s.max_probes_per_backend = o_.probes_per_box;
     node.policy = std::make_unique<Policy>(s, draws_.whole(std::uint64_t{1} << 62));
     feed(n, Started{});
     const auto members = members_of(n);
@@ -281,7 +281,7 @@
   std::vector<std::uint32_t> members_of(std::uint32_t n) {
     std::vector<std::uint32_t> members;
     if (!way_) {
-      nodes_[n].subset->settle();
+      nodes_[n].subset->update();
       for (const std::string& id : nodes_[n].subset->members()) members.push_back(by_id_.at(id));
     } else {
       draw_ways();
@@ -296,15 +296,15 @@
     if (drawn_version_ == fleet_->version() && drawn_.size() == static_cast<std::size_t>(stated_nodes_))
       return;
     drawn_version_ = fleet_->version();
-    Boxes ready;
-    for (const subset::Fleet::Known& known : fleet_->boxes()) {
-      if (known.ready) ready.push_back(known.box);
+    Backends ready;
+    for (const subset::Fleet::Entry& entry : fleet_->backends()) {
+      if (entry.ready) ready.push_back(entry.backend);
     }
     drawn_ = (*way_)(ready, stated_nodes_, std::min(o_.size, static_cast<int>(ready.size())));
   }
 
   double holders(std::uint32_t n) const {
-    if (!way_) return subset::holders(place(n), nodes_[n].subset->lots());
+    if (!way_) return subset::holders(place(n), nodes_[n].subset->shards());
     const double mean = static_cast<double>(stated_nodes_) * o_.size / static_cast<double>(fleet_->size());
     return std::ceil(mean);
   }
@@ -483,10 +483,10 @@
       if (box.dead) return back(due.what, Outcome::kNoConnection, kConnectTimeout);
       return back(due.what, Outcome::kNoConnection, 0);
     }
-    if (box.draining) return back(due.what, Outcome::kTurnedAway, 0);
+    if (box.draining) return back(due.what, Outcome::kRejected, 0);
     ModelRequest& r = nodes_[a.node].requests.at(a.request);
     const BoxModel::Verdict verdict = box.model.arrive(now_, due.what, r.work, static_cast<int>(a.node));
-    if (verdict == BoxModel::Verdict::kFull) return back(due.what, Outcome::kTurnedAway, 0);
+    if (verdict == BoxModel::Verdict::kFull) return back(due.what, Outcome::kRejected, 0);
     if (verdict == BoxModel::Verdict::kFell) {
       if (!std::exchange(box.fallen, true)) ++result_.fallen;
       const std::vector<std::uint64_t> jobs = std::exchange(box.jobs, {});
@@ -555,7 +555,7 @@
     ModelAttempt& a = attempts_[slot];
     if (!a.open) return;
     if (a.arrived && boxes_[a.box].model.cancel(slot)) std::erase(boxes_[a.box].jobs, slot);
-    finish(slot, Outcome::kCalledOff);
+    finish(slot, Outcome::kCancelled);
   }
 
   void finish(std::uint64_t slot, Outcome outcome) {
@@ -578,7 +578,7 @@
     ended.attempt = a.number;
     ended.outcome = outcome;
     ended.elapsed = now_ - a.sent;
-    ended.has_report = outcome == Outcome::kServed || outcome == Outcome::kTurnedAway;
+    ended.has_report = outcome == Outcome::kServed || outcome == Outcome::kRejected;
     ended.report = a.load;
     if (outcome == Outcome::kServed && !r.over) {
       r.over = true;
@@ -598,7 +598,7 @@
 
   // As the node does: three silences in a row, and a member counts as no capacity.
   void note_silence(ModelNode& node, std::uint32_t box, Outcome outcome) {
-    if (!node.subset || outcome == Outcome::kCalledOff) return;
+    if (!node.subset || outcome == Outcome::kCancelled) return;
     const bool silent = outcome == Outcome::kNoAnswer || outcome == Outcome::kNoConnection;
     const std::uint64_t key = (static_cast<std::uint64_t>(&node - nodes_.data()) << 32) | box;
     if (!silent) {
--- a/src/membership/registry/messages.cpp
+++ b/src/membership/registry/messages.cpp
@@ -9,8 +9,8 @@
 
 using namespace json;
 
-constexpr double kMostSize = 1e6;
-constexpr int kMostCell = 1000000;
+constexpr double kMaxSize = 1e6;
+constexpr int kMaxCell = 1000000;
 
 }  // namespace
 
@@ -84,7 +84,7 @@
   if (reason != nullptr && reason->IsString()) line.reason = reason->GetString();
   bool bad = false;
   const Json* const events = array(*result, "events", bad);
-  if (bad) return cause = "events is no list", std::nullopt;
+  if (bad) return cause = "events is not a list", std::nullopt;
   if (events == nullptr) return line;
   line.events.resize(events->Size());
   for (rapidjson::SizeType n = 0; n < events->Size(); ++n) {
@@ -92,7 +92,7 @@
     const Json* const kv = event.IsObject() ? find(event, "kv") : nullptr;
     if (kv == nullptr) return cause = "an event has no key", std::nullopt;
     if (!item(*kv, line.events[n].item, cause)) return std::nullopt;
-    // An event without a type is a put: the mapping leaves out what has its first value.
+    // An event without a type is a put: the mapping leaves out default values.
     const Json* const type = find(event, "type");
     if (type == nullptr) continue;
     const std::string_view word = type->IsString() ? type->GetString() : "?";
@@ -108,32 +108,33 @@
 
 std::optional<Member> parse_member(std::string_view host, std::string value, std::string& cause) {
   Document document;
-  if (host.empty()) return cause = "a key without a host", std::nullopt;
+  if (host.empty()) return cause = "a key has no host", std::nullopt;
   if (!parse(document, value, cause)) return std::nullopt;
   Member member;
   member.host = host;
-  const auto word = [&](const char* name, std::string& out, bool needed) {
+  const auto string_field = [&](const char* name, std::string& out, bool needed) {
     const Json* const found = find(document, name);
     if (found == nullptr && !needed) return true;
-    if (found == nullptr || !found->IsString()) return cause = std::string(name) + " is not told", false;
+    if (found == nullptr || !found->IsString()) return cause = std::string(name) + " is missing", false;
     out.assign(found->GetString(), found->GetStringLength());
     return true;
   };
-  const auto figure = [&](const char* name, double least, double most, double& out) {
+  const auto number_field = [&](const char* name, double min, double max, double& out) {
     const Json* const found = find(document, name);
     if (found == nullptr) return true;
-    if (!found->IsNumber() || !(found->GetDouble() >= least && found->GetDouble() <= most)) {
-      return cause = std::string(name) + " is out of its bounds", false;
+    if (!found->IsNumber() || !(found->GetDouble() >= min && found->GetDouble() <= max)) {
+      return cause = std::string(name) + " is out of range", false;
     }
     out = found->GetDouble();
     return true;
   };
   double cell = 0;
-  const bool read = word("dial", member.dial, true) && word("health", member.health, true) &&
-                    word("site", member.site, false) && figure("block", 0, kMostCell, cell) &&
-                    figure("share", 1e-6, kMostSize, member.size) && figure("born_ms", 0, 1e15, member.born);
+  const bool read = string_field("dial", member.dial, true) && string_field("health", member.health, true) &&
+                    string_field("site", member.site, false) && number_field("block", 0, kMaxCell, cell) &&
+                    number_field("share", 1e-6, kMaxSize, member.size) &&
+                    number_field("born_ms", 0, 1e15, member.started);
   if (!read) return std::nullopt;
-  if (cell != std::floor(cell)) return cause = "block is no whole number", std::nullopt;
+  if (cell != std::floor(cell)) return cause = "block is not a whole number", std::nullopt;
   member.cell = static_cast<int>(cell);
   return member;
 }
@@ -150,7 +151,7 @@
   out.Key("share");
   out.Double(member.size);
   out.Key("born_ms");
-  out.Double(member.born);
+  out.Double(member.started);
   out.EndObject();
   return buffer.GetString();
 }
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -10,15 +10,15 @@
 namespace shorelead::net {
 namespace {
 
-constexpr std::size_t kMostFields = 100;
-constexpr std::size_t kMostChunkLine = 256;  // size and extensions
+constexpr std::size_t kMaxFields = 100;
+constexpr std::size_t kMaxChunkLine = 256;  // size and extensions
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
 bool token_char(char c) {
-  constexpr std::string_view kOthers = "!#$%&'*+-.^_`|~";
+  constexpr std::string_view kPunctuation = "!#$%&'*+-.^_`|~";
   return (c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z') || (c >= 'a' && c <= 'z') ||
-         kOthers.find(c) != std::string_view::npos;
+         kPunctuation.find(c) != std::string_view::npos;
 }
 
 bool is_token(std::string_view text) {
@@ -27,7 +27,7 @@
 
 bool blank(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
 
-// A control character in a line could end it early for whoever reads it next.
+// A control character in a line could end it early for another parser.
 bool has_control(std::string_view text) {
   return std::any_of(text.begin(), text.end(),
                      [](char c) { return (static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f; });
@@ -121,7 +121,7 @@
   state_ = State::kHead;
   head_ = Head{};
   scan_ = head_size_ = at_ = 0;
-  chunked_ = until_close_ = false;  // what was asked stays as it was: interim answers come before it
+  chunked_ = until_close_ = false;  // no_body_ stays: interim responses come before the final one
   length_ = body_size_ = chunk_left_ = taken_ = 0;
   decoded_.clear();
   chunk_ = Chunk::kSize;
@@ -139,22 +139,22 @@
   if (state_ == State::kHead && !parse_head(buffer)) return state_;
   if (state_ != State::kBody) return state_;
   if (chunked_) return advance_chunks(buffer);
-  const std::size_t come = buffer.size() - head_size_;
+  const std::size_t received = buffer.size() - head_size_;
   if (until_close_) {
-    if (taken_ + come > most_length_) return bad(413, "body too large");
+    if (taken_ + received > max_length_) return bad(413, "body too large");
     at_ = buffer.size();
     return state_;
   }
   const std::uint64_t left = length_ - taken_;
-  at_ = head_size_ + static_cast<std::size_t>(std::min<std::uint64_t>(come, left));
-  if (come >= left) state_ = State::kDone;
+  at_ = head_size_ + static_cast<std::size_t>(std::min<std::uint64_t>(received, left));
+  if (received >= left) state_ = State::kDone;
   return state_;
 }
 
 bool Parser::large() const {
   if (!has_head()) return false;
   const std::size_t here = chunked_ ? decoded_.size() : at_ - head_size_;
-  return length_ > most_body_ || here > most_body_;
+  return length_ > max_buffered_body_ || here > max_buffered_body_;
 }
 
 std::optional<std::uint64_t> Parser::length() const {
@@ -174,14 +174,14 @@
   return state_ == State::kDone ? state_ : bad(400, "cut short");
 }
 
-// Reads lines as far as they are whole, so that no split makes a difference and nothing is read twice.
+// Parses complete lines only, so that the result does not depend on how bytes arrive and none is read twice.
 bool Parser::parse_head(std::string_view buffer) {
-  if (head_size_ == 0 && !may_begin(buffer)) return false;
+  if (head_size_ == 0 && !start_is_possible(buffer)) return false;
   while (true) {
     const std::size_t end = buffer.find('\n', scan_);
-    if (end == std::string_view::npos || end >= kMostHead) {
+    if (end == std::string_view::npos || end >= kMaxHeadBytes) {
       scan_ = buffer.size();
-      if (buffer.size() >= kMostHead) bad(431, "head too large");
+      if (buffer.size() >= kMaxHeadBytes) bad(431, "head too large");
       return false;
     }
     if (end == at_ || buffer[end - 1] != '\r') return bad(400, "line without CR LF"), false;
@@ -190,31 +190,31 @@
     at_ = scan_ = end + 1;
     if (line.size == 0) {
       if (first) {
-        // A line end before the request line is tolerated, as the standard asks; more of them are not.
+        // One empty line before the request line is allowed (RFC 9112 section 2.2); more are not.
         if (kind_ == Kind::kRequest && at_ == 2) {
-          if (!may_begin(buffer)) return false;
+          if (!start_is_possible(buffer)) return false;
           continue;
         }
         return bad(400, "empty start line"), false;
       }
       head_size_ = at_;
       state_ = State::kBody;
-      return settle_framing(buffer);
+      return parse_framing(buffer);
     }
     if (first ? !parse_start_line(buffer, line) : !parse_field(buffer, line)) return false;
     head_size_ = at_;
   }
 }
 
-// Guards against waiting for the end of what cannot become a message: noise has no line ends to wait for.
-bool Parser::may_begin(std::string_view buffer) {
+// Rejects what cannot become a message at its first bytes, as it may contain no line end to wait for.
+bool Parser::start_is_possible(std::string_view buffer) {
   const std::string_view start = buffer.substr(at_);
   if (kind_ == Kind::kResponse) {
-    constexpr std::string_view kStart = "HTTP/1.";
-    const std::size_t come = std::min(start.size(), kStart.size());
-    return start.substr(0, come) == kStart.substr(0, come) || (bad(400, "bad status line"), false);
+    constexpr std::string_view kPrefix = "HTTP/1.";
+    const std::size_t received = std::min(start.size(), kPrefix.size());
+    return start.substr(0, received) == kPrefix.substr(0, received) || (bad(400, "bad status line"), false);
   }
-  // A line end before the request line is settled further on.
+  // parse_head() checks an empty line before the request line.
   const bool fits = start.empty() || token_char(start[0]) || start[0] == '\r' || start[0] == '\n';
   return fits || (bad(400, "bad request line"), false);
 }
@@ -237,13 +237,13 @@
     head_.status = static_cast<int>(*status);
     return true;
   }
-  const std::size_t one = line.find(' ');
-  const std::size_t two = line.rfind(' ');
-  if (one == std::string_view::npos || two == one || !version(line.substr(two + 1))) {
+  const std::size_t first = line.find(' ');
+  const std::size_t last = line.rfind(' ');
+  if (first == std::string_view::npos || last == first || !version(line.substr(last + 1))) {
     return bad(400, "bad request line"), false;
   }
-  head_.method = {place.at, one};
-  head_.target = {place.at + one + 1, two - one - 1};
+  head_.method = {place.at, first};
+  head_.target = {place.at + first + 1, last - first - 1};
   const std::string_view target = head_.target.in(buffer);
   if (!is_token(head_.method.in(buffer)) || target.empty() || target[0] != '/' ||
       target.find(' ') != std::string_view::npos) {
@@ -255,19 +255,18 @@
 bool Parser::parse_field(std::string_view buffer, Place place) {
   const std::string_view line = place.in(buffer);
   const std::size_t colon = line.find(':');
-  // Also turns down lines that continue the one before and blanks before the colon, which others read
-  // otherwise.
+  // Also rejects folded lines and blanks before the colon, which other parsers read differently.
   if (colon == std::string_view::npos || !is_token(line.substr(0, colon)) || has_control(line)) {
     return bad(400, "bad header field"), false;
   }
-  if (head_.fields.size() == kMostFields) return bad(431, "too many header fields"), false;
+  if (head_.fields.size() == kMaxFields) return bad(431, "too many header fields"), false;
   const std::string_view value = trim(line.substr(colon + 1));
   const auto offset = static_cast<std::size_t>(value.empty() ? line.size() : value.data() - line.data());
   head_.fields.push_back({{place.at, colon}, {place.at + offset, value.size()}, {place.at, place.size + 2}});
   return true;
 }
 
-bool Parser::settle_framing(std::string_view buffer) {
+bool Parser::parse_framing(std::string_view buffer) {
   const Field* length = nullptr;
   const Field* encoding = nullptr;
   int hosts = 0;
@@ -305,7 +304,7 @@
     const auto value = parse_whole(text);
     const bool digits = std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
     if (!digits || text.empty()) return bad(400, "bad Content-Length"), false;
-    if (!value || *value > most_length_) return bad(413, "body too large"), false;
+    if (!value || *value > max_length_) return bad(413, "body too large"), false;
     length_ = *value;
   }
   if (kind_ == Kind::kResponse) {
@@ -329,22 +328,22 @@
     }
     const std::size_t end = buffer.find('\n', at_);
     if (end == std::string_view::npos) {
-      if (buffer.size() - at_ > kMostChunkLine) bad(400, "bad chunk");
+      if (buffer.size() - at_ > kMaxChunkLine) bad(400, "bad chunk");
       return state_;
     }
     if (end == at_ || buffer[end - 1] != '\r') return bad(400, "bad chunk");
     const std::string_view line = buffer.substr(at_, end - 1 - at_);
-    if (line.size() > kMostChunkLine || has_control(line)) return bad(400, "bad chunk");
+    if (line.size() > kMaxChunkLine || has_control(line)) return bad(400, "bad chunk");
     at_ = end + 1;
-    // Chunks of a byte each, or trailers without end, would fill the buffer with framing alone.
-    if (at_ - head_size_ > kMostHead + most_body_ * 8) return bad(413, "too much framing");
+    // One-byte chunks or endless trailers would fill the buffer with framing alone.
+    if (at_ - head_size_ > kMaxHeadBytes + max_buffered_body_ * 8) return bad(413, "too much framing");
     switch (chunk_) {
       case Chunk::kSize: {
         const std::string_view digits = line.substr(0, std::min(line.find(';'), line.size()));
         std::uint64_t size = 0;
         const auto [rest, error] = std::from_chars(digits.data(), digits.data() + digits.size(), size, 16);
         if (error != std::errc() || rest != digits.data() + digits.size()) return bad(400, "bad chunk");
-        if (size > most_length_ || body_size_ + size > most_length_) return bad(413, "body too large");
+        if (size > max_length_ || body_size_ + size > max_length_) return bad(413, "body too large");
         body_size_ += size;
         chunk_left_ = size;
         chunk_ = size > 0 ? Chunk::kData : Chunk::kTrailer;
--- a/src/node/connections.cpp
+++ b/src/node/connections.cpp
@@ -8,128 +8,130 @@
 namespace shorelead::node {
 namespace {
 
-constexpr double kIdleShare = 0.5;        // of the time after which a backend may close: we close before it
-constexpr Millis kIdleUntold = 10000;     // where the settings do not tell that time
-constexpr std::size_t kMostIdle = 32;     // connections kept for one backend
-constexpr std::size_t kMostSettling = 8;  // of them, those held back until they have settled
+constexpr double kIdleTimeoutShare = 0.5;  // of the backend's idle timeout, so that this side closes first
+constexpr Millis kDefaultMaxIdleTime = 10000;  // used where the settings give no idle timeout
+constexpr std::size_t kMaxIdle = 32;           // per backend
+// Per backend; beyond this many, one is reused before it has settled.
+constexpr std::size_t kMaxSettling = 8;
 
 }  // namespace
 
 void Upstream::Connections::adopt(Millis idle_timeout, Millis settle) {
   settle_ = settle;
-  most_idle_ = idle_timeout > 0 ? kIdleShare * idle_timeout : kIdleUntold;
+  max_idle_time_ = idle_timeout > 0 ? kIdleTimeoutShare * idle_timeout : kDefaultMaxIdleTime;
 }
 
-void Upstream::Connections::add(const std::shared_ptr<Link>& link) {
-  pools_[link->backend].push_back(link);
+void Upstream::Connections::add(const std::shared_ptr<Connection>& connection) {
+  by_backend_[connection->backend].push_back(connection);
   ++count_;
-  if (recorder_ != nullptr) recorder_->backend_opened(link->backend);
+  if (recorder_ != nullptr) recorder_->backend_opened(connection->backend);
 }
 
-// The one used last first, so that those beyond need grow old and go. Guards against a second answer that
-// comes some milliseconds after the first: it would be passed on as that to the next request; of a probe it
-// would only be a wrong report. Where many settle, as at a backend that is asked hundreds of times a second,
-// the one that has for longest will do.
-std::shared_ptr<Upstream::Link> Upstream::Connections::best_idle(
-    const std::vector<std::shared_ptr<Link>>& pool, bool probe) const {
-  std::shared_ptr<Link> best;
-  std::shared_ptr<Link> first;
+// Prefers the most recently used, so that surplus connections age and are closed. An attempt gets only a
+// settled connection: a duplicate response that arrives some milliseconds after the first would be taken for
+// the response to the next request (for a probe that would only be a wrong load report). When many are
+// settling, as at a backend with hundreds of requests a second, the one that will settle first is used.
+std::shared_ptr<Upstream::Connection> Upstream::Connections::best_idle(
+    const std::vector<std::shared_ptr<Connection>>& pool, bool probe) const {
+  std::shared_ptr<Connection> best;
+  std::shared_ptr<Connection> first;
   std::size_t settling = 0;
   const Millis now = loop_.now();
-  for (const auto& link : pool) {
-    if (!link->idle()) continue;
-    if (probe || link->settled_at <= now) {
-      if (!best || link->unused_since > best->unused_since) best = link;
+  for (const auto& connection : pool) {
+    if (!connection->idle()) continue;
+    if (probe || connection->settled_at <= now) {
+      if (!best || connection->idle_since > best->idle_since) best = connection;
     } else {
       ++settling;
-      if (!first || link->settled_at < first->settled_at) first = link;
+      if (!first || connection->settled_at < first->settled_at) first = connection;
     }
   }
-  return best || settling < kMostSettling ? best : first;
+  return best || settling < kMaxSettling ? best : first;
 }
 
-std::shared_ptr<Upstream::Link> Upstream::Connections::take_idle(BackendId backend, const std::string& dial,
-                                                                 bool probe) {
+std::shared_ptr<Upstream::Connection> Upstream::Connections::take_idle(BackendId backend,
+                                                                       const std::string& dial, bool probe) {
   while (true) {
-    const auto pool = pools_.find(backend);
-    if (pool == pools_.end()) return nullptr;
-    const std::shared_ptr<Link> best = best_idle(pool->second, probe);
+    const auto pool = by_backend_.find(backend);
+    if (pool == by_backend_.end()) return nullptr;
+    const std::shared_ptr<Connection> best = best_idle(pool->second, probe);
     if (!best) return nullptr;
     const Millis now = loop_.now();
-    const Millis age = now - best->unused_since;
+    const Millis age = now - best->idle_since;
     guard::ConnectionState state;
     state.idle = age;
-    state.most_idle = kept_.fit(age, now) ? most_idle_ : 0;
-    state.address_holds = best->dial == dial;
-    // An end that has come in but was not read yet would make of this request one that may have run.
+    state.max_idle = idle_record_.usable(age, now) ? max_idle_time_ : 0;
+    state.address_current = best->dial == dial;
+    // An unread end of stream would make the next request count as possibly processed.
     state.unread = !best->stream.quiet();
     const guard::Verdict verdict = guard::may_reuse(state);
     if (verdict) return best;
-    forget(*best, verdict.reason == guard::Reason::kInputUnread ? Ending::kPeerClosed : Ending::kIdle);
+    close(*best, verdict.reason == guard::Reason::kInputUnread ? Ending::kPeerClosed : Ending::kIdle);
   }
 }
 
-void Upstream::Connections::rest(Link& link, bool settles) {
-  link.unused_since = loop_.now();
-  if (settles) link.settled_at = link.unused_since + settle_;
-  link.unused = unused_.insert(unused_.end(), &link);
+void Upstream::Connections::mark_idle(Connection& connection, bool settle) {
+  connection.idle_since = loop_.now();
+  if (settle) connection.settled_at = connection.idle_since + settle_;
+  connection.idle_pos = idle_.insert(idle_.end(), &connection);
 }
 
-void Upstream::Connections::use(Link& link) {
-  if (link.unused) unused_.erase(*link.unused);
-  link.unused.reset();
+void Upstream::Connections::mark_in_use(Connection& connection) {
+  if (connection.idle_pos) idle_.erase(*connection.idle_pos);
+  connection.idle_pos.reset();
 }
 
 bool Upstream::Connections::evict_idle() {
-  if (unused_.empty()) return false;
-  Link& oldest = *unused_.front();
-  if (!guard::may_close_idle({.under_way = oldest.job != nullptr || oldest.answer_flow != nullptr}))
+  if (idle_.empty()) return false;
+  Connection& oldest = *idle_.front();
+  if (!guard::may_close_idle({.under_way = oldest.job != nullptr || oldest.response_flow != nullptr}))
     return false;
-  forget(oldest, Ending::kEvicted);
+  close(oldest, Ending::kEvicted);
   return true;
 }
 
-Millis Upstream::Connections::unused_since() const {
-  return unused_.empty() ? 0 : unused_.front()->unused_since;
+Millis Upstream::Connections::oldest_idle_since() const {
+  return idle_.empty() ? 0 : idle_.front()->idle_since;
 }
 
-// Closes a link; it is freed once the handler at hand, which may be its own, is done.
-void Upstream::Connections::forget(Link& link, Ending why) {
-  const std::shared_ptr<Link> hold = link.shared_from_this();
-  use(link);
-  link.stream.close();
+// Closes a connection. It is destroyed after the current handler returns, as that may be the connection's
+// own.
+void Upstream::Connections::close(Connection& connection, Ending why) {
+  const std::shared_ptr<Connection> hold = connection.shared_from_this();
+  mark_in_use(connection);
+  connection.stream.close();
   loop_.later([hold] {});
-  const auto pool = pools_.find(link.backend);
-  if (pool == pools_.end()) return;
+  const auto pool = by_backend_.find(connection.backend);
+  if (pool == by_backend_.end()) return;
   const std::size_t erased = std::erase(pool->second, hold);
   count_ -= erased;
-  if (erased > 0 && recorder_ != nullptr) recorder_->backend_closed(link.backend, why);
-  if (pool->second.empty()) pools_.erase(pool);
+  if (erased > 0 && recorder_ != nullptr) recorder_->backend_closed(connection.backend, why);
+  if (pool->second.empty()) by_backend_.erase(pool);
 }
 
 void Upstream::Connections::sweep() {
   const Millis now = loop_.now();
   std::map<BackendId, std::size_t> kept;
-  for (auto it = unused_.begin(); it != unused_.end();) {
-    Link& link = **it++;
-    if (now - link.unused_since >= most_idle_ || ++kept[link.backend] > kMostIdle)
-      forget(link, Ending::kIdle);
+  for (auto it = idle_.begin(); it != idle_.end();) {
+    Connection& connection = **it++;
+    if (now - connection.idle_since >= max_idle_time_ || ++kept[connection.backend] > kMaxIdle)
+      close(connection, Ending::kIdle);
   }
 }
 
-std::vector<std::shared_ptr<Upstream::Link>> Upstream::Connections::of(
+std::vector<std::shared_ptr<Upstream::Connection>> Upstream::Connections::of_backends(
     const std::vector<BackendId>& backends) const {
-  std::vector<std::shared_ptr<Link>> found;
+  std::vector<std::shared_ptr<Connection>> found;
   for (const BackendId backend : backends) {
-    const auto pool = pools_.find(backend);
-    if (pool != pools_.end()) found.insert(found.end(), pool->second.begin(), pool->second.end());
+    const auto pool = by_backend_.find(backend);
+    if (pool != by_backend_.end()) found.insert(found.end(), pool->second.begin(), pool->second.end());
   }
   return found;
 }
 
-std::vector<std::shared_ptr<Upstream::Link>> Upstream::Connections::all() const {
-  std::vector<std::shared_ptr<Link>> found;
-  for (const auto& [backend, pool] : pools_) found.insert(found.end(), pool.begin(), pool.end());
+std::vector<std::shared_ptr<Upstream::Connection>> Upstream::Connections::all() const {
+  std::vector<std::shared_ptr<Connection>> found;
+  for (const auto& [backend, pool] : by_backend_) found.insert(found.end(), pool.begin(), pool.end());
   return found;
 }
 
--- a/src/node/connections.h
+++ b/src/node/connections.h
@@ -1,5 +1,5 @@
-// All connections to backends, by backend, and those of them that stand unused, by age. It owns them. It must
-// never hand out one that is too old, whose backend has ended it, or on which something came unasked.
+// All connections to backends, indexed by backend, and the idle ones ordered by how long they have been idle.
+// Owns the connections. It never reuses one that is too old, was closed by its backend or holds unread input.
 #pragma once
 
 #include <list>
@@ -8,8 +8,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "node/link.h"
-#include "node/link_lessons.h"
+#include "node/backend_connection.h"
+#include "node/connection_statistics.h"
 
 namespace shorelead::node {
 
@@ -18,34 +18,35 @@
   Connections(Loop& loop, Recorder* recorder) : loop_(loop), recorder_(recorder) {}
   void adopt(Millis idle_timeout, Millis settle);
 
-  void add(const std::shared_ptr<Link>& link);
-  std::shared_ptr<Link> take_idle(BackendId backend, const std::string& dial, bool probe);
-  void rest(Link& link, bool settles);  // it stands unused from now on
-  void use(Link& link);                 // and no longer
-  void forget(Link& link, Ending why);
-  // What became of a request on one that had stood unused for `age`.
-  void note(Millis age, bool broke) { kept_.note(age, broke, loop_.now()); }
+  void add(const std::shared_ptr<Connection>& connection);
+  std::shared_ptr<Connection> take_idle(BackendId backend, const std::string& dial, bool probe);
+  void mark_idle(Connection& connection, bool settle);  // becomes idle
+  void mark_in_use(Connection& connection);             // no longer idle
+  void close(Connection& connection, Ending why);
+  // Records whether a request failed on a connection that had been idle for `age`.
+  void record(Millis age, bool failed) { idle_record_.record_outcome(age, failed, loop_.now()); }
   bool evict_idle();
-  Millis unused_since() const;
+  Millis oldest_idle_since() const;
   void sweep();
 
-  std::vector<std::shared_ptr<Link>> of(const std::vector<BackendId>& backends) const;
-  std::vector<std::shared_ptr<Link>> all() const;
+  std::vector<std::shared_ptr<Connection>> of_backends(const std::vector<BackendId>& backends) const;
+  std::vector<std::shared_ptr<Connection>> all() const;
   std::size_t count() const { return count_; }
-  std::size_t idle() const { return unused_.size(); }
+  std::size_t idle() const { return idle_.size(); }
 
  private:
-  std::shared_ptr<Link> best_idle(const std::vector<std::shared_ptr<Link>>& pool, bool probe) const;
+  std::shared_ptr<Connection> best_idle(const std::vector<std::shared_ptr<Connection>>& pool,
+                                        bool probe) const;
 
   Loop& loop_;
   Recorder* const recorder_;
-  Millis most_idle_ = 0;
+  Millis max_idle_time_ = 0;
   Millis settle_ = 0;
-  // No event walks all connections: they are found by backend and by age.
-  std::unordered_map<BackendId, std::vector<std::shared_ptr<Link>>> pools_;
-  std::list<Link*> unused_;  // the longest unused first
+  // Indexed so that no event has to scan all connections.
+  std::unordered_map<BackendId, std::vector<std::shared_ptr<Connection>>> by_backend_;
+  std::list<Connection*> idle_;  // the longest idle first
   std::size_t count_ = 0;
-  KeptRecord kept_;
+  IdleConnectionRecord idle_record_;
 };
 
 }  // namespace shorelead::node
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -1,7 +1,6 @@
-// The watch on discovery's list: one chunked answer that stays open and holds one JSON object after another,
-// each ended by a line end; blank lines show that it lives. It owns that connection, the version reached and
-// the signs of life. It must never decide what a change means, and where the module says when to ask it never
-// asks by itself.
+// The watch on discovery's list of backends: one chunked response that stays open and carries a sequence of
+// JSON objects, each ended by a newline; blank lines are keep-alives. Owns the connection, the last version
+// received and the timeouts. It does not interpret changes, and does not reconnect by itself.
 #pragma once
 
 #include <functional>
@@ -20,49 +19,49 @@
   struct Listener {
     std::function<void(const List&)> changed;
     std::function<void(Ending)> ended;
-    // All that has come was taken in, and nothing has begun to come behind it; `first` of this call, which
-    // was begun then.
+    // All input so far has been processed and nothing is pending. `first`: for the first time in this call,
+    // so that the list was complete at some time after the call began.
     std::function<void(bool first)> current = [](bool) {};
-    std::function<void()> unfinished = [] {};  // a list has begun to come, and is not whole
-    std::function<void()> asked = [] {};       // a call begins
+    std::function<void()> incomplete = [] {};  // a list has arrived in part
+    std::function<void()> call_begun = [] {};  // a call begins
   };
 
-  struct Waits {
+  struct Timeouts {
     Millis connect = 1000;
-    // Calls wait in turn at discovery, which gives them up itself after 2 s; this is for one that is silent
-    // altogether.
-    Millis first = 3000;
-    // An empty line comes each 2 s: a watch silent for longer than this is dead, though its connection
-    // stands.
+    // For the response's head. Discovery queues calls and rejects them itself after 2 s, so this is for one
+    // that does not respond at all.
+    Millis response = 3000;
+    // Discovery sends an empty line every 2 s. A watch silent for longer than this is dead, even if its
+    // connection is open.
     Millis silence = 3000;
   };
 
   Discovery(Loop& loop, const Poco::Net::SocketAddress& address, std::uint64_t version, Listener listener)
-      : Discovery(loop, address, version, std::move(listener), Waits()) {}
+      : Discovery(loop, address, version, std::move(listener), Timeouts()) {}
   Discovery(Loop& loop, const Poco::Net::SocketAddress& address, std::uint64_t version, Listener listener,
-            const Waits& waits);
+            const Timeouts& timeouts);
 
   ~Discovery() override;
 
-  // Opens the watch anew from the version reached; nothing if it stands.
+  // Reopens the watch from the last version received; does nothing if it is open.
   void watch();
-  // Leaves the watch and opens one for the whole list.
-  void watch_anew();
-  // Discovery is now found there: leaves a watch on the old address without a word and opens one on the new,
-  // from the version reached.
-  void move(const Poco::Net::SocketAddress& address);
+  // Closes the watch and opens one from version 0, which brings the whole list.
+  void watch_from_start();
+  // Discovery's address has changed: closes the watch on the old address without calling `ended`, and opens
+  // one on the new from the last version received.
+  void change_address(const Poco::Net::SocketAddress& address);
   bool watching() const { return stream_ != nullptr; }
   std::uint64_t version() const { return version_; }
-  Millis last_told() const { return last_told_; }  // when anything of an answer came; 0 = never
-  bool listed() const { return listed_; }          // a list, or a sign that there is no news, came whole
-  std::uint64_t opened() const { return opened_; }
+  Millis last_received() const { return last_received_; }  // when any part of a response arrived; 0 = never
+  bool has_list() const { return has_list_; }  // a list, or a sign that nothing has changed, was received
+  std::uint64_t calls() const { return calls_; }
 
-  // How the last call stood when it ended, for the log.
+  // State of the last call when it ended, for the log.
   struct CallEnd {
-    Millis after = 0;            // it was begun
-    Millis silent = 0;           // since its last byte, or its begin
-    std::size_t unfinished = 0;  // bytes of a list that has not come whole
-    bool answered = false;       // it had brought something whole
+    Millis duration = 0;               // how long the call lasted
+    Millis silence = 0;                // time since its last byte, or since its start
+    std::size_t incomplete_bytes = 0;  // bytes of an incomplete list
+    bool answered = false;             // a list or keep-alive was received whole
   };
   const CallEnd& last_end() const { return last_end_; }
 
@@ -70,38 +69,38 @@
   void on_connected(Stream&) override;
   void on_input(Stream& stream) override;
   void on_end(Stream& stream, Ending ending) override;
-  bool trickles();
-  void take_lists();
-  void take_text(std::string text);
+  bool too_slow();
+  void read_lists();
+  void read_text(std::string text);
   void read_slice();
-  void take(const List& list);
-  void refuse(const FieldError& error);
-  void taken_in();
-  void expect(Millis wait, Ending otherwise);
-  void leave();
+  void apply(const List& list);
+  void reject(const FieldError& error);
+  void report_progress();
+  void set_deadline(Millis wait, Ending ending);
+  void disconnect();
   void end(Ending ending);
 
   Loop& loop_;
   Poco::Net::SocketAddress address_;
   Listener listener_;
-  const Waits waits_;
+  const Timeouts timeouts_;
   std::uint64_t version_;
   std::shared_ptr<Stream> stream_;
-  Parser parser_{Parser::Kind::kResponse, kMostBytes};
-  ListStream come_;                     // and was not read
-  std::unique_ptr<ListReader> reader_;  // a long list, read in slices; those behind it wait
-  Loop::TimerId slice_ = 0;
+  Parser parser_{Parser::Kind::kResponse, kMaxBytes};
+  ListStream pending_;                  // received and not yet parsed
+  std::unique_ptr<ListReader> reader_;  // a long list, parsed in slices; later lists wait for it
+  Loop::TimerId slice_timer_ = 0;
   Loop::TimerId deadline_ = 0;
-  Millis last_told_ = 0;
-  bool answered_ = false;  // a head has come
-  Millis begun_at_ = 0;    // when the list that has come in part began; 0 = none has
-  bool listed_ = false;
-  std::uint64_t opened_ = 0;
-  Millis called_at_ = 0;
-  bool current_ = false;  // told so of this call
-  Millis heard_at_ = 0;   // a byte, or the call's begin
+  Millis last_received_ = 0;
+  bool head_received_ = false;   // the response's head was received
+  Millis incomplete_since_ = 0;  // when the first part of the incomplete list arrived; 0 = there is none
+  bool has_list_ = false;
+  std::uint64_t calls_ = 0;
+  Millis call_began_at_ = 0;
+  bool reported_current_ = false;  // `current` was called for this call
+  Millis last_byte_at_ = 0;        // when the last byte arrived, or the call began
   CallEnd last_end_;
-  static constexpr std::size_t kMostBytes = 8U << 20;
+  static constexpr std::size_t kMaxBytes = 8U << 20;
 };
 
 }  // namespace shorelead::node
--- a/src/node/outcome.cpp
+++ b/src/node/outcome.cpp
@@ -10,8 +10,8 @@
       return Outcome::kServed;
     case Ending::kErred:
       return Outcome::kError;
-    case Ending::kTurnedAway:
-      return Outcome::kTurnedAway;
+    case Ending::kRejected:
+      return Outcome::kRejected;
     // The request's last byte was never written: the backend cannot have begun it.
     case Ending::kRefused:
     case Ending::kConnectTimeout:
@@ -21,15 +21,15 @@
     case Ending::kTimeout:
     case Ending::kSilent:
       return Outcome::kNoAnswer;
-    case Ending::kCalledOff:
+    case Ending::kCancelled:
     case Ending::kEvicted:
-      return Outcome::kCalledOff;
-    // Nor was it here, but for this node's own sake: nothing speaks against the backend.
+      return Outcome::kCancelled;
+    // Not written either, but for a reason of this node's own: it says nothing about the backend.
     case Ending::kNoDescriptor:
     case Ending::kLocalFailure:
     case Ending::kNotSent:
       return Outcome::kNotSent;
-    // It was written, and then the connection ended in whatever way: it may have run.
+    // The request was written before the connection ended: it may have run.
     case Ending::kBroken:
     case Ending::kMalformed:
     case Ending::kPeerClosed:
@@ -45,7 +45,7 @@
 BackendState state_of(const std::string& health) {
   if (health == "ready") return BackendState::kReady;
   if (health == "draining") return BackendState::kDraining;
-  // Also what this node has no word for: nothing new is sent there.
+  // Also any unknown health, so that nothing new is sent there.
   return BackendState::kGone;
 }
 
--- a/src/node/pool_record.h
+++ b/src/node/pool_record.h
@@ -1,13 +1,13 @@
-// What a pool writes down: its requests' and lists' events, into the node's recorder, and for the checker who
-// may get something new by the lists and calls as they came. Owns that last record; it must never be asked
-// for a decision.
+// Records a pool's request and list events with the node's recorder, and keeps for the checker an independent
+// record of which backends may receive new requests, derived only from lists, bans and health checks. The
+// policy does not read that record.
 #pragma once
 
 #include <spdlog/spdlog.h>
 
 #include "guard/listed_record.h"
 #include "manage/bans.h"
-#include "node/facade.h"
+#include "node/policy_host.h"
 #include "node/recorder.h"
 #include "node/request_rules.h"
 #include "node/upstream.h"
@@ -19,34 +19,34 @@
   explicit PoolRecord(const RecorderHandle& recorder) : recorder_(recorder) {}
 
   void list(const List& list) {
-    listed_.list_begins(list.whole);
+    listed_.begin_list(list.whole);
     for (const ListedBackend& backend : list.backends) {
       listed_.listed(backend.host, backend.health == "ready");
     }
     recorder_->list(list.version, list.whole);
   }
-  void withdrawn_by(std::uint64_t version, const std::string& host) {
-    spdlog::info("by list {} nothing new goes to {}", version, host);
+  void log_withdrawn(std::uint64_t version, const std::string& host) {
+    spdlog::info("list {}: no new requests go to {}", version, host);
   }
   void bans(const manage::BanSet& bans) {
-    listed_.out_by_hand_begins();
+    listed_.clear_out_of_service();
     for (const auto& [host, ban] : bans.all()) {
-      if (ban.out) listed_.out_by_hand(host);
+      if (ban.out) listed_.add_out_of_service(host);
     }
   }
-  void validity(const ListValidity& validity) { listed_.validity(validity); }
-  void probed(const std::string& host, const Result& result, Millis now) {
+  void validity(const ListValidity& validity) { listed_.set_validity(validity); }
+  void probe_ended(const std::string& host, const Result& result, Millis now) {
     if (result.ending == Ending::kServed) listed_.confirmed(host, now - result.elapsed);
-    if (result.ending == Ending::kTurnedAway) listed_.denied(host);
+    if (result.ending == Ending::kRejected) listed_.denied(host);
   }
   bool withdrawn(const std::string& host, Millis now) const { return listed_.withdrawn(host, now); }
 
-  void request(RequestId request, const Settings& settings, const Ask& ask) {
-    const Millis due = ask.body_comes ? guard::kNever : ask.due;
-    recorder_->ruled(request, checked_rules(settings, ask.request_class, due));
+  void request(RequestId request, const Settings& settings, const RequestInfo& info) {
+    const Millis due = info.body_pending ? guard::kNever : info.due;
+    recorder_->ruled(request, checked_rules(settings, info.request_class, due));
   }
-  void body_whole(RequestId request, Millis due) { recorder_->due(request, due); }
-  void threw(RequestId request) { recorder_->handler_threw(request); }
+  void body_complete(RequestId request, Millis due) { recorder_->due(request, due); }
+  void handler_threw(RequestId request) { recorder_->handler_threw(request); }
   void decided(const Choice& choice, const std::string& host) {
     recorder_->attempt_decided(choice.request, choice.attempt, host, choice.backend);
   }
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -4,41 +4,42 @@
 
 #include <utility>
 
-#include "node/fleet_gate.h"
+#include "node/fleet_admission.h"
 #include "node/pool.h"
 
 namespace shorelead::node {
 
-bool Readiness::gate_suffices(const Traffic& traffic) const {
-  return traffic.number != 1 || !traffic.gate || traffic.gate->told();
+bool Readiness::admission_suffices(const RoutingSnapshot& snapshot) const {
+  return snapshot.number != 1 || !snapshot.admission || snapshot.admission->plan_settled();
 }
 
-// Lists of earlier will do if discovery takes its time.
-bool Readiness::lists_suffice(const Traffic& traffic, bool beside) const {
-  bool told = true;
+// Older lists suffice if discovery does not answer in time.
+bool Readiness::lists_suffice(const RoutingSnapshot& snapshot, bool with_predecessor) const {
+  bool has_list = true;
   bool pushed = false;
   bool known = false;
   bool unusable = false;
-  for (const auto& pool : traffic.pools) {
-    told = told && pool->told();
-    // While discovery is down it learns nothing, so what was known when it went down is all there is.
-    pushed = pushed || (pool->pushed() && !pool->told() && !pool->unreached());
+  for (const auto& pool : snapshot.pools) {
+    has_list = has_list && pool->has_current_list();
+    // While discovery is down it has no news, so waiting for a pushed list gains nothing.
+    pushed = pushed || (pool->pushed() && !pool->has_current_list() && !pool->unreached());
     known = known || pool->backends() > 0;
-    unusable = unusable || (!pool->told() && !pool->may_use_given_list());
+    unusable = unusable || (!pool->has_current_list() && !pool->may_use_given_list());
   }
-  if (told) return true;
-  const Millis wait = beside     ? waits_.beside
-                      : unusable ? waits_.unusable_list
-                      : pushed   ? waits_.pushed_list
-                                 : waits_.list;
-  return known && running() >= wait;
+  if (has_list) return true;
+  const Millis wait = with_predecessor ? timeouts_.with_predecessor
+                      : unusable       ? timeouts_.unusable_list
+                      : pushed         ? timeouts_.pushed_list
+                                       : timeouts_.list;
+  return known && uptime() >= wait;
 }
 
-void Readiness::log_first(const Traffic& traffic) {
-  if (std::exchange(logged_, true)) return;
-  for (const auto& pool : traffic.pools) {
-    spdlog::info("pool {}: ready {:.2f} s after the start, {}", pool->name(), running() / 1000,
-                 pool->told() ? "by a list told since" : "by the list given at the start: none was told");
+void Readiness::log_first_ready(const RoutingSnapshot& snapshot) {
+  if (std::exchange(logged_ready_, true)) return;
+  for (const auto& pool : snapshot.pools) {
+    spdlog::info("pool {}: ready {:.2f} s after the start, {}", pool->name(), uptime() / 1000,
+                 pool->has_current_list() ? "with a list from discovery"
+                                          : "with the list given at the start, as discovery sent none");
   }
 }
 
--- a/src/node/upload.cpp
+++ b/src/node/request_body_forwarder.cpp
@@ -1,33 +1,33 @@
-#include "node/upload.h"
+#include "node/request_body_forwarder.h"
 
 #include <utility>
 
 namespace shorelead::node {
 
-Upload::Upload(Loop& loop, Stream& stream, std::shared_ptr<net::Flow> flow)
+RequestBodyForwarder::RequestBodyForwarder(Loop& loop, Stream& stream, std::shared_ptr<net::Flow> flow)
     : loop_(loop), stream_(stream), flow_(std::move(flow)) {
   flow_->set_source({[this] {
                        resumed_at_ = loop_.now();
-                       if (held_at_ > 0) held_ += resumed_at_ - std::exchange(held_at_, 0);
+                       if (paused_at_ > 0) paused_total_ += resumed_at_ - std::exchange(paused_at_, 0);
                        stream_.want_input(true);
                      },
                      {}});
 }
 
-// What takes the part may end the request, and this with it; whoever calls holds it.
-void Upload::put(std::string part) {
+// The sink that takes the part may end the request, which drops this object: the caller keeps it alive.
+void RequestBodyForwarder::put(std::string part) {
   flow_->put(std::move(part));
   if (!flow_->full() || flow_->ended() || left_) return;
-  held_at_ = loop_.now();
+  paused_at_ = loop_.now();
   stream_.want_input(false);
 }
 
-void Upload::end(std::string last) {
+void RequestBodyForwarder::end(std::string last) {
   flow_->put(std::move(last));
   flow_->end();
 }
 
-void Upload::leave() {
+void RequestBodyForwarder::leave() {
   left_ = true;
   flow_->set_source({});
   flow_->cut();
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -12,103 +12,106 @@
 #include <system_error>
 #include <thread>
 
+#include "node/language_binding.h"
 #include "node/log_output.h"
-#include "node/own.h"
+#include "node/platform_file.h"
 #include "node/server.h"
-#include "node/shore.h"
 
 namespace shorelead::node {
 namespace {
 
-// What a start needs of the system may be missing for a moment; nine in ten starts have 10 s.
-constexpr int kStartTries = 100;
-constexpr std::chrono::milliseconds kStartAgain{20};
+// Descriptors, memory or files may be unavailable for a moment. Nine in ten starts have 10 s.
+constexpr int kMaxStartAttempts = 100;
+constexpr std::chrono::milliseconds kStartRetryInterval{20};
 
-std::string variable(const char* name) {
+std::string environment_variable(const char* name) {
   const char* const value = std::getenv(name);
   return value == nullptr ? "" : value;
 }
 
-bool missing_for_a_moment(int error) {
+bool is_transient(int error) {
   return error == EINTR || error == EAGAIN || error == EMFILE || error == ENFILE || error == ENOBUFS ||
          error == ENOMEM || error == ENOSPC || error == EIO;
 }
 
-// A step of the start, again for a while where the system could not give what it needs.
+// Runs a step of the start, and repeats it for a while after transient errors of the system.
 template <typename Step>
-auto tried_again(Step step) {
+auto with_retries(Step step) {
   for (int n = 1;; ++n) {
     try {
       return step();
     } catch (const UnreadableConfig& error) {
-      if (n == kStartTries) throw;
+      if (n == kMaxStartAttempts) throw;
       spdlog::warn("start: {}", error.what());
     } catch (const std::system_error& error) {
-      if (n == kStartTries || !missing_for_a_moment(error.code().value())) throw;
+      if (n == kMaxStartAttempts || !is_transient(error.code().value())) throw;
       spdlog::warn("start: {}", error.what());
     } catch (const Poco::IOException& error) {
-      if (n == kStartTries || !missing_for_a_moment(error.code())) throw;
+      if (n == kMaxStartAttempts || !is_transient(error.code())) throw;
       spdlog::warn("start: {}", error.displayText());
     }
-    std::this_thread::sleep_for(kStartAgain);
+    std::this_thread::sleep_for(kStartRetryInterval);
   }
 }
 
-// The folder that one process of a node shares with the next, and what a process that serves hands over.
-Server::Place take_place(Config& config) {
-  constexpr double kWait = 1500;  // ms, for the other process to answer
-  Server::Place place;
-  place.folder = variable("TMPDIR");
-  if (place.folder.empty()) return place;
+// Returns the directory shared between the processes of a node, and the state that a running process hands
+// over, if there is one; its list of backends replaces the configured one.
+Server::RestartContext inherit_state(Config& config) {
+  constexpr double kHandoverTimeout = 1500;  // ms, for the other process to answer
+  Server::RestartContext context;
+  context.directory = environment_variable("TMPDIR");
+  if (context.directory.empty()) return context;
   try {
-    place.legacy = handover::ask(place.socket(), kWait);
+    context.inherited = handover::request_handover(context.socket_path(), kHandoverTimeout);
   } catch (const std::system_error& error) {
-    spdlog::warn("no other process can be asked: {}", error.what());
+    spdlog::warn("cannot request a handover: {}", error.what());
   }
-  if (!place.legacy) return place;
-  spdlog::info("a process that serves has handed over its listening socket");
+  if (!context.inherited) return context;
+  spdlog::info("took over the listening socket of the running process");
   try {
-    const auto list = read_list(place.legacy->list);
+    const auto list = read_list(context.inherited->list);
     if (!list.backends.empty()) config.known = list;
   } catch (const std::exception& error) {
-    spdlog::warn("its list is of no use, the configuration's stands: {}", error.what());
+    spdlog::warn("cannot read its list of backends, using the configured one: {}", error.what());
   }
-  return place;
+  return context;
 }
 
 }  // namespace
 
-Config load(const ServeOptions& options, bool again) {
-  const Overrides variables{variable("NODE_NAME"), variable("NODE_LISTEN"), variable("NODE_DISCOVERY"),
-                            variable("NODE_MGMT")};
+Config load(const ServeOptions& options, bool is_reload) {
+  const Overrides from_environment{environment_variable("NODE_NAME"), environment_variable("NODE_LISTEN"),
+                                   environment_variable("NODE_DISCOVERY"), environment_variable("NODE_MGMT")};
   if (is_shore(options.config)) {
     if (!options.own.empty())
-      throw FieldError("--own goes with the platform's JSON: a .shore file says it itself");
-    return load_shore(options.config, merge(options.flags, variables, again), language::disk());
+      throw FieldError("--own is only for the platform's JSON; a .shore file has these settings itself");
+    return load_shore(options.config, merge(options.flags, from_environment, is_reload), language::disk());
   }
-  Config config = load_config(options.config, options.flags, variables, again);
-  load_own(options.own, config);
+  Config config = load_config(options.config, options.flags, from_environment, is_reload);
+  load_platform_file(options.own, config);
   return config;
 }
 
 int serve(const ServeOptions& options) {
-  Loop::hold_signals();
+  Loop::block_signals();
   const auto output = std::make_shared<LogOutput>(STDOUT_FILENO);
   spdlog::set_default_logger(std::make_shared<spdlog::logger>("shorelead", output));
-  Config config = tried_again([&] { return load(options, false); });
+  Config config = with_retries([&] { return load(options, false); });
   spdlog::set_default_logger(std::make_shared<spdlog::logger>(config.name, output));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %n %l %v");
   spdlog::set_level(spdlog::level::from_str(options.log_level));
   spdlog::flush_on(spdlog::level::info);
-  const std::unique_ptr<Loop> loop = tried_again([] { return std::make_unique<Loop>(); });
-  Server::Place place;
-  if (config.door) place = take_place(config);
-  const auto make_server = [&] { return std::make_unique<Server>(*loop, config, Server::Waits(), place); };
-  // What was handed over can be used once.
-  const std::unique_ptr<Server> owned = place.legacy ? make_server() : tried_again(make_server);
+  const std::unique_ptr<Loop> loop = with_retries([] { return std::make_unique<Loop>(); });
+  Server::RestartContext context;
+  if (config.admin) context = inherit_state(config);
+  const auto make_server = [&] {
+    return std::make_unique<Server>(*loop, config, Server::Timeouts(), context);
+  };
+  // The inherited descriptors can be used only once, so this is not retried.
+  const std::unique_ptr<Server> owned = context.inherited ? make_server() : with_retries(make_server);
   Server& server = *owned;
   server.recorder().write_at_crash();
-  tried_again([&] {
+  with_retries([&] {
     loop->on_signals([&server, &options](int signal) {
       if (signal == SIGUSR1) return server.log_counters();
       if (signal == SIGHUP) return server.reload([&options] { return load(options, true); });
@@ -116,8 +119,8 @@
     });
   });
   for (const std::string& warning : config.warnings) spdlog::warn("configuration: {}", warning);
-  // From here on each request that comes is owed an answer.
-  tried_again([&server] { server.open(); });
+  // From here on every accepted request must be answered.
+  with_retries([&server] { server.open(); });
   if (config.pools.empty()) {
     spdlog::info("serving on {}, discovery at {}, list {} with {} backends", config.listen.toString(),
                  config.discovery.toString(), config.known.version, config.known.backends.size());
--- a/tests/affinity/shore_test.cpp
+++ b/tests/affinity/shore_test.cpp
@@ -1,14 +1,13 @@
 // Rules of affinity from the text of a configuration: refused with file, line and reason; what explain and
 // diff say of them.
-#include "node/shore.h"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <sstream>
 
-#include "node/difference.h"
+#include "node/config_diff.h"
 #include "node/explain.h"
+#include "node/language_binding.h"
 
 namespace shorelead::node {
 namespace {
@@ -74,7 +73,7 @@
   EXPECT_EQ(loaded("affinity a { key tenant }").shared->sharing.longest, 0) << "must alone needs it";
 }
 
-// One key has one box: a rule's requests lead to one pool, and the planner looks for it among that one's.
+// One key has one backend: a rule's requests lead to one pool, and the planner looks for it among that one's.
 TEST(AffinityFile, ARuleHasOnePool) {
   std::string two = kSite;
   for (const char* const route : {"route shop { ", "route desk { "}) {
@@ -122,7 +121,7 @@
 TEST(AffinityFile, DifferencesSayWhoseKeysMove) {
   const auto changed = [](const std::string& before, const std::string& after) {
     std::vector<std::string> all;
-    for (const Difference& one : differences(loaded(before), loaded(after))) all.push_back(one.what);
+    for (const ConfigDiff& one : differences(loaded(before), loaded(after))) all.push_back(one.what);
     return all;
   };
   using Words = std::vector<std::string>;
--- a/tests/faults/exception_test.cpp
+++ b/tests/faults/exception_test.cpp
@@ -1,5 +1,5 @@
-// A handler that throws in the middle of a request, as for want of memory: the request still gets its answer,
-// and nothing more is sent for it.
+// A handler that throws while a request is handled, as for lack of memory: the client still gets a response,
+// and nothing more is sent for the request.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -12,18 +12,18 @@
 namespace shorelead::node {
 namespace {
 
-std::shared_ptr<const Traffic> one_safe_class() {
-  auto traffic = std::make_shared<Traffic>();
-  traffic->number = 1;
-  traffic->classes.resize(1);
-  traffic->classes[0].effect = Effect::kSafe;
-  traffic->names = {"safe"};
-  return traffic;
+std::shared_ptr<const RoutingSnapshot> one_safe_class() {
+  auto snapshot = std::make_shared<RoutingSnapshot>();
+  snapshot->number = 1;
+  snapshot->classes.resize(1);
+  snapshot->classes[0].effect = Effect::kSafe;
+  snapshot->names = {"safe"};
+  return snapshot;
 }
 
-// Clients before a node whose requests all meet an exception.
-struct Thrown {
-  Thrown() { front.open(); }
+// A front whose handler throws for every request.
+struct FrontWithThrowingHandler {
+  FrontWithThrowingHandler() { front.open(); }
 
   Loop loop;
   std::vector<RequestId> gone;
@@ -31,7 +31,7 @@
       loop,
       Poco::Net::SocketAddress("127.0.0.1", 0),
       one_safe_class(),
-      {[](RequestId, const Ask&, const Way&, const std::shared_ptr<const Message>&) {
+      {[](RequestId, const RequestInfo&, const RequestRoute&, const std::shared_ptr<const Message>&) {
          throw std::runtime_error("out of something");
        },
        [this](RequestId request) { gone.push_back(request); }, [] { return true; }, [] { return false; },
@@ -39,7 +39,7 @@
 };
 
 TEST(Exceptions, ARequestWhoseHandlerThrowsIsAnsweredAsFailed) {
-  Thrown t;
+  FrontWithThrowingHandler t;
   std::string answer;
   std::thread client([&] {
     Line line = Line::connect(t.front.port());
--- a/tests/front_case.h
+++ b/tests/front_case.h
@@ -1,4 +1,4 @@
-// A front alone on a loop, with clients that the test plays.
+// A Front alone on a loop, with clients that the test plays.
 #pragma once
 
 #include <functional>
@@ -11,16 +11,17 @@
 
 namespace shorelead::node {
 
-// A front for one class of requests; it keeps what it is asked and stops soon after the first.
+// A Front for one class of requests. Records the requests that it receives, and stops the loop soon after the
+// first.
 struct Clients {
-  explicit Clients(const Front::Waits& waits = {}) : waits(waits) { front.open(); }
-
-  static std::shared_ptr<const Traffic> one_safe_class() {
-    auto traffic = std::make_shared<Traffic>();
-    traffic->classes.resize(1);
-    traffic->classes[0].effect = Effect::kSafe;
-    traffic->names = {"safe"};
-    return traffic;
+  explicit Clients(const Front::Timeouts& timeouts = {}) : timeouts(timeouts) { front.open(); }
+
+  static std::shared_ptr<const RoutingSnapshot> one_safe_class() {
+    auto snapshot = std::make_shared<RoutingSnapshot>();
+    snapshot->classes.resize(1);
+    snapshot->classes[0].effect = Effect::kSafe;
+    snapshot->names = {"safe"};
+    return snapshot;
   }
 
   Line ask(const std::string& path) {
@@ -30,26 +31,26 @@
   }
 
   Loop loop;
-  Front::Waits waits;
+  Front::Timeouts timeouts;
   std::vector<std::string> taken;
   std::vector<Millis> dues;
-  std::function<void(RequestId)> after_each;  // in place of stopping
+  std::function<void(RequestId)> after_each;  // called for each request in place of stopping
   bool roomy = true;
-  Millis left = 0;  // of the client's wait, when the last was taken
-  Front front{
-      loop,
-      Poco::Net::SocketAddress("127.0.0.1", 0),
-      one_safe_class(),
-      {[this](RequestId request, const Ask& ask, const Way&, const std::shared_ptr<const Message>& message) {
-         taken.emplace_back(message->head().target.in(message->raw));
-         dues.push_back(ask.due);
-         left = ask.due - loop.now();
-         if (after_each) return after_each(request);
-         loop.after(1, [this] { loop.stop(); });
-       },
-       [](RequestId) {}, [] { return true; }, [] { return false; },
-       [](std::size_t unused) { return unused >= 2; }, [this] { return roomy; }, [] { return true; }},
-      waits};
+  Millis left = 0;  // of the client's time-out, when the last request was received
+  Front front{loop,
+              Poco::Net::SocketAddress("127.0.0.1", 0),
+              one_safe_class(),
+              {[this](RequestId request, const RequestInfo& ask, const RequestRoute&,
+                      const std::shared_ptr<const Message>& message) {
+                 taken.emplace_back(message->head().target.in(message->raw));
+                 dues.push_back(ask.due);
+                 left = ask.due - loop.now();
+                 if (after_each) return after_each(request);
+                 loop.after(1, [this] { loop.stop(); });
+               },
+               [](RequestId) {}, [] { return true; }, [] { return false; },
+               [](std::size_t unused) { return unused >= 2; }, [this] { return roomy; }, [] { return true; }},
+              timeouts};
 };
 
 }  // namespace shorelead::node
--- a/tests/full_tables_test.cpp
+++ b/tests/full_tables_test.cpp
@@ -1,7 +1,7 @@
-// Which connections are closed when one could not be had: on sockets none, as a full table answers.
+// Which idle connections are closed when a connection to a backend could not be established: none.
 #include <gtest/gtest.h>
 
-#include "node/facade.h"
+#include "node/policy_host.h"
 
 namespace shorelead::node {
 namespace {
@@ -17,13 +17,14 @@
   return settings;
 }
 
-// Guards against handshakes by the hundred after a process died or a way was cut: all idle connections were
-// closed, to all backends, though only those there were of no use.
-TEST(FullTables, AConnectionThatCouldNotBeHadClosesNoOthers) {
+// When a backend process had died or its network was cut, the idle connections to all backends used to be
+// closed, which caused hundreds of new handshakes although only the connections to that backend were of no
+// use.
+TEST(FullTables, AFailedConnectionClosesNoOthers) {
   for (const bool reloaded : {false, true}) {
     HostSettings host;
     host.classes = {"look"};
-    Facade facade(one_class(), host, 7);
+    PolicyHost policy_host(one_class(), host, 7);
     List list;
     list.version = 1;
     list.whole = true;
@@ -35,16 +36,16 @@
       list.backends.push_back(backend);
     }
     Millis now = 1000;
-    facade.start(list, now);
-    facade.report_list(list, ListSource::kWatch, now);
-    if (reloaded) facade.adopt(one_class(), host, now);
+    policy_host.start(list, now);
+    policy_host.report_list(list, ListSource::kWatch, now);
+    if (reloaded) policy_host.adopt(one_class(), host, now);
     std::size_t sent = 0;
     for (RequestId request = 1; request <= 30; ++request, now += 5) {
-      Choice choice = facade.pick(request, {.due = now + 1000}, now);
+      Choice choice = policy_host.pick(request, {.due = now + 1000}, now);
       for (; choice.kind == Choice::Kind::kSend; ++sent) {
         const Ending ending = sent % 2 == 0 ? Ending::kRefused : Ending::kConnectTimeout;
-        choice = facade.report(request, choice.attempt, ending, 1, nullptr, now);
-        EXPECT_TRUE(facade.tick(now).crowded.empty()) << name_of(ending);
+        choice = policy_host.report(request, choice.attempt, ending, 1, nullptr, now);
+        EXPECT_TRUE(policy_host.tick(now).close_idle.empty()) << name_of(ending);
       }
     }
     EXPECT_GT(sent, 3U);
--- a/tests/guard/guard_test.cpp
+++ b/tests/guard/guard_test.cpp
@@ -1,4 +1,4 @@
-// What may be done right now: each condition alone denies, with its reason, and nothing else does.
+// Tests of the guard: each condition denies by itself, with its reason, and nothing else does.
 #include "guard/guard.h"
 
 #include <gtest/gtest.h>
@@ -17,10 +17,10 @@
   std::function<void(RequestState&)> change;
 };
 
-// A keyed repeat, well within everything.
+// A retry of a keyed request, within all limits.
 RequestState allowed() {
   RequestState request;
-  request.most_attempts = 3;
+  request.max_attempts = 3;
   request.attempts = 1;
   request.due = kNow + 100;
   request.repeat_until = kNow + 50;
@@ -30,7 +30,7 @@
 
 const std::vector<Denied> kAnyAttempt = {
     {Reason::kAnswered, [](auto& r) { r.answered = true; }},
-    {Reason::kClientGone, [](auto& r) { r.client_waits = false; }},
+    {Reason::kClientGone, [](auto& r) { r.client_waiting = false; }},
     {Reason::kDeadline, [](auto& r) { r.due = kNow; }},
     {Reason::kAttemptsSpent, [](auto& r) { r.attempts = 3; }},
     {Reason::kMayHaveRun, [](auto& r) { r.run_once = r.may_have_run = true; }},
@@ -38,25 +38,25 @@
     {Reason::kSlotClosed, [](auto& r) { r.slot_open = false; }},
 };
 
-TEST(Guard, AnAttemptIsWrittenOnlyWhereAllHolds) {
+TEST(Guard, AnAttemptIsWrittenOnlyIfAllConditionsHold) {
   EXPECT_TRUE(may_write(allowed(), BackendState(), kNow));
   std::vector<Denied> cases = kAnyAttempt;
   cases.push_back({Reason::kBodyTaken, [](auto& r) { r.body_taken = true; }});
-  cases.push_back({Reason::kAnotherOut, [](auto& r) { r.out = 1; }});
+  cases.push_back({Reason::kAnotherOut, [](auto& r) { r.in_flight = 1; }});
   for (const Denied& one : cases) {
     RequestState request = allowed();
     one.change(request);
     EXPECT_EQ(may_write(request, BackendState(), kNow).reason, one.reason) << name_of(one.reason);
   }
-  EXPECT_EQ(may_write(allowed(), {.wanted = false}, kNow).reason, Reason::kBackendWithdrawn);
+  EXPECT_EQ(may_write(allowed(), {.in_service = false}, kNow).reason, Reason::kBackendWithdrawn);
   EXPECT_EQ(may_write(allowed(), {.confirmed = false}, kNow).reason, Reason::kListOutdated);
   RequestState beside = allowed();
-  beside.out = 1;
+  beside.in_flight = 1;
   beside.parallel = true;
   EXPECT_TRUE(may_write(beside, BackendState(), kNow));
 }
 
-TEST(Guard, ARetryIsDecidedOnlyWhereAllHolds) {
+TEST(Guard, ARetryIsDecidedOnlyIfAllConditionsHold) {
   EXPECT_TRUE(may_send(allowed(), kNow));
   for (const Denied& one : kAnyAttempt) {
     RequestState request = allowed();
@@ -70,23 +70,23 @@
   EXPECT_TRUE(may_send(spent, kNow)) << "a first attempt is no retry";
 }
 
-TEST(Guard, AHedgeStandsBesideOneWhereThatIsAllowed) {
+TEST(Guard, AHedgeIsAllowedBesideOneAttemptWhereAttemptsMayBeParallel) {
   RequestState request = allowed();
-  request.out = 1;
+  request.in_flight = 1;
   EXPECT_EQ(may_hedge(request, kNow).reason, Reason::kAnotherOut);
   request.parallel = true;
   EXPECT_TRUE(may_hedge(request, kNow));
-  request.out = 2;
+  request.in_flight = 2;
   EXPECT_EQ(may_hedge(request, kNow).reason, Reason::kAnotherOut);
 }
 
-TEST(Guard, AFinalAnswerIsGivenOnceAndARefusalOnlyWhereHarmless) {
+TEST(Guard, AFinalAnswerIsGivenOnceAndARefusalOnlyIfARepeatDoesNoHarm) {
   RequestState request = allowed();
   request.may_have_run = true;
-  request.refusal_repeats = false;
+  request.refusal_is_safe = false;
   EXPECT_EQ(may_refuse(request).reason, Reason::kMayHaveRun);
   EXPECT_TRUE(may_fail(request) && may_forward(request));
-  request.refusal_repeats = true;
+  request.refusal_is_safe = true;
   EXPECT_TRUE(may_refuse(request));
   request.answered = true;
   for (const Verdict verdict : {may_refuse(request), may_fail(request), may_forward(request)}) {
@@ -94,20 +94,20 @@
   }
 }
 
-TEST(Guard, ConnectionsAreClosedAndUsedOnlyWhereNothingIsLost) {
+TEST(Guard, ConnectionsAreClosedAndReusedOnlyIfNothingIsLost) {
   EXPECT_TRUE(may_close_client({}));
   EXPECT_EQ(may_close_client({.under_way = true}).reason, Reason::kRequestUnderWay);
   EXPECT_EQ(may_close_client({.unread = true}).reason, Reason::kInputUnread);
   EXPECT_EQ(may_close_client({.unsent = true}).reason, Reason::kOutputUnsent);
-  EXPECT_TRUE(may_reuse({.idle = 9, .most_idle = 10}));
-  EXPECT_EQ(may_reuse({.idle = 10, .most_idle = 10}).reason, Reason::kTooOld);
+  EXPECT_TRUE(may_reuse({.idle = 9, .max_idle = 10}));
+  EXPECT_EQ(may_reuse({.idle = 10, .max_idle = 10}).reason, Reason::kTooOld);
   EXPECT_EQ(may_reuse({.unread = true}).reason, Reason::kInputUnread);
-  EXPECT_EQ(may_reuse({.address_holds = false}).reason, Reason::kOtherAddress);
+  EXPECT_EQ(may_reuse({.address_current = false}).reason, Reason::kOtherAddress);
   EXPECT_EQ(may_reuse({.under_way = true}).reason, Reason::kRequestUnderWay);
   EXPECT_EQ(may_close_idle({.under_way = true}).reason, Reason::kRequestUnderWay);
 }
 
-TEST(Guard, AProcessIsReadyOnceItKnowsAndWhileItServes) {
+TEST(Guard, AProcessIsReadyOnceItHasAListAndUntilItDrains) {
   EXPECT_TRUE(may_report_ready({}));
   EXPECT_EQ(may_report_ready({.held = true}).reason, Reason::kHeld);
   EXPECT_EQ(may_report_ready({.draining = true}).reason, Reason::kDraining);
--- a/tests/home_test.cpp
+++ b/tests/home_test.cpp
@@ -1,10 +1,10 @@
-// A request's home, as a rule of affinity names it: the module chooses within it, for each attempt, and what
-// counts before affinity (drains, repeats) counts before it here as well.
+// A request with a home unit from an affinity rule: the module chooses within that unit for each attempt;
+// drains and retries take precedence.
 #include <gtest/gtest.h>
 
 #include <set>
 
-#include "node/facade.h"
+#include "node/policy_host.h"
 
 namespace shorelead::node {
 namespace {
@@ -20,7 +20,7 @@
     settings.probing = false;
     HostSettings host;
     host.zones = {"a", "b"};
-    facade = std::make_unique<Facade>(settings, host, 7);
+    policy_host = std::make_unique<PolicyHost>(settings, host, 7);
     list.whole = true;
     for (int n = 1; n <= 8; ++n) {
       const std::string number = std::to_string(n);
@@ -30,41 +30,40 @@
       one.dial += number;
       list.backends.push_back(one);
     }
-    facade->start(list, now);
+    policy_host->start(list, now);
   }
   void health(const std::string& name, const std::string& health) {
     for (ListedBackend& one : list.backends) {
       if (one.host == name) one.health = health;
     }
-    facade->report_list(list, ListSource::kWatch, now);
+    policy_host->report_list(list, ListSource::kWatch, now);
   }
-  // The boxes that one request is sent to, where each turns it away; the last word is "" where nobody is
-  // left.
+  // The backends that one request is sent to, each of which rejects it.
   std::vector<std::string> tries(Unit home) {
     std::vector<std::string> all;
     now += 5;
-    Ask ask{0, 0, now + 1000, -1, false};
-    ask.home = home;
-    Choice choice = facade->pick(++last, ask, now);
+    RequestInfo info{0, 0, now + 1000, -1, false};
+    info.home = home;
+    Choice choice = policy_host->pick(++last, info, now);
     while (choice.kind == Choice::Kind::kSend) {
-      all.push_back(facade->host(choice.backend));
-      choice = facade->report(last, choice.attempt, Ending::kTurnedAway, 1, nullptr, now);
+      all.push_back(policy_host->host(choice.backend));
+      choice = policy_host->report(last, choice.attempt, Ending::kRejected, 1, nullptr, now);
     }
     EXPECT_EQ(choice.kind, Choice::Kind::kRefuse);
     return all;
   }
   std::string served(Unit home) {
     now += 5;
-    Ask ask{0, 0, now + 1000, -1, false};
-    ask.home = home;
-    const Choice choice = facade->pick(++last, ask, now);
+    RequestInfo info{0, 0, now + 1000, -1, false};
+    info.home = home;
+    const Choice choice = policy_host->pick(++last, info, now);
     if (choice.kind != Choice::Kind::kSend) return "";
-    facade->report(last, choice.attempt, Ending::kServed, 2, nullptr, now += 2);
-    return facade->host(choice.backend);
+    policy_host->report(last, choice.attempt, Ending::kServed, 2, nullptr, now += 2);
+    return policy_host->host(choice.backend);
   }
-  Unit unit(Unit::Kind kind, const std::string& name, bool only) {
-    Unit unit = facade->see(kind, name)->unit;
-    unit.only = only;
+  Unit unit(Unit::Kind kind, const std::string& name, bool required) {
+    Unit unit = policy_host->find_unit(kind, name)->unit;
+    unit.required = required;
     return unit;
   }
 
@@ -72,10 +71,10 @@
   List list;
   Millis now = 1.7e12;
   RequestId last = 0;
-  std::unique_ptr<Facade> facade;
+  std::unique_ptr<PolicyHost> policy_host;
 };
 
-TEST(Home, WhatMayGoNowhereElseNeverDoesForAnyAttempt) {
+TEST(Home, ABoundRequestStaysInItsUnitForEveryAttempt) {
   struct Row {
     Unit::Kind kind;
     const char* name;
@@ -88,37 +87,37 @@
     Case c;
     std::set<std::string> met;
     for (int n = 0; n < 60; ++n) {
-      if (n % 3 == 0) c.served({});  // others go where they like meanwhile
+      if (n % 3 == 0) c.served({});  // other requests are not bound to a unit
       const std::vector<std::string> tries = c.tries(c.unit(row.kind, row.name, true));
-      for (const std::string& box : tries) {
-        EXPECT_EQ(row.all.count(box), 1U) << row.name << " " << box;
-        met.insert(box);
+      for (const std::string& backend : tries) {
+        EXPECT_EQ(row.all.count(backend), 1U) << row.name << " " << backend;
+        met.insert(backend);
       }
     }
     EXPECT_EQ(met, row.all);
-    // Nothing new goes to who drains, and to nobody else in its place.
-    for (const std::string& box : row.all) c.health(box, "draining");
+    // A draining unit gets no new requests, and no other unit gets them in its place.
+    for (const std::string& backend : row.all) c.health(backend, "draining");
     EXPECT_TRUE(c.tries(c.unit(row.kind, row.name, true)).empty());
-    EXPECT_EQ(c.facade->see(row.kind, row.name)->standing, affinity::Standing::kDraining);
+    EXPECT_EQ(c.policy_host->find_unit(row.kind, row.name)->standing, affinity::Standing::kDraining);
   }
 }
 
-TEST(Home, WhoRatherGoesThereDoesSoWhileThatIsFit) {
+TEST(Home, APreferredBackendIsUsedUnlessItDrainsOrRejects) {
   Case c;
   for (int n = 0; n < 40; ++n) {
     EXPECT_EQ(c.served(c.unit(Unit::Kind::kBackend, "s-6", false)), "s-6");
     c.served({});
   }
-  // A further attempt goes elsewhere, and so does all where it drains.
+  // A retry goes to another backend, and so do all requests while the preferred one drains.
   const std::vector<std::string> tries = c.tries(c.unit(Unit::Kind::kBackend, "s-6", false));
   ASSERT_GT(tries.size(), 1U);
   EXPECT_EQ(tries.front(), "s-6");
   EXPECT_NE(tries[1], "s-6");
   c.health("s-6", "draining");
   for (int n = 0; n < 20; ++n) {
-    const std::string box = c.served(c.unit(Unit::Kind::kBackend, "s-6", false));
-    EXPECT_NE(box, "s-6");
-    EXPECT_FALSE(box.empty());
+    const std::string backend = c.served(c.unit(Unit::Kind::kBackend, "s-6", false));
+    EXPECT_NE(backend, "s-6");
+    EXPECT_FALSE(backend.empty());
   }
 }
 
--- a/tests/keys_node_test.cpp
+++ b/tests/keys_node_test.cpp
@@ -1,5 +1,5 @@
-// Whole nodes that keep keys at boxes: two processes' servers before the stand-in registry and boxes that
-// answer with their names. What is waited for is a state, never a time.
+// Nodes with affinity rules: two servers with a simulated registry and backends that answer with their names.
+// The test waits for states, never for a time.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -10,22 +10,23 @@
 #include <thread>
 
 #include "fleet/fleet_bench.h"
-#include "keys_boxes.h"
+#include "keys_backends.h"
+#include "node/language_binding.h"
 #include "node/server.h"
-#include "node/shore.h"
 
 namespace shorelead::node {
 namespace {
 
 struct Fleet {
   Fleet() {
-    for (const char* const name : {"a", "b", "c", "d"}) boxes.push_back(std::make_unique<Box>(name, book));
+    for (const char* const name : {"a", "b", "c", "d"})
+      backends.push_back(std::make_unique<Backend>(name, record));
   }
 
-  // What the next file says; read by nodes' threads.
-  void set(std::string Fleet::*word, const std::string& value) {
+  // Sets a value of the next configuration file, which the nodes' threads read.
+  void set(std::string Fleet::*setting, const std::string& value) {
     const std::lock_guard lock(mutex);
-    this->*word = value;
+    this->*setting = value;
   }
   Config config_of(const std::string& name) {
     const std::lock_guard lock(mutex);
@@ -37,7 +38,8 @@
         "shared usual { probing no; attempts 3; connect_within 500 ms; idle 60 s; advise_wait 600 ms\n"
         "  cold { share 100 %; warm_up 1 s; fall_multiple 3; fall_span 1 s } }\n"
         "pool main { use usual;";
-    for (const auto& box : boxes) text += " box " + box->name + " { dial " + box->peer.dial() + " }";
+    for (const auto& backend : backends)
+      text += " box " + backend->name + " { dial " + backend->peer.dial() + " }";
     text +=
         " }\n"
         "route looks { path /look/*; class look; pool main }\n"
@@ -57,13 +59,14 @@
     config.shared->sharing.margin = 20;
     for (PoolConfig& pool : config.pools) {
       pool.host.settle = 0;
-      for (ListedBackend& box : pool.known.backends) box.health = draining == box.host ? "draining" : "ready";
+      for (ListedBackend& backend : pool.known.backends)
+        backend.health = draining == backend.host ? "draining" : "ready";
     }
     return config;
   }
 
-  Book book;
-  std::vector<std::unique_ptr<Box>> boxes;
+  KeyRecord record;
+  std::vector<std::unique_ptr<Backend>> backends;
   fleet::StandIn store;
   std::mutex mutex;
   std::string draining, wait = "1 s";
@@ -94,7 +97,7 @@
     return generation_;
   }
 
-  // The box that answered, or the status where none did.
+  // The backend that answered, or the status where none did.
   std::string ask(const std::string& path, const std::string& key) const {
     static int last = 0;
     Line line = Line::connect(port_);
@@ -129,7 +132,7 @@
   return keys;
 }
 
-// Where every key of a rule is, once all of them are somewhere.
+// The backend of each key, once all keys have one.
 std::map<std::string, std::string> whole_map(const Node& node, const std::string& path = "/look/1") {
   std::map<std::string, std::string> map;
   while (map.size() < keys().size()) {
@@ -146,23 +149,23 @@
   while (!until()) std::this_thread::sleep_for(std::chrono::milliseconds(10));
 }
 
-TEST(KeysNode, AKeyHasOneBoxWhicheverProcessIsAskedThroughARestartADrainAndAStoreThatIsAway) {
+TEST(KeysNode, AKeyHasOneBackendInAllProcessesOverRestartDrainAndStoreOutage) {
   Fleet fleet;
   auto one = std::make_unique<Node>(fleet, "one");
   Node two(fleet, "two");
   const auto map = whole_map(*one);
   EXPECT_EQ(whole_map(two), map);
   std::set<std::string> in_use;
-  for (const auto& [key, box] : map) in_use.insert(box);
-  EXPECT_EQ(in_use.size(), fleet.boxes.size());
+  for (const auto& [key, backend] : map) in_use.insert(backend);
+  EXPECT_EQ(in_use.size(), fleet.backends.size());
 
-  // A process that comes anew moves no key.
+  // A process that restarts moves no key.
   one.reset();
   EXPECT_EQ(whole_map(two), map);
   one = std::make_unique<Node>(fleet, "one");
   EXPECT_EQ(whole_map(*one), map);
 
-  // One box drains: its keys move, no other does, and none ever comes back.
+  // One backend drains: its keys move once, and no others move.
   fleet.set(&Fleet::draining, "b");
   one->reload();
   two.reload();
@@ -172,14 +175,16 @@
     return std::none_of(moved.begin(), moved.end(), [](const auto& at) { return at.second == "b"; });
   });
   EXPECT_EQ(whole_map(two), moved);
-  for (const auto& [key, box] : map) {
-    if (box != "b") {
-      EXPECT_EQ(moved[key], box);
+  for (const auto& [key, backend] : map) {
+    if (backend != "b") {
+      EXPECT_EQ(moved[key], backend);
     }
   }
-  for (const auto& [key, met] : fleet.book.all()) EXPECT_LE(met.size(), map.at(key) == "b" ? 2U : 1U) << key;
+  for (const auto& [key, met] : fleet.record.all())
+    EXPECT_LE(met.size(), map.at(key) == "b" ? 2U : 1U) << key;
 
-  // Without the store a key has no box once the lease has run out; who would only rather have one goes on.
+  // Without the store, keys have no backend once the lease has expired. Requests for which the affinity is
+  // only a preference go on.
   fleet.store.with([](lab::EtcdServer& server) { server.down(true); });
   wait_for([&] { return two.ask("/look/1", "10") == "503"; });
   for (const std::string& key : keys()) {
@@ -190,8 +195,9 @@
   EXPECT_EQ(whole_map(two), moved);
 }
 
-// The next gate has its plan before requests go by it, and the one before keeps what is under way.
-TEST(KeysNode, AReloadOfWhatIsSharedRefusesNoKeyAndMovesNone) {
+// A new fleet admission has its plan before requests use it, and the previous one keeps the requests in
+// flight.
+TEST(KeysNode, AReloadOfSharedSettingsRefusesNoKeyAndMovesNone) {
   Fleet fleet;
   Node one(fleet, "one");
   const auto map = whole_map(one);
@@ -200,9 +206,9 @@
     fleet.set(&Fleet::wait, wait);
     one.reload();
     while (one.generation() == before) {
-      for (const auto& [key, box] : map) EXPECT_EQ(one.ask("/look/1", key), box);
+      for (const auto& [key, backend] : map) EXPECT_EQ(one.ask("/look/1", key), backend);
     }
-    for (const auto& [key, box] : map) EXPECT_EQ(one.ask("/look/1", key), box);
+    for (const auto& [key, backend] : map) EXPECT_EQ(one.ask("/look/1", key), backend);
   }
 }
 
--- a/tests/membership/follower_test.cpp
+++ b/tests/membership/follower_test.cpp
@@ -1,5 +1,5 @@
-// Following a registry: its messages, and the follower with the view against a whole store in simulated time,
-// by property: cuts, compactions, members that lag, deaf watches, restarts with and without history.
+// Following a registry: its messages, and the follower and the view against a whole store in simulated time,
+// by property: cuts, compactions, lagging members, deaf watches, restarts with and without history.
 #include "membership/registry/follower.h"
 
 #include <gtest/gtest.h>
@@ -14,29 +14,30 @@
 
 const std::string kPrefix = "/boxes/";
 
-std::string value(const std::string& dial, const std::string& health, Millis born) {
-  return "{\"dial\":\"" + dial + "\",\"health\":\"" + health + "\",\"born_ms\":" + std::to_string(born) + "}";
+std::string value(const std::string& dial, const std::string& health, Millis started) {
+  return "{\"dial\":\"" + dial + "\",\"health\":\"" + health + "\",\"born_ms\":" + std::to_string(started) +
+         "}";
 }
 
-TEST(Messages, Base64IsItsOwnInverse) {
+TEST(Messages, Base64RoundTrip) {
   EXPECT_EQ(base64(""), "");
   EXPECT_EQ(base64("f"), "Zg==");
   EXPECT_EQ(base64("fo"), "Zm8=");
   EXPECT_EQ(base64("foobar"), "Zm9vYmFy");
   for (const char* bad : {"Zg=", "Zg==Zg==", "Z===", "Z!==", "=Zg="}) EXPECT_FALSE(from_base64(bad)) << bad;
 }
-RC_GTEST_PROP(Messages, AnyBytesComeBack, (const std::string& bytes)) {
+RC_GTEST_PROP(Messages, AnyBytesSurviveBase64, (const std::string& bytes)) {
   RC_ASSERT(from_base64(base64(bytes)) == bytes);
 }
 
-TEST(Messages, ThePrefixesEnd) {
+TEST(Messages, PrefixEndIsTheNextKey) {
   EXPECT_EQ(prefix_end("/a"), "/b");
   EXPECT_EQ(prefix_end("a\xff"), "b");
   EXPECT_EQ(prefix_end("\xff\xff"), std::string(1, '\0'));
 }
 
-// What comes is taken, numbers in either form, or refused with a cause; nothing is passed over.
-TEST(Messages, EachIsReadOrRefusedWithItsCause) {
+// Valid messages are parsed, with numbers in either form; others are rejected with a cause, never skipped.
+TEST(Messages, ValidMessagesAreParsedAndOthersRejectedWithACause) {
   std::string cause;
   const auto page = parse_page(
       R"({"header":{"cluster_id":"7","member_id":"2","revision":"12"},"kvs":[{"key":"L2E=","create_revision":"3","mod_revision":9,"value":"e30="}],"more":true,"count":"4"})",
@@ -56,12 +57,12 @@
   EXPECT_TRUE(line->events.at(1).deleted);
   const std::pair<const char*, const char*> bad_pages[] = {
       {"", "broken JSON"},
-      {"[]", "no JSON object"},
+      {"[]", "not a JSON object"},
       {"{}", "no header"},
-      {R"({"header":{"revision":"x"}})", "revision is no whole number"},
-      {R"({"header":{"revision":"-1"}})", "revision is no whole number"},
-      {R"({"header":{},"kvs":{}})", "kvs is no list"},
-      {R"({"header":{},"kvs":[3]})", "a key is no object"},
+      {R"({"header":{"revision":"x"}})", "revision is not a whole number"},
+      {R"({"header":{"revision":"-1"}})", "revision is not a whole number"},
+      {R"({"header":{},"kvs":{}})", "kvs is not a list"},
+      {R"({"header":{},"kvs":[3]})", "a key is not an object"},
       {R"({"header":{},"kvs":[{"key":"?"}]})", "key is not in base64"},
       {R"({"header":{},"more":1})", "more is neither"}};
   for (const auto& [text, words] : bad_pages) {
@@ -71,20 +72,20 @@
   const std::pair<const char*, const char*> bad_lines[] = {
       {R"({"error":{"message":"no leader"}})", "the watch failed: no leader"},
       {R"({"result":3})", "no result"},
-      {R"({"result":{"header":{},"events":3}})", "events is no list"},
+      {R"({"result":{"header":{},"events":3}})", "events is not a list"},
       {R"({"result":{"header":{},"events":[{}]}})", "an event has no key"},
       {R"({"result":{"header":{},"events":[{"type":"MOVE","kv":{}}]}})", "unknown type"}};
   for (const auto& [text, words] : bad_lines) {
     EXPECT_FALSE(parse_line(text, cause)) << text;
     EXPECT_NE(cause.find(words), std::string::npos) << text << ": " << cause;
   }
-  const std::pair<const char*, const char*> bad_boxes[] = {
-      {"{}", "dial is not told"},
-      {R"({"dial":"a:1"})", "health is not told"},
-      {R"({"dial":"a:1","health":"ready","block":1.5})", "block is no whole number"},
-      {R"({"dial":"a:1","health":"ready","share":0})", "share is out of its bounds"},
-      {R"({"dial":"a:1","health":"ready","born_ms":-5})", "born_ms is out of its bounds"}};
-  for (const auto& [text, words] : bad_boxes) {
+  const std::pair<const char*, const char*> bad_backends[] = {
+      {"{}", "dial is missing"},
+      {R"({"dial":"a:1"})", "health is missing"},
+      {R"({"dial":"a:1","health":"ready","block":1.5})", "block is not a whole number"},
+      {R"({"dial":"a:1","health":"ready","share":0})", "share is out of range"},
+      {R"({"dial":"a:1","health":"ready","born_ms":-5})", "born_ms is out of range"}};
+  for (const auto& [text, words] : bad_backends) {
     EXPECT_FALSE(parse_member("b", text, cause)) << text;
     EXPECT_NE(cause.find(words), std::string::npos) << text << ": " << cause;
   }
@@ -92,7 +93,7 @@
   EXPECT_FALSE(parse_page(std::move(deep), cause));
 }
 
-RC_GTEST_PROP(Messages, ABoxIsReadAsItWasWritten, ()) {
+RC_GTEST_PROP(Messages, BackendValueRoundTrip, ()) {
   Member m;
   m.host = "h";
   m.dial = *rc::gen::element<std::string>("1.2.3.4:5", "a\"b", "\\");
@@ -100,7 +101,7 @@
   m.site = *rc::gen::element<std::string>("", "a", "z\n");
   m.cell = *rc::gen::inRange(0, 1000);
   m.size = *rc::gen::element(1.0, 0.5, 2.25);
-  m.born = *rc::gen::inRange(0, 1000000);
+  m.started = *rc::gen::inRange(0, 1000000);
   std::string cause;
   const auto read = parse_member("h", member_value(m), cause);
   RC_ASSERT(read.has_value());
@@ -109,7 +110,7 @@
 
 // ---- against a store ----
 
-// The registry's members before one store: each answers as of some revision of late.
+// The registry's members with one store: each answers as of some recent revision.
 struct World {
   lab::KeyStore store;
   std::vector<std::uint64_t> lag{0, 0, 0};
@@ -139,7 +140,7 @@
   }
 };
 
-// One client on that world, step by step.
+// One client in that world, run step by step.
 struct Following {
   explicit Following(World& world, std::uint64_t seed, const Options& options, std::size_t page)
       : world(world), view(options), follower(view, 0, kPrefix, 3, seed, [page] {
@@ -148,31 +149,30 @@
           return o;
         }()) {}
 
-  // Carries out what the follower asks for, if its time has come; the bodies are the node's own, and read
-  // back here by what they must hold.
+  // Makes the follower's next call if it is due; extracts the values from the node's own request bodies.
   void act() {
     if (open) return;
-    const Follower::Ask ask = follower.next();
-    if (ask.at > world.now) return;
-    endpoint = ask.endpoint;
-    if (ask.kind == Follower::Ask::Kind::kWatch) {
+    const Follower::Call call = follower.next();
+    if (call.at > world.now) return;
+    endpoint = call.endpoint;
+    if (call.kind == Follower::Call::Kind::kWatch) {
       open = true;
       created = false;
       deaf = false;
-      sent = number_in(ask.body, "start_revision") - 1;
+      sent = number_in(call.body, "start_revision") - 1;
       return;
     }
-    const std::uint64_t revision = number_in(ask.body, "revision");
-    const auto page = world.range(endpoint, key_in(ask.body), number_in(ask.body, "limit"), revision, 0);
+    const std::uint64_t revision = number_in(call.body, "revision");
+    const auto page = world.range(endpoint, key_in(call.body), number_in(call.body, "limit"), revision, 0);
     if (!page) {
       follower.range_failed(true, world.now);
       return;
     }
     take(follower.page(*page, world.now));
-    if (follower.leave()) follower.ended(world.now);
+    if (follower.must_close()) follower.ended(world.now);
   }
 
-  // Some of what the watch has to tell; `most` changes, perhaps in fragments.
+  // Delivers up to `most` changes on the watch, perhaps in fragments.
   void deliver(std::size_t most, bool fragment) {
     if (!open || deaf) return;
     if (!created) {
@@ -213,10 +213,10 @@
         world.range(endpoint, kPrefix, 1, 0, number_in(follower.check_body(), "min_mod_revision"));
     if (!page) return follower.check_failed(world.now);
     follower.checked(*page, world.now);
-    if (follower.leave()) cut();
+    if (follower.must_close()) cut();
   }
 
-  // Some seconds in which all goes well.
+  // Some seconds without faults.
   void go_on(bool checks = false) {
     for (int n = 0; n < 40; ++n) {
       world.now += 300;
@@ -234,7 +234,7 @@
 
   void give(const WatchLine& line) {
     take(follower.line(line, world.now));
-    if (follower.leave()) cut();
+    if (follower.must_close()) cut();
   }
 
   void take(const Update& update) {
@@ -245,8 +245,8 @@
         shown[m.host] = m;
       }
     }
-    if (update.ask_again && open) {
-      follower.ask_whole();
+    if (update.refetch && open) {
+      follower.fetch_whole();
       cut();
     }
   }
@@ -273,9 +273,9 @@
 
 std::string host_of(int n) { return std::string("b").append(std::to_string(n)); }
 
-// Where nothing goes on failing, the view comes to what the registry has; until then revisions never go back,
-// and whoever was seen to drain in this history is never shown ready but by newer news.
-RC_GTEST_PROP(FollowerModel, ComesToWhatTheRegistryHas, ()) {
+// Without further faults the view converges to the registry; until then revisions never go back, and a
+// backend seen to drain in this history is shown ready again only by newer news.
+RC_GTEST_PROP(FollowerModel, ConvergesToTheRegistry, ()) {
   World world;
   Options options;
   options.floor = *rc::gen::element(0.0, 0.5);
@@ -284,7 +284,7 @@
                    *rc::gen::inRange<std::size_t>(1, 6));
   std::uint64_t reached = 0;
   std::uint64_t cluster = world.store.cluster();
-  std::map<std::string, std::uint64_t> drained;  // when it was shown draining, by the revision reached then
+  std::map<std::string, std::uint64_t> drained;  // by the revision reached when it was shown draining
   const auto look = [&] {
     if (cluster != world.store.cluster()) {
       cluster = world.store.cluster();
@@ -311,7 +311,7 @@
         world.store.remove(key);
         break;
       case 5:
-        world.store.put("/other/" + host, "x");  // revisions pass by that this client never sees
+        world.store.put("/other/" + host, "x");  // revisions that this client never sees
         break;
       case 6:
         world.store.compact(*rc::gen::inRange<std::uint64_t>(1, world.store.revision() + 1));
@@ -340,7 +340,7 @@
     }
     look();
   }
-  // Quiet: members have caught up, and nothing is cut. A deaf watch stays deaf: that must be found out.
+  // No more faults: members have caught up, and nothing is cut. A deaf watch stays deaf and must be detected.
   world.lag = {0, 0, 0};
   for (int n = 0; n < 600; ++n) {
     world.now += 50;
@@ -365,15 +365,15 @@
   if (client.view.counters().kept_out == 0) {
     RC_ASSERT(got == wanted);
   } else {
-    // A registry that lost its history lists some as ready that were told to leave: those alone stay away.
+    // A registry that lost its history lists some drained backends as ready: only those may differ.
     for (const auto& [host, health] : got)
       RC_ASSERT(wanted.count(host) == 1 && (health == wanted[host] || health == "draining"));
   }
 }
 
-// Guards against missing what happened in a break: the watched revision is compacted away while two boxes
-// drain and one comes back under its old name with a new start.
-TEST(Follower, ABreakOverACompactionMissesNoDrain) {
+// The watched revision is compacted during a break in which two backends drain and one returns under its old
+// name with a new start.
+TEST(Follower, CutAcrossACompactionMissesNoDrain) {
   World world;
   for (int n = 0; n < 8; ++n) world.store.put(kPrefix + host_of(n), value(host_of(n) + ":1", "ready", 0));
   Following client(world, 3, {}, 3);
@@ -390,12 +390,12 @@
   client.go_on();
   EXPECT_EQ(client.shown.at("b1").health, "draining");
   EXPECT_EQ(client.shown.count("b2"), 0U);
-  EXPECT_EQ(client.shown.at("b3").born, 777);
+  EXPECT_EQ(client.shown.at("b3").started, 777);
   EXPECT_EQ(client.follower.counters().compacted, 1U);
 }
 
-// Guards against waiting at a member that has not got as far as what was seen.
-TEST(Follower, AMemberThatLagsIsLeftForAnother) {
+// The follower must not stay at a member that lags behind what was seen.
+TEST(Follower, LaggingEndpointIsReplacedByAnother) {
   World world;
   for (int n = 0; n < 8; ++n) world.store.put(kPrefix + host_of(n), value(host_of(n) + ":1", "ready", 0));
   Following client(world, 3, {}, 3);
@@ -410,8 +410,8 @@
   EXPECT_EQ(client.follower.counters().behind, 1U);
 }
 
-// Guards against taking the first part of a fragmented answer for all of it, where the rest never comes.
-TEST(Follower, AFragmentCutOffIsAskedForAgain) {
+// The first part of a fragmented message must not count as all of it if the rest never arrives.
+TEST(Follower, TruncatedFragmentIsFetchedAgain) {
   World world;
   for (int n = 0; n < 8; ++n) world.store.put(kPrefix + host_of(n), value(host_of(n) + ":1", "ready", 0));
   Following client(world, 3, {}, 3);
@@ -424,9 +424,9 @@
   EXPECT_EQ(client.shown.at("b2").health, "draining");
 }
 
-// Guards against a watch that stands and tells nothing: a check finds a change, or a deletion by the count of
-// keys, and the whole list is read again.
-TEST(Follower, ADeafWatchIsFoundOut) {
+// An open watch delivers nothing: a check finds a change, or a deletion by the count of keys, and the whole
+// list is fetched again.
+TEST(Follower, DeafWatchIsDetected) {
   for (const bool deletion : {false, true}) {
     World world;
     for (int n = 0; n < 8; ++n) {
@@ -448,9 +448,9 @@
   }
 }
 
-// 200 clients of one registry that restarts: nobody comes before its lot, and the first second's worst tenth
-// sees no more than three times its share.
-TEST(Follower, ManyClientsDoNotComeBackTogether) {
+// 200 clients of a registry that restarts: reconnects are spread over a second, and the busiest tenth of it
+// gets at most three times its share.
+TEST(Follower, ManyClientsSpreadTheirReconnects) {
   World world;
   world.store.put(kPrefix + "b0", value("b0:1", "ready", 0));
   std::vector<std::unique_ptr<Following>> clients;
--- a/tests/membership/kept_list_test.cpp
+++ b/tests/membership/saved_list_test.cpp
@@ -1,5 +1,5 @@
-// The last good list on disk: whole or refused with its cause, whatever became of the file.
-#include "membership/kept_list.h"
+// The last good list on disk: loaded whole, or rejected with a cause, whatever happened to the file.
+#include "membership/saved_list.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -18,7 +18,7 @@
     m.host = std::string("b\xc3\xa9 ").append(std::to_string(n));
     m.dial = "127.0.0.1:900" + std::to_string(n);
     m.health = n == 1 ? "draining" : "ready";
-    m.born = 1000 * n;
+    m.started = 1000 * n;
   }
   return all;
 }
@@ -30,34 +30,35 @@
   }
   ~Folder() { std::filesystem::remove_all(path); }
   std::string file() const { return path + "/list"; }
-  // Where this process writes it first: two that keep one list must not write to one file.
+  // The temporary file; its name is per process, as two processes that save one list must not write to one
+  // file.
   std::string beside() const { return file() + "." + std::to_string(::getpid()) + ".new"; }
   std::string path;
 };
 
-TEST(KeptList, ComesBackAsItWasWritten) {
+TEST(SavedList, RoundTrip) {
   const Folder folder;
   std::string cause;
-  EXPECT_FALSE(load_kept(folder.file(), cause));
-  EXPECT_EQ(cause, "");  // none was ever kept
+  EXPECT_FALSE(load_saved_list(folder.file(), cause));
+  EXPECT_EQ(cause, "");  // none was ever saved
   {
-    Keeper keeper(folder.file());
-    keeper.keep(kept_text(three(), 123456));
+    SavedListWriter writer(folder.file());
+    writer.write(saved_list_text(three(), 123456));
   }
-  const auto list = load_kept(folder.file(), cause);
+  const auto list = load_saved_list(folder.file(), cause);
   ASSERT_TRUE(list) << cause;
   EXPECT_EQ(list->members, three());
   EXPECT_EQ(list->written, 123456);
   EXPECT_FALSE(std::filesystem::exists(folder.beside()));
 }
 
-// A file cut at any byte, or with any byte changed, is refused; never a list with something missing.
-TEST(KeptList, TornAnywhereOrDamagedAnywhereIsRefused) {
-  const std::string text = kept_text(three(), 123456);
+// A file cut at any byte, or with any byte changed, is rejected; a list is never loaded with entries missing.
+TEST(SavedList, TruncatedOrDamagedFileIsRejected) {
+  const std::string text = saved_list_text(three(), 123456);
   const std::size_t body = text.find('\n') + 1;
   for (std::size_t size = 0; size < text.size(); ++size) {
     std::string cause;
-    EXPECT_FALSE(read_kept(text.substr(0, size), cause)) << size;
+    EXPECT_FALSE(read_saved_list(text.substr(0, size), cause)) << size;
     EXPECT_FALSE(cause.empty()) << size;
   }
   for (std::size_t at = 0; at < text.size(); ++at) {
@@ -65,37 +66,37 @@
       std::string hurt = text;
       hurt[at] = static_cast<char>(hurt[at] ^ bit);
       std::string cause;
-      const auto list = read_kept(hurt, cause);
-      // The age alone stands outside of the checksum.
+      const auto list = read_saved_list(hurt, cause);
+      // Only the time of writing is outside the checksum.
       EXPECT_TRUE(!list || (at < body && list->members == three())) << at;
     }
   }
 }
 
-TEST(KeptList, OtherFormsAreNamed) {
+TEST(SavedList, OtherFormatsAreRejectedWithACause) {
   const std::pair<std::string, const char*> cases[] = {
-      {"", "no kept list"},
-      {"{\"seq\":1}\n", "no kept list"},
-      {"shorelead-list 2 0 0 0\n", "form is 2, this node knows 1"},
+      {"", "not a saved list"},
+      {"{\"seq\":1}\n", "not a saved list"},
+      {"shorelead-list 2 0 0 0\n", "format version is 2, this node supports 1"},
       {"shorelead-list 1 x\n", "first line is damaged"},
-      {kept_text(three(), 1) + "more", "torn"}};
+      {saved_list_text(three(), 1) + "more", "truncated"}};
   for (const auto& [text, words] : cases) {
     std::string cause;
-    EXPECT_FALSE(read_kept(text, cause));
+    EXPECT_FALSE(read_saved_list(text, cause));
     EXPECT_NE(cause.find(words), std::string::npos) << cause;
   }
 }
 
-// A disk that takes nothing leaves the old file as it was, and says why.
-TEST(KeptList, WhatCannotBeWrittenLeavesTheOldOne) {
+// A failed write leaves the old file unchanged and reports why.
+TEST(SavedList, FailedWriteLeavesTheOldFile) {
   const Folder folder;
-  ASSERT_FALSE(store_kept(folder.file(), kept_text(three(), 1)));
-  std::filesystem::create_directory(folder.beside());  // in the way
-  const auto cause = store_kept(folder.file(), kept_text({}, 2));
+  ASSERT_FALSE(store_saved_list(folder.file(), saved_list_text(three(), 1)));
+  std::filesystem::create_directory(folder.beside());  // blocks the temporary file's name
+  const auto cause = store_saved_list(folder.file(), saved_list_text({}, 2));
   ASSERT_TRUE(cause);
   EXPECT_NE(cause->find("cannot be opened"), std::string::npos);
   std::string none;
-  EXPECT_EQ(load_kept(folder.file(), none)->members.size(), 3U);
+  EXPECT_EQ(load_saved_list(folder.file(), none)->members.size(), 3U);
 }
 
 }  // namespace
