--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -122,9 +122,8 @@
   return std::make_shared<Pool>(loop_, config, seed, flow_budget_, std::move(host));
 }
 
-// Readiness of the node, not of this process alone: a replaced process answers for its successor.
 bool Server::ready() const {
-  if (hot_restart_.is_replaced()) return true;
+  if (hot_restart_.is_replaced()) return true;  // the node's readiness: the successor serves
   return bool(guard::may_report_ready(
       {.held = front_->held(), .draining = !shutdown_.serving(), .list_known = can_serve()}));
 }
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -84,8 +84,7 @@
   connection->sent = false;
   reused ? ++reused_ : ++opened_;
   connection->idle_time = reused ? loop_.now() - connection->idle_since : 0;
-  if (reused) {
-    // A failure of a reused connection says nothing about its backend.
+  if (reused) {  // a failure of a reused connection says nothing about its backend
     connection->write_request(Ending::kStoppedUnsent);
     return set_timer(*connection);
   }
@@ -170,8 +169,7 @@
         std::find_if(first, last, [&connection](const auto& one) { return one.second == &connection; }));
   }
   const std::shared_ptr<Connection> hold = connection.shared_from_this();  // it owns `response`
-  if (connection.response_flow) {
-    // The connection is still receiving the response.
+  if (connection.response_flow) {  // the connection is still receiving the response
   } else if (keep && !connection.withdrawn && listener_.keep(job->probe)) {
     connections_->mark_idle(connection, !job->probe);
   } else {
