--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -100,8 +100,8 @@
       });
 }
 
-// Reads pending input before a deadline counts as missed. When this process was not scheduled for a while,
-// the response and the expired timer are delivered together, in any order. Returns whether the job ended.
+// Reads pending input first, lest a response that has already arrived count as late: after a time without CPU
+// input and expired timers are delivered together, in any order. Returns whether the job ended.
 bool Upstream::ended_by_pending_input(Connection& connection) {
   const std::uint64_t serial = connection.job->serial;
   const auto over = [&] { return !connection.job || connection.job->serial != serial; };
@@ -175,8 +175,9 @@
   } else {
     connections_->close(connection, connection.withdrawn ? Ending::kWithdrawn : ending);
   }
-  // A backend that did not answer may have lost its idle connections too: a request on one would be reset and
-  // count as possibly processed, while a failed connect proves that nothing ran. One used since is good.
+  // A backend that did not answer may have lost its idle connections too: a request on one would be reset
+  // later and might have run, while a failed connect proves that nothing did. But a connection used since
+  // this attempt began shows that the backend is there and that only this response was lost.
   if (ending == Ending::kTimeout && !job->probe) {
     for (const auto& other : connections_->of_backends({connection.backend})) {
       if (other->idle_pos && other->idle_since < job->started) connections_->close(*other, Ending::kTimeout);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -211,8 +211,9 @@
 }
 
 TEST(PlatformFile, TheDeployedFileLimitsNodesPerBackendInALargeFleet) {
-  // 100 nodes and 60 backends, each with few connections. With deploy/platform.toml at most 65 nodes connect
-  // to a backend; with 14 backends every node uses all of them.
+  // Found in runs at full size: 100 nodes before 60 backends, which accept few connections each. With
+  // deploy/platform.toml at most 65 nodes use one backend; a fleet of the platform's first size (14) is used
+  // whole by every node.
   for (const int backends : {60, 14}) {
     std::map<std::string, int> nodes;
     for (int me = 0; me < 100; ++me) {
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -1,4 +1,5 @@
-// The membership view in simulated time: single cases, and random histories compared with a plain record.
+// The membership view in simulated time: single cases, and random histories with cut watches, compactions,
+// false answers and restarts of the registry, compared with a plain record of what was delivered.
 #include "membership/view.h"
 
 #include <gtest/gtest.h>
@@ -191,10 +192,8 @@
   EXPECT_EQ(view.ready(), 10U);
 }
 
-// ---- random histories ----
-
-// Compares with each backend's last change in the registry and with what was delivered. No drain that newer
-// news has not overturned may be missed.
+// Random histories, compared with what happened in the registry (each backend's last change) and with what
+// was delivered of it. No drain that was delivered and not overturned by a newer change may be missed.
 RC_GTEST_PROP(ViewModel, ConvergesWithoutMissingADrain, ()) {
   Options options;
   options.floor = *rc::gen::element(0.0, 0.5);
@@ -282,7 +281,7 @@
           snapshot();
         }
         break;
-      default:  // a stale member answers with an empty list, or time passes
+      default:  // a stale member answers with a false, empty list, or time passes
         if (*rc::gen::arbitrary<bool>() && delivered > 0) {
           const Update update = view.snapshot(0, 1, delivered - 1, {}, now);
           RC_ASSERT(update.behind);
@@ -305,7 +304,8 @@
   RC_ASSERT(view.size() == wanted.size());
 }
 
-// A backend that was draining or gone on its own account returns only if started later or changed since.
+// Registries that restart with any older history, in any order of epochs, bring back no backend that its own
+// entry reported draining or gone. Only a later start or a change in the new epoch does.
 RC_GTEST_PROP(ViewModel, NoEpochBringsBackDrainedBackends, ()) {
   Options options;
   options.floor = 0;
