--- a/src/guard/guard.h
+++ b/src/guard/guard.h
@@ -1,8 +1,8 @@
 // Decides what may be done about a request, a connection or the process at this moment. Pure: it gets the
 // current facts and returns a verdict with its reason; it keeps no state, reads no clock and does no I/O.
-// Whoever writes, retries, answers, closes, accepts or reports readiness asks here immediately before doing
-// so, whatever was decided earlier: between a decision and its execution a new list may have arrived, the
-// client may have gone, or time may have run out. All times are milliseconds of one steady clock.
+// Code that writes, retries, answers, closes, accepts or reports readiness asks here immediately before it
+// does so, whatever was decided earlier: between a decision and its execution a new list may have arrived,
+// the client may have gone, or time may have run out. All times are milliseconds of one steady clock.
 #pragma once
 
 #include <cstdint>
--- a/src/limits/descriptors.h
+++ b/src/limits/descriptors.h
@@ -1,5 +1,5 @@
-// Decides by the number of open descriptors who may open a connection, whose connection is closed for it, and
-// which ones are kept for reuse. Does no I/O and counts nothing itself. Probes and idle connections never
+// Decides by the number of open descriptors whether a connection may be opened, which one is closed for it,
+// and which ones are kept for reuse. Does no I/O and counts nothing itself. Probes and idle connections never
 // take descriptors that requests need.
 //
 // Clients and backends share the descriptors that the node itself does not need. Connections to backends have
--- a/src/membership/list_lease.h
+++ b/src/membership/list_lease.h
@@ -44,7 +44,7 @@
   void adopt(const Terms& terms) { terms_ = terms; }
 
   void call_begun(Millis now);
-  // The open call has brought the current list, or the news that it is unchanged.
+  // The open call has brought the current list, or the message that it is unchanged.
   void call_answered();
   // The open watch has brought a whole change or a keep-alive.
   void sign_of_life(Millis now);
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -63,7 +63,7 @@
     for (auto& [host, record] : source.records) {
       if (!record.present || record.snapshot_number == source.snapshot_number) continue;
       // Keeps the revision of its last change, as the next snapshot may have it again unchanged. A record of
-      // another epoch gets revision 0, so that any news of this epoch is newer.
+      // another epoch gets revision 0, so that any change in this epoch is newer.
       remove(source, record, record.epoch == epoch ? record.revision : 0, !is_draining(record.member), now);
       changed_hosts.push_back(host);
     }
@@ -124,7 +124,7 @@
     const bool left = record.present ? is_draining(record.member) : !record.vanished;
     if (record.epoch != source.epoch && in_snapshot && left && is_ready(entry.member) &&
         entry.member.started <= record.member.started) {
-      // Older news under a new epoch's revisions: ignored until the backend is changed in this epoch.
+      // Older state under a new epoch's revisions: ignored until the backend is changed in this epoch.
       ++counters_.kept_out;
       record.epoch = source.epoch;
       record.revision = entry.revision;
@@ -156,7 +156,7 @@
   add_tombstone(source, record.member.host, now);
 }
 
-// Keeps tombstones for a while, so that older news does not bring backends back.
+// Keeps tombstones for a while, so that older changes do not bring backends back.
 void View::add_tombstone(Source& source, const std::string& host, Millis now) {
   source.tombstones.emplace_back(now, host);
   while (source.tombstones.front().first + options_.remember < now) {
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -1,8 +1,8 @@
 // The node's view of which backends exist, merged from its sources: snapshots and changes with their
 // revisions in, changes of the list out. Pure. Orders revisions, computes the difference after a gap, and
 // keeps tombstones; handles an address that passes to another backend, flapping backends, and sources that
-// suddenly lose much of a fleet. Older news never overwrites newer, and no single change costs work that
-// grows with the fleet.
+// suddenly lose much of a fleet. An older change never overwrites a newer one, and no single change costs
+// work that grows with the fleet.
 //
 // What a source can say of a backend, and when it takes effect:
 //   draining, or gone on its own account
@@ -36,7 +36,7 @@
   Millis window = 10000;       // losses within this time count together
   Millis hold = 10000;         // how long a loss beyond the floor is held at least
   Millis ask_every = 1000;     // interval in which the source is then asked again
-  Millis stale_after = 30000;  // without any news from any source
+  Millis stale_after = 30000;  // without a message from any source
   Millis remember = 600000;    // how long tombstones are kept
   int flaps = 4;               // returns within flap_window that take effect at once; 0 = any number
   Millis flap_window = 60000;
@@ -62,7 +62,7 @@
 struct ViewCounters {
   std::uint64_t snapshots = 0;
   std::uint64_t changes = 0;
-  std::uint64_t older = 0;     // news of older revisions, dropped
+  std::uint64_t older = 0;     // changes of older revisions, dropped
   std::uint64_t behind = 0;    // snapshots of a source that went back in history
   std::uint64_t held = 0;      // times that losses began to be held
   std::uint64_t believed = 0;  // members whose loss took effect after being held
@@ -98,7 +98,7 @@
     bool vanished = false;
   };
   Update change(int source, const std::vector<Change>& changes, Millis now);
-  void heard(int source, Millis now);  // a keep-alive, or the news that nothing has changed
+  void heard(int source, Millis now);  // a keep-alive, or a message that nothing has changed
   Update tick(Millis now);             // call when next() is due
   std::optional<Millis> next() const;
 
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -53,8 +53,8 @@
   enum class Kind { kRequest, kResponse };
   enum class State { kHead, kBody, kDone, kBad };
 
-  // A body may be `max_buffered_body` long where it is kept whole. Up to `max_length` it is taken as well,
-  // but by parts: once large() says so, whoever reads it takes them with take_body().
+  // A body of up to `max_buffered_body` bytes is buffered whole. One of up to `max_length` is accepted too,
+  // but in parts: once large() returns true, the caller takes them with take_body().
   explicit Parser(Kind kind, std::size_t max_buffered_body = kMaxBufferedBody, std::uint64_t max_length = 0)
       : kind_(kind),
         max_buffered_body_(max_buffered_body),
--- a/src/node/affinity_hold.h
+++ b/src/node/affinity_hold.h
@@ -1,5 +1,5 @@
 // The place that a request holds while an affinity rule keeps it at a unit (a backend, cell or zone): a
-// closed slot moves only once all places in it are released. Whoever holds a place releases it exactly once.
+// closed slot moves only once all places in it are released. The holder of a place releases it exactly once.
 #pragma once
 
 #include <memory>
--- a/src/node/client.cpp
+++ b/src/node/client.cpp
@@ -58,8 +58,8 @@
   host_.begin(*this);
 }
 
-// Drops a request whose client closed the connection right after it, before it was read: nobody waits for the
-// response.
+// Drops a request whose client closed the connection right after it, before it was read: no client waits for
+// the response.
 bool Client::left_while_unread() {
   if (!stream.ended()) return false;
   host_.left_early();
--- a/src/node/client.h
+++ b/src/node/client.h
@@ -33,7 +33,7 @@
     virtual void abort(Client& client, int status, const char* cause, manage::RequestEnd end) = 0;
     virtual void release(Client& client, manage::RequestEnd end) = 0;  // the request has ended
     virtual void forget(Client& client, Ending why) = 0;               // closes the connection
-    virtual void client_gone(RequestId request) = 0;       // nobody waits for the response any more
+    virtual void client_gone(RequestId request) = 0;       // no client waits for the response any more
     virtual bool is_last(const Client& client) const = 0;  // whether to close after the current response
     virtual void answered(int status) = 0;
     virtual void left_early() = 0;  // the client had gone when its request was read
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -32,7 +32,7 @@
 // The actions that are due, in the order in which they are carried out.
 struct DeferredActions {
   std::vector<Choice> choices;
-  std::vector<std::pair<RequestId, int>> cancellations;  // attempts whose response nobody waits for
+  std::vector<std::pair<RequestId, int>> cancellations;  // attempts whose response is no longer needed
   std::vector<BackendId> probes;
   std::vector<BackendId> unwanted;    // take no new attempts; their connections are closed
   std::vector<BackendId> close_idle;  // their idle connections are closed
--- a/src/node/endpoint_list.cpp
+++ b/src/node/endpoint_list.cpp
@@ -204,7 +204,7 @@
 }
 
 // Recycles the numbers of gone backends that nothing refers to any more; otherwise the table would grow with
-// every replaced backend. Done with the next list, when whoever keeps connections by number has closed them.
+// every replaced backend. Done with the next list, when connections that are kept by number have been closed.
 void EndpointList::recycle_numbers() {
   std::erase_if(to_recycle_, [this](BackendId number) {
     Endpoint& endpoint = backends_[number];
--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr Millis kSecond = 1000;
-// Share of the longest stated wait that a client is told at least when a budget is spent; the rest is spread
-// over clients, so that they do not come back together.
+// The least part of the longest Retry-After that a client gets when a budget is spent; the rest is spread
+// over clients, so that they do not retry at the same time.
 constexpr double kMinRetryAfterShare = 0.25;
 constexpr Millis kCutOffValidity = 2 * kSecond;  // of a cut-off read once a second
 
--- a/src/node/fleet_admission.h
+++ b/src/node/fleet_admission.h
@@ -75,7 +75,7 @@
   double retries_left(int pool);
   void count_retry(int pool);
 
-  // The field's value that tells clients of one tenant apart; empty: they are not told apart.
+  // The field's value that distinguishes clients of one tenant; empty: they are not distinguished.
   std::string_view client_of(const Message& message) const {
     return fleet_.client.empty() ? std::string_view() : message.value(fleet_.client);
   }
--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -219,7 +219,7 @@
   if (acceptor_.paused()) loop_.later([this] { acceptor_.try_resume(); });
 }
 
-// Ends connections whose clients send no request, or never the whole of one.
+// Closes connections whose clients send no request, or never complete one.
 void Front::sweep() {
   sweep_timer_ = loop_.after(timeouts_.sweep, [this] { sweep(); });
   classifier_.drop_expired(loop_.now());
--- a/src/node/guarded.h
+++ b/src/node/guarded.h
@@ -1,5 +1,5 @@
 // Runs a step of a request's handling that may throw, for example for lack of memory. An exception is logged,
-// and then the owner of the request is told, so that the client still gets a response.
+// and then the owner of the request is notified, so that the client still gets a response.
 #pragma once
 
 #include <spdlog/spdlog.h>
--- a/src/node/policy_host.cpp
+++ b/src/node/policy_host.cpp
@@ -152,8 +152,8 @@
 }
 
 // Drops attempts and probes that were decided before a list made their backend unavailable: a connection that
-// is established late would carry them long after. The module is told that they were not sent, and decides
-// anew.
+// is established late would carry them long after. They are reported to the module as not sent, and it
+// decides anew.
 void PolicyHost::drop_unwanted(Millis now) {
   const auto [sends, probes] = deferred_.take_unwanted([this](BackendId i) { return endpoints_.wanted(i); });
   for (const Choice& send : sends) {
--- a/src/node/readiness.cpp
+++ b/src/node/readiness.cpp
@@ -21,7 +21,7 @@
   bool unusable = false;
   for (const auto& pool : snapshot.pools) {
     has_list = has_list && pool->has_current_list();
-    // While discovery is down it has no news, so waiting for a pushed list gains nothing.
+    // While discovery is down it pushes no list, so waiting for one gains nothing.
     pushed = pushed || (pool->pushed() && !pool->has_current_list() && !pool->unreached());
     known = known || pool->backends() > 0;
     unusable = unusable || (!pool->has_current_list() && !pool->may_use_given_list());
--- a/src/node/start_times.h
+++ b/src/node/start_times.h
@@ -14,7 +14,7 @@
 
 class StartTimes {
  public:
-  // `from_wall`: converts a wall-clock time to the loop's clock, as well as can be told now.
+  // `from_wall`: converts a wall-clock time to the loop's clock, as exactly as is known now.
   explicit StartTimes(std::function<Millis(Millis label)> from_wall) : from_wall_(std::move(from_wall)) {}
 
   // Returns the same list with start times by the loop's clock.
--- a/src/node/upstream.h
+++ b/src/node/upstream.h
@@ -26,7 +26,8 @@
   Millis elapsed = 0;
   std::optional<LoadReport> load;
   const Message* response = nullptr;
-  // The response's body while it is still being received; whoever forwards it becomes the flow's sink.
+  // The response's body while it is still being received; the object that forwards it becomes the flow's
+  // sink.
   std::shared_ptr<net::Flow> flow;
 };
 
--- a/tests/crossings/answers_test.cpp
+++ b/tests/crossings/answers_test.cpp
@@ -130,7 +130,7 @@
   }
 }
 
-// Of a response of unknown length that nobody reads, no more is buffered than a flow may hold.
+// Of a response of unknown length that its client does not read, no more is buffered than a flow may hold.
 TEST(Answers, AnEndlessResponseThatNobodyReadsIsBufferedWithinBounds) {
   Peer peer;
   Backends b;
--- a/tests/membership/follower_test.cpp
+++ b/tests/membership/follower_test.cpp
@@ -274,7 +274,7 @@
 std::string host_of(int n) { return std::string("b").append(std::to_string(n)); }
 
 // Without further faults the view converges to the registry; until then revisions never go back, and a
-// backend seen to drain in this history is shown ready again only by newer news.
+// backend seen to drain in this history is shown ready again only by a newer change.
 RC_GTEST_PROP(FollowerModel, ConvergesToTheRegistry, ()) {
   World world;
   Options options;
--- a/tests/membership/list_lease_test.cpp
+++ b/tests/membership/list_lease_test.cpp
@@ -169,7 +169,7 @@
   EXPECT_EQ(lease.validity().until, kStart + ListLease::kMaxAge);
 }
 
-// Property: the validity never exceeds the maximum age after the last news, and only a response or a
+// Property: the validity never exceeds the maximum age after the last message, and only a response or a
 // keep-alive extends it.
 void no_lease_outlives_its_proof() {
   ListLease lease = lease_on_request();
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -203,7 +203,7 @@
   }
 }
 
-// After extra bytes behind a response, the next response on the connection could not be told apart.
+// After extra bytes behind a response, the start of the connection's next response could not be found.
 TEST(Node, ExtraBytesAfterAResponseCloseItsConnection) {
   Served served;
   auto& [backend, node, client] = served;
