--- a/tests/crossings/answers_test.cpp
+++ b/tests/crossings/answers_test.cpp
@@ -131,7 +131,7 @@
 }
 
 // Of a response of unknown length that its client does not read, no more is buffered than a flow may hold.
-TEST(Answers, AnEndlessResponseThatNobodyReadsIsBufferedWithinBounds) {
+TEST(Answers, AnEndlessUnreadResponseIsBufferedWithinBounds) {
   Peer peer;
   Backends b;
   std::size_t most = 0;
--- a/tests/guard/mutants.sh
+++ b/tests/guard/mutants.sh
@@ -18,7 +18,7 @@
   said=$(ctest --test-dir "$build" -j"$(nproc)" -R '^(Guard|Checker|Crossings|Node|Faults|PolicyHost|Front|Upstream|policy_stream)' \
          -E 'Cold|SlowStartOfANewBackend|ListsSim|SettingsKeys' 2>&1 || true)
   missed=$(grep -oE '[A-Za-z_.]+ *\.+\*\*\*[A-Za-z]+' <<<"$said" | sed 's/ *\.*\*\*\*.*//' | sort -u | tr '\n' ' ')
-  echo "without $reason: ${missed:-NOBODY}"
+  echo "without $reason: ${missed:-no test fails}"
   [ -n "$missed" ] || status=1
 done
 exit "$status"
--- a/tests/membership/list_lease_test.cpp
+++ b/tests/membership/list_lease_test.cpp
@@ -209,7 +209,7 @@
   }
 }
 
-TEST(ListLease, LeaseNeverOutlivesTheLastNews) { EXPECT_TRUE(rc::check(no_lease_outlives_its_proof)); }
+TEST(ListLease, LeaseNeverOutlivesTheLastMessage) { EXPECT_TRUE(rc::check(no_lease_outlives_its_proof)); }
 
 }  // namespace
 }  // namespace shorelead::membership
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -52,7 +52,7 @@
   EXPECT_EQ(view.ready(), 8U);
 }
 
-TEST(View, OlderNewsNeverOverwritesNewer) {
+TEST(View, OlderChangesNeverOverwriteNewer) {
   View view;
   view.snapshot(0, 7, 5, ten(), 0);
   view.change(0, {put(9, backend("b1", "draining"))}, 10);
--- a/tests/run_all.sh
+++ b/tests/run_all.sh
@@ -45,11 +45,11 @@
   tests/known_red.sh others "$build" -j"$jobs"
 done
 
-# What several threads touch, under ThreadSanitizer: only that is built so, and only its tests run.
+# Code that several threads use, under ThreadSanitizer: only its tests are built so and run.
 cmake -S . -B build-threads -DCMAKE_BUILD_TYPE=RelWithDebInfo -DSHORELEAD_TESTS=ON -DSHORELEAD_TLS=ON \
   -DSHORELEAD_TSAN=ON >/dev/null
 cmake --build build-threads -j"$jobs" --target control_test keys_node_test
 tests/known_red.sh others build-threads -j"$jobs" -R '^(Control|KeysNode)\.'
 
-# What is known to fail, told with its cause; fails itself once a listed test passes.
+# Runs and prints the tests that are known to fail, with their cause; fails once a listed test passes.
 tests/known_red.sh listed build-plain build-sanitized
--- a/tests/tally_test.sh
+++ b/tests/tally_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The tally over the logs of many nodes: counts by second and by box, over a restart, in both forms of a line's time.
+# The tally over the logs of many nodes: counts by second and by backend, across a restart, in both time formats.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scratch=$(mktemp -d)
