--- a/src/routing/plan.cpp
+++ b/src/routing/plan.cpp
@@ -8,8 +8,8 @@
 namespace shorelead::routing {
 namespace {
 
-// Of a key at a pool: uniform over (0, 1).
-double draw(const std::string& pool, std::string_view key) {
+// Hashes a key and a pool to a number that is uniform over (0, 1).
+double uniform_hash(const std::string& pool, std::string_view key) {
   const XXH64_hash_t bits =
       XXH3_64bits_withSeed(key.data(), key.size(), XXH3_64bits(pool.data(), pool.size()));
   return (static_cast<double>(bits >> 11) + 0.5) * 0x1.0p-53;
@@ -21,13 +21,13 @@
   if (route.arms.empty()) return 0;
   if (route.arms.size() == 1) return route.arms.front().pool;
   const Arm* best = nullptr;
-  double most = 0;
+  double best_score = 0;
   for (const Arm& arm : route.arms) {
     if (arm.share <= 0) continue;
-    const double score = -arm.share / std::log(draw(arm.name, key));
-    if (best != nullptr && score <= most) continue;
+    const double score = -arm.share / std::log(uniform_hash(arm.name, key));
+    if (best != nullptr && score <= best_score) continue;
     best = &arm;
-    most = score;
+    best_score = score;
   }
   return best == nullptr ? route.arms.front().pool : best->pool;
 }
--- a/src/routing/plan.h
+++ b/src/routing/plan.h
@@ -1,11 +1,11 @@
-// What a route leads to: a class and a pool, or shares of several pools, with pools that stand in for those
-// where nobody is ready. Pure: a key and a word on who is ready in, a pool's number out. It must never know
-// what a pool is, and never let one key change its pool unless shares or pools change for it.
+// What a route leads to: a class of requests and a pool, or several pools with shares, and the fallback of a
+// pool without a ready backend. Pure functions from a key and the readiness of pools to a pool's number. A
+// key changes its pool only when shares or pools change in a way that affects it.
 //
-// Shares are drawn by weighted rendezvous hashing (Thaler and Ravishankar 1998; weights by -w / ln(u), as in
-// Schindelhauer and Schomaker 2005): each pool draws a number from the key and its own name, and the largest
-// wins. So a key keeps its pool whatever the order of pools; and where one pool's share grows, keys come to
-// it and none moves between the others.
+// A split uses weighted rendezvous hashing (Thaler and Ravishankar 1998; weights by -w / ln(u), as in
+// Schindelhauer and Schomaker 2005): each pool's score is computed from the key, the pool's name and its
+// share, and the highest score wins. So the order of pools does not matter, and when one pool's share grows,
+// keys move to it and none moves between the other pools.
 #pragma once
 
 #include <cstdint>
@@ -20,8 +20,8 @@
 
 struct Arm {
   int pool = 0;
-  double share = 1;  // 0 to 1; of all arms together 1
-  std::string name;  // of the pool: keys follow it and not its number
+  double share = 1;  // 0 to 1; the shares of a route sum to 1
+  std::string name;  // the pool's name: hashed in place of its number, which a reload may change
   bool operator==(const Arm&) const = default;
 };
 
@@ -29,24 +29,24 @@
   std::string name;
   std::string place;  // file:line
   int request_class = 0;
-  std::vector<Arm> arms{};  // empty: pool 0
-  std::string by{};         // the field, in small letters, whose value keeps its pool; empty: one arm
+  std::vector<Arm> arms{};  // empty = pool 0
+  std::string by{};         // lower-case header field whose value is the key of the split; empty = no split
   bool same(const Route& o) const { return request_class == o.request_class && arms == o.arms && by == o.by; }
 };
 
-// All routes of one configuration, by the table's rules.
+// All routes of one configuration; a rule of the table refers to its route by `target`.
 struct Plan {
   Table table;
   std::vector<Rule> rules;
   std::vector<Route> routes;
-  std::vector<int> fallbacks;  // by pool: who stands in for it; -1 or none = nobody
+  std::vector<int> fallbacks;  // by pool: the number of its fallback pool; -1 or absent = none
 };
 
-// The pool that this key falls to.
+// Returns the number of the pool to which the route's split assigns this key.
 int arm_of(const Route& route, std::string_view key);
 
-// The first with anybody ready among `pool`, who stands in for it, who stands in for that one, and so on;
-// `pool` itself where none has, which then says so in its own words.
+// Returns the first pool with a ready backend along the chain of fallbacks that begins with `pool`; `pool`
+// itself if there is none, so that the refusal is its own. Ends also when the fallbacks form a cycle.
 int standing_in(const std::vector<int>& fallbacks, int pool, const std::function<bool(int)>& ready);
 
 }  // namespace shorelead::routing
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -7,23 +7,25 @@
 namespace shorelead::routing {
 namespace {
 
-constexpr std::size_t kMostSegments = 32;  // of a rule's path
+constexpr std::size_t kMaxSegments = 32;  // of a rule's path
 
-char small(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
 bool same_host(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return small(x) == small(y); });
+                    [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
-std::string_view bare_host(std::string_view host) {
+std::string_view host_without_port(std::string_view host) {
   if (!host.empty() && host.front() == '[') return host.substr(0, host.find(']') + 1);
   return host.substr(0, host.find(':'));
 }
 
-std::string_view bare_path(std::string_view path) { return path.substr(0, path.find_first_of("?#")); }
+std::string_view path_without_query(std::string_view path) {
+  return path.substr(0, path.find_first_of("?#"));
+}
 
-// Takes the first segment off; none is left where `path` is empty.
+// Removes the first segment from `path` and returns it; no segment is left once `path` is empty.
 std::string_view next_segment(std::string_view& path) {
   path.remove_prefix(1);  // the "/"
   const std::size_t end = std::min(path.find('/'), path.size());
@@ -36,10 +38,10 @@
   return segment.size() > 2 && segment.front() == '{' && segment.back() == '}';
 }
 
-// 0 a literal, 1 a parameter, 2 the rest.
+// 0 = a literal, 1 = a parameter, 2 = the rest "*".
 int rank(std::string_view segment) { return segment == "*" ? 2 : is_parameter(segment) ? 1 : 0; }
 
-// Heterogeneous look-up: a segment of the request is not copied.
+// Heterogeneous look-up, so that a segment of the request is not copied.
 struct Hash {
   using is_transparent = void;
   std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>()(text); }
@@ -64,20 +66,20 @@
 struct Node {
   ByText<std::unique_ptr<Node>> literals;
   std::unique_ptr<Node> parameter;
-  std::vector<Leaf> here;  // rules that end here, in their order
-  std::vector<Leaf> rest;  // rules that take whatever follows
+  std::vector<Leaf> here;  // rules that end at this node, in order of precedence
+  std::vector<Leaf> rest;  // rules that match any remaining path
 };
 
-const Leaf* first_of(const std::vector<Leaf>& leaves, const Request& request) {
+const Leaf* first_match(const std::vector<Leaf>& leaves, const Request& request) {
   const auto it =
       std::find_if(leaves.begin(), leaves.end(), [&](const Leaf& leaf) { return fits(leaf, request); });
   return it == leaves.end() ? nullptr : &*it;
 }
 
-// Each node of the tree is visited once at most.
+// Depth-first search in order of precedence; visits each node of the tree at most once.
 const Leaf* walk(const Node& node, std::string_view path, const Request& request) {
   if (path.empty()) {
-    if (const Leaf* const leaf = first_of(node.here, request)) return leaf;
+    if (const Leaf* const leaf = first_match(node.here, request)) return leaf;
   } else {
     std::string_view behind = path;
     const std::string_view segment = next_segment(behind);
@@ -89,7 +91,7 @@
       if (const Leaf* const leaf = walk(*node.parameter, behind, request)) return leaf;
     }
   }
-  return path.empty() ? nullptr : first_of(node.rest, request);
+  return path.empty() ? nullptr : first_match(node.rest, request);
 }
 
 std::vector<std::string> segments_of(std::string_view path) {
@@ -98,12 +100,12 @@
   return all;
 }
 
-std::string cause_of(const Rule& rule) {
+std::string rejection_cause(const Rule& rule) {
   if (rule.path.empty() || rule.path[0] != '/') return "a path begins with \"/\"";
   if (rule.path.find_first_of("?#") != std::string::npos)
     return "a path holds no \"?\" or \"#\": routes do not look behind them";
   const std::vector<std::string> segments = segments_of(rule.path);
-  if (segments.size() > kMostSegments) return "a path has 32 segments at most";
+  if (segments.size() > kMaxSegments) return "a path has 32 segments at most";
   for (std::size_t n = 0; n < segments.size(); ++n) {
     const std::string& segment = segments[n];
     if (segment == "*" && n + 1 < segments.size())
@@ -117,10 +119,10 @@
   return "";
 }
 
-// What two rules that are the same have in common; parameters' names do not matter.
-auto key_of(const Rule& rule) {
+// The key by which duplicate rules are detected; the names of path parameters do not matter.
+auto duplicate_key(const Rule& rule) {
   std::string host = rule.host;
-  std::transform(host.begin(), host.end(), host.begin(), small);
+  std::transform(host.begin(), host.end(), host.begin(), to_lower);
   std::vector<std::string> path = segments_of(rule.path);
   for (std::string& segment : path) segment = is_parameter(segment) ? "{}" : segment;
   auto fields = rule.fields;
@@ -131,14 +133,14 @@
 }  // namespace
 
 struct Table::Impl {
-  ByText<Node> exact;     // by host in small letters
+  ByText<Node> exact;     // by lower-case host
   ByText<Node> suffixes;  // "*.b.c" by ".b.c"
   Node any;
   std::size_t size = 0;
 
   Node& root(const Rule& rule) {
     std::string host = rule.host;
-    std::transform(host.begin(), host.end(), host.begin(), small);
+    std::transform(host.begin(), host.end(), host.begin(), to_lower);
     if (host.empty()) return any;
     return host[0] == '*' ? suffixes[host.substr(1)] : exact[host];
   }
@@ -153,26 +155,26 @@
 
 Table Table::compile(const std::vector<Rule>& rules, std::vector<Refusal>& refusals) {
   Table table;
-  // Of rules alike in host, path and fields: who has each method ("" = any).
-  std::map<std::pair<decltype(key_of(rules[0])), std::string>, std::size_t> taken;
+  // The first rule with this host, path and fields, for each method ("" = any).
+  std::map<std::pair<decltype(duplicate_key(rules[0])), std::string>, std::size_t> first_rules;
   std::vector<std::size_t> order;
   for (std::size_t n = 0; n < rules.size(); ++n) {
     const Rule& rule = rules[n];
-    if (std::string cause = cause_of(rule); !cause.empty()) {
+    if (std::string cause = rejection_cause(rule); !cause.empty()) {
       refusals.push_back({n, std::move(cause), std::nullopt});
       continue;
     }
     std::vector<std::string> methods = rule.methods;
     if (methods.empty()) methods.emplace_back();
     for (const std::string& method : methods) {
-      const auto [first, fresh] = taken.try_emplace({key_of(rule), method}, n);
+      const auto [first, fresh] = first_rules.try_emplace({duplicate_key(rule), method}, n);
       if (fresh) continue;
       refusals.push_back({n, "it is never reached: another route takes the same requests", first->second});
       break;
     }
     order.push_back(n);
   }
-  // In their order, so that the first leaf that fits is the one.
+  // In order of precedence, so that the first matching leaf is the result.
   std::stable_sort(order.begin(), order.end(),
                    [&rules](std::size_t a, std::size_t b) { return goes_before(rules[a], rules[b]); });
   for (const std::size_t n : order) {
@@ -196,15 +198,15 @@
 }
 
 std::optional<std::size_t> Table::find(const Request& request) const {
-  const std::string_view path = bare_path(request.path);
+  const std::string_view path = path_without_query(request.path);
   if (path.empty() || path[0] != '/') return std::nullopt;
-  const std::string_view host = bare_host(request.host);
-  // In small letters without an allocation; a name is no longer than 253 bytes (RFC 1035, 2.3.4).
-  char room[256];
+  const std::string_view host = host_without_port(request.host);
+  // Lower case without an allocation; a host name has at most 253 bytes (RFC 1035, 2.3.4).
+  char lower_case[256];
   std::string_view name;
-  if (host.size() <= sizeof room) {
-    std::transform(host.begin(), host.end(), room, small);
-    name = std::string_view(room, host.size());
+  if (host.size() <= sizeof lower_case) {
+    std::transform(host.begin(), host.end(), lower_case, to_lower);
+    name = std::string_view(lower_case, host.size());
   }
   const auto in = [&](const ByText<Node>& by, std::string_view key) -> const Leaf* {
     const auto it = by.find(key);
@@ -220,7 +222,7 @@
 }
 
 bool matches(const Rule& rule, const Request& request) {
-  const std::string_view host = bare_host(request.host);
+  const std::string_view host = host_without_port(request.host);
   if (rule.host.rfind("*.", 0) == 0) {
     const std::string_view suffix = std::string_view(rule.host).substr(1);
     if (host.size() <= suffix.size() || !same_host(host.substr(host.size() - suffix.size()), suffix))
@@ -228,7 +230,7 @@
   } else if (!rule.host.empty() && !same_host(rule.host, host)) {
     return false;
   }
-  std::string_view path = bare_path(request.path);
+  std::string_view path = path_without_query(request.path);
   if (path.empty() || path[0] != '/') return false;
   std::string_view pattern = rule.path;
   while (!pattern.empty()) {
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -1,14 +1,15 @@
-// Which route a request takes. Pure: rules in, a compiled table out; a request's host, path, method and
-// fields in, the rule that it takes out. Owns the order of precedence. It must never allocate while it looks
-// up, nor let the order of rules decide where they differ in what they match.
+// Finds the route of a request: compiles rules into a table and returns the rule that a request's host, path,
+// method and header fields match. Defines the order of precedence, which does not depend on the order in
+// which rules are given. A look-up does not allocate.
 //
-// Precedence, first difference decides (total: two rules that tie in all of it are refused as the same):
+// Precedence; the first difference decides (a total order: two rules equal in all of it are rejected as
+// duplicates):
 //   1. host: exact, then "*.b.c" before "*.c", then any;
 //   2. path, segment by segment from the front: a literal, then a parameter "{id}", then the rest "/*";
-//   3. a method named before any method;
-//   4. more fields named before fewer; then the names and values in the order of bytes.
-// The look-up walks the path's segments, not the rules: its cost does not grow with their number, but for
-// rules that differ in fields alone.
+//   3. a rule that names methods before one for any method;
+//   4. more header fields before fewer; then names and values in byte order.
+// A look-up walks the segments of the path, so its cost does not grow with the number of rules, except for
+// rules that differ only in header fields.
 #pragma once
 
 #include <cstdint>
@@ -24,26 +25,26 @@
 namespace shorelead::routing {
 
 struct Rule {
-  std::string host;                  // "a.example.org", "*.example.org"; empty = any. Compared without case
+  std::string host;                  // "a.example.org", "*.example.org"; empty = any; case-insensitive
   std::string path = "/*";           // "/a/{id}/b", "/a/*", "/"; compared byte by byte
   std::vector<std::string> methods;  // empty = any
-  std::vector<std::pair<std::string, std::string>> fields;  // name, exact value; all must be there
-  int target = 0;                                           // what the caller makes of it
+  std::vector<std::pair<std::string, std::string>> fields;  // name and exact value; all must match
+  int target = 0;                                           // the caller's number of the route
 };
 
 struct Request {
-  std::string_view host;  // as the client wrote it; a port is left out of account
-  std::string_view path;  // from the first "/"; what follows "?" is left out of account
+  std::string_view host;  // as the client wrote it; a port is ignored
+  std::string_view path;  // from the first "/"; a query is ignored
   std::string_view method;
-  // The value of a header field by its name in small letters; empty where there is none.
+  // Returns the value of a header field by its lower-case name; empty if it is absent.
   const std::function<std::string_view(std::string_view)>* field = nullptr;
 };
 
-// Why a rule cannot be taken.
+// Why a rule was rejected.
 struct Refusal {
   std::size_t rule = 0;
   std::string cause;
-  std::optional<std::size_t> other;  // the rule that it clashes with
+  std::optional<std::size_t> other;  // the earlier rule of which it is a duplicate
 };
 
 class Table {
@@ -53,11 +54,11 @@
   Table(Table&&) noexcept;
   Table& operator=(Table&&) noexcept;
 
-  // All refusals at once; the table is of use only where there are none.
+  // Reports every rejected rule in one pass; the table may be used only if there is none.
   static Table compile(const std::vector<Rule>& rules, std::vector<Refusal>& refusals);
 
-  // The place of the rule that the request takes, among those compiled. O(segments of the path) where rules
-  // do not differ in fields alone; no allocation.
+  // Returns the index, among the compiled rules, of the rule that the request matches. O(segments of the
+  // path) unless rules differ only in header fields; does not allocate.
   std::optional<std::size_t> find(const Request& request) const;
   std::size_t size() const;
 
@@ -66,9 +67,9 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// Whether the rule takes this request at all: the same without the table, for tests and as a baseline.
+// Whether the rule matches this request, computed without the table; for tests and as a baseline.
 bool matches(const Rule& rule, const Request& request);
-// Whether `a` goes before `b` by the order above; neither where they tie.
+// Whether `a` precedes `b` in the order above; false both ways if they are equal in it.
 bool goes_before(const Rule& a, const Rule& b);
 
 }  // namespace shorelead::routing
--- a/tests/routing/plan_test.cpp
+++ b/tests/routing/plan_test.cpp
@@ -1,4 +1,4 @@
-// Shares, and pools that stand in: held by property.
+// Properties of splits and of fallback pools.
 #include "routing/plan.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 std::string key(int n) { return "client-" + std::to_string(n); }
 
-// Up to four pools with whole percents that are 100 together.
+// Up to four pools whose shares are whole percentages that sum to 100.
 Route gen_route() {
   Route route;
   int left = 100;
@@ -28,30 +28,30 @@
   return route;
 }
 
-// Each pool gets its share of keys, within five standard deviations, and the order of arms changes nothing.
+// Each pool gets its share of keys within five standard deviations, whatever the order of pools in the split.
 RC_GTEST_PROP(Split, GivesEachPoolItsShareWhateverTheOrder, ()) {
   const Route route = gen_route();
-  Route turned = route;
-  std::reverse(turned.arms.begin(), turned.arms.end());
-  std::map<int, int> got;
+  Route reversed = route;
+  std::reverse(reversed.arms.begin(), reversed.arms.end());
+  std::map<int, int> keys_by_pool;
   for (int n = 0; n < kKeys; ++n) {
     const int pool = arm_of(route, key(n));
-    RC_ASSERT(pool == arm_of(turned, key(n)));
-    ++got[pool];
+    RC_ASSERT(pool == arm_of(reversed, key(n)));
+    ++keys_by_pool[pool];
   }
   for (const Arm& arm : route.arms) {
     const double spread = std::sqrt(kKeys * arm.share * (1 - arm.share));
-    RC_ASSERT(std::abs(got[arm.pool] - kKeys * arm.share) <= 5 * spread);
+    RC_ASSERT(std::abs(keys_by_pool[arm.pool] - kKeys * arm.share) <= 5 * spread);
   }
 }
 
-// Where a canary's share grows at the cost of all others alike, keys go to it and nowhere else; so whoever
-// was with it stays.
-RC_GTEST_PROP(Split, AGrowingPoolTakesKeysAndGivesNone, ()) {
+// Guards against clients changing between pools while a canary's share grows: keys may move to the growing
+// pool and nowhere else.
+RC_GTEST_PROP(Split, KeysMoveOnlyToTheGrowingPool, ()) {
   const Route before = gen_route();
   const std::size_t grows = *rc::gen::inRange<std::size_t>(0, before.arms.size());
   Route after = before;
-  after.arms[grows].share += *rc::gen::inRange(1, 100) / 100.0;  // the others are less beside it
+  after.arms[grows].share += *rc::gen::inRange(1, 100) / 100.0;  // scores depend on the ratio of shares only
   const int to = after.arms[grows].pool;
   for (int n = 0; n < kKeys / 4; ++n) {
     const int was = arm_of(before, key(n));
@@ -60,8 +60,8 @@
   }
 }
 
-// The same pool under another number, as after a reload that puts another before it, keeps its keys.
-TEST(Split, KeysFollowThePoolsName) {
+// A pool keeps its keys when its number changes, as after a reload that inserts a pool before it.
+TEST(Split, KeysFollowTheNameOfThePool) {
   Route route;
   route.arms = {{0, 0.9, "main"}, {1, 0.1, "canary"}};
   Route moved;
@@ -71,9 +71,9 @@
   }
 }
 
-// Whoever is asked: the first with anybody ready on the way, the pool itself where there is none, and an end
-// whatever the fallbacks.
-RC_GTEST_PROP(Fallback, TheFirstReadyOnTheWay, ()) {
+// Returns the first ready pool of the fallback chain, or the pool itself if none is ready; ends for any
+// fallbacks, cycles too.
+RC_GTEST_PROP(Fallback, ReturnsTheFirstReadyPoolOfTheChain, ()) {
   const int pools = *rc::gen::inRange(1, 6);
   std::vector<int> fallbacks;
   for (int n = 0; n < pools; ++n) fallbacks.push_back(*rc::gen::inRange(-1, pools));
@@ -83,9 +83,9 @@
   }
   const int from = *rc::gen::inRange(0, pools);
   const int to = standing_in(fallbacks, from, [&](int pool) { return ready.count(pool) > 0; });
-  std::set<int> way;
+  std::set<int> visited;
   int expected = from;
-  for (int at = from; at >= 0 && way.insert(at).second; at = fallbacks[static_cast<std::size_t>(at)]) {
+  for (int at = from; at >= 0 && visited.insert(at).second; at = fallbacks[static_cast<std::size_t>(at)]) {
     if (ready.count(at) == 0) continue;
     expected = at;
     break;
--- a/tests/routing/table_test.cpp
+++ b/tests/routing/table_test.cpp
@@ -1,4 +1,4 @@
-// Routes: the compiled table against the plain reading of every rule.
+// Compares the compiled table with a scan of all rules.
 #include "routing/table.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace shorelead::routing {
 namespace {
 
-// Of all rules that match, the one that goes before every other.
+// The matching rule with the highest precedence.
 std::optional<std::size_t> by_scan(const std::vector<Rule>& rules, const Request& request) {
   std::optional<std::size_t> best;
   for (std::size_t n = 0; n < rules.size(); ++n) {
@@ -28,7 +28,7 @@
   return path;
 }
 
-RC_GTEST_PROP(Table, FindsWhatEveryRuleReadByItselfSays, ()) {
+RC_GTEST_PROP(Table, FindsTheSameRuleAsAScan, ()) {
   std::vector<Rule> rules;
   for (int n = *rc::gen::inRange(0, 12); n > 0; --n) {
     Rule rule;
@@ -81,7 +81,7 @@
   }
 }
 
-TEST(Table, WhatCannotBeTakenIsSaidOfEachRule) {
+TEST(Table, ReportsEachRejectedRule) {
   const std::vector<Rule> rules = {
       {"", "a", {}, {}, 0},
       {"", "/a*", {}, {}, 0},
