--- a/src/language/doubts.cpp
+++ b/src/language/doubts.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Limits that never bind.
+// Warns of limits that never take effect.
 void doubt_pool(const Document& document, const Section& s, double patience, Problems& problems) {
   if (const auto wait = s.number("connect_within"); wait && *wait >= patience) {
     problems.warning(
--- a/src/language/fit.h
+++ b/src/language/fit.h
@@ -1,5 +1,6 @@
-// What has to fit together in a configuration, and what works but hardly as it was meant. Owns these checks;
-// it must never change a document.
+// Checks the consistency of a document whose statements each follow the schema: references between blocks,
+// and fields that depend on each other. Also finds valid settings that probably were not intended (warnings).
+// The document is not changed.
 #pragma once
 
 #include <map>
@@ -13,16 +14,17 @@
 
 namespace shorelead::language {
 
-// The blocks at the top by kind and name.
+// The top-level blocks by kind and name.
 class Index {
  public:
   explicit Index(const Document& document);
 
-  // The names of all blocks of a kind; of routes there may be many, of the others there are few.
+  // Returns the names of all blocks of a kind.
   const std::vector<std::string>& named(std::string_view block) const;
+  // Returns the second block of a kind, the only one if there is one, or null.
   const Section* second(std::string_view block) const;
   const Section* section(std::string_view block, std::string_view name) const;
-  // Whether there is a block of that name; says so where not.
+  // Whether a block of that name exists; reports a problem if not.
   bool known(std::string_view block, const std::string& name, const Place& place, Problems& problems) const;
 
  private:
@@ -31,17 +33,18 @@
   std::map<std::string_view, std::vector<std::string>> names_;
 };
 
-// Mistakes: node, classes, routes, fallbacks; of pools and where their backends come from.
+// Reports errors in the node, classes, routes, pools, fallbacks and the fleet.
 void fit_together(const Document& document, const Index& index, const std::set<std::string>& half_told,
                   Problems& problems);
+// A pool, its backends and their source.
 void fit_pool(const Document& document, const Section& pool, Problems& problems);
-// Members of a registry or store: addresses, each once.
+// The members of a registry or store: addresses without duplicates.
 void fit_endpoints(const Section& s, const std::string& field, Problems& problems);
-// The fleet, its budgets and plans.
+// The fleet, its budgets, plans and affinity rules.
 void fit_fleet(const Document& document, const Index& index, Problems& problems);
 void fit_affinity(const Section& rule, Problems& problems);
 void doubt_fleet(const Document& document, Problems& problems);
-// Warnings, looked for only where there is no mistake.
+// Reports warnings; only for a document without errors.
 void doubt(const Document& document, const Index& index, Problems& problems);
 
 }  // namespace shorelead::language
--- a/src/language/fit_affinity.cpp
+++ b/src/language/fit_affinity.cpp
@@ -1,5 +1,5 @@
-// What has to fit together in one rule of affinity; its condition and its place among the others are looked
-// at where conditions are known (src/affinity).
+// Checks the consistency of one affinity rule. Its condition and its order among the other rules are checked
+// in src/affinity, which parses conditions.
 #include <algorithm>
 #include <array>
 
@@ -12,7 +12,7 @@
 
 struct Source {
   std::string_view name;
-  std::string_view takes;  // behind it; empty = nothing
+  std::string_view takes;  // help for the argument that follows it; empty = takes none
 };
 constexpr std::array<Source, 5> kSources = {
     {{"header", "its name, as in: key header X-Basket"},
--- a/src/language/fit_fleet.cpp
+++ b/src/language/fit_fleet.cpp
@@ -10,11 +10,11 @@
 namespace shorelead::language {
 namespace {
 
-constexpr std::size_t kMostBudgets = 64;  // what a request spends of is a word of bits
+constexpr std::size_t kMostBudgets = 64;  // the budgets that a request draws on are a 64-bit mask
 
-constexpr double kFewTokens = 2;  // of a burst, for each process: a reserve and a share have one each
+constexpr double kFewTokens = 2;  // of a burst, for each process: one in its reserve, one in its share
 
-// What each kind of budget says, and what it must say.
+// The fields that each kind of budget requires and allows.
 struct Kind {
   std::string_view name;
   std::array<std::string_view, 2> needs;
@@ -41,7 +41,7 @@
     if (s.places.count(scope) > 0) index.known(scope, s.word(scope), s.places.at(scope), problems);
   }
   const Kind* const kind = kind_of(s);
-  if (kind == nullptr) return;  // which has been said
+  if (kind == nullptr) return;  // already reported
   const std::string as = "as in: budget " + s.name + " { " + std::string(kind->example) + " }";
   for (const Kind& other : kKinds) {
     for (const std::string_view field : other.may) {
@@ -58,7 +58,7 @@
     if (s.places.count(field) > 0 || (n > 0 && kind->needs[n] == kind->needs[n - 1])) continue;
     problems.problem(s.places.at("kind"), called(s) + " does not say its " + field, as);
   }
-  // The module decides about further attempts, and there is one for each pool.
+  // Retries are decided by the policy, which has one instance per pool.
   for (const char* const scope : {"route", "class", "tenant"}) {
     if (kind->name != "attempts" || s.places.count(scope) == 0) continue;
     problems.problem(s.places.at(scope), "further attempts are counted by pool, not by " + std::string(scope),
--- a/src/language/fit_pool.cpp
+++ b/src/language/fit_pool.cpp
@@ -45,7 +45,6 @@
   }
 }
 
-// Where its backends come from, and what is told of them.
 void fit_pool(const Document& document, const Section& s, Problems& problems) {
   std::map<std::string, const Section*> dials;
   const Section* first = nullptr;
--- a/src/language/problems.cpp
+++ b/src/language/problems.cpp
@@ -12,7 +12,7 @@
     };
     return order(x.place) < order(y.place);
   });
-  // What is shared is held against the schema wherever it is used.
+  // Shared statements are checked wherever they are used, so their errors are found more than once.
   const auto same = [](const Problem& x, const Problem& y) { return x.text() == y.text(); };
   all.erase(std::unique(all.begin(), all.end(), same), all.end());
   return all;
--- a/src/language/problems.h
+++ b/src/language/problems.h
@@ -1,5 +1,4 @@
-// The mistakes and doubts found in a configuration, with the lines that they are in. Owns their order; it
-// must never decide what is a mistake.
+// Collects the errors and warnings found in a configuration, each with the text of its line, and sorts them.
 #pragma once
 
 #include <map>
@@ -18,7 +17,7 @@
   Problem& warning(const Place& place, std::string cause, std::string hint = "");
   std::size_t count() const { return problems_.size(); }
 
-  // In the order of the text, files in the order in which they were read; each once.
+  // In text order, with files in the order in which they were read, and without duplicates.
   std::vector<Problem> problems(const std::vector<std::string>& files) const {
     return in_order(problems_, files);
   }
--- a/src/language/schema.h
+++ b/src/language/schema.h
@@ -1,6 +1,6 @@
-// What may be said in a configuration, stated once: the blocks, the fields of each, their types, bounds and
-// words for people. Checker and reference page read it. Owns no code beyond look-ups; it must never hold a
-// default that the node does not go by.
+// The schema of the configuration language: its blocks and, for each field, the type, the bounds and the help
+// text. The checks and the reference page are derived from it. A default that a help text names must be the
+// one that the node uses.
 #pragma once
 
 #include <span>
@@ -10,16 +10,16 @@
 
 enum class Type {
   kTime,     // in ms
-  kRate,     // a second
+  kRate,     // per second
   kShare,    // 0 to 1, written in %
   kSize,     // in bytes
-  kCount,    // a whole number without a unit
+  kCount,    // an integer without a unit
   kNumber,   // without a unit
   kWord,     // one of `words`, if there are any
   kAddress,  // 127.0.0.1:8080
   kWords,    // one or more
-  kPair,     // two words; may be told more than once
-  kShares,   // a word and a share; may be told more than once
+  kPair,     // two words; may be repeated
+  kShares,   // a word and a share; may be repeated
   kFlag,     // yes or no
 };
 
@@ -35,9 +35,9 @@
 
 struct Block {
   std::string_view name;
-  std::string_view within;  // empty = at the top
-  bool named = false;       // has a name of its own, different from others of its kind
-  bool once = false;
+  std::string_view within;  // the enclosing block; empty = top level
+  bool named = false;       // has a name, unique among blocks of its kind
+  bool once = false;        // at most one in its enclosing block
   std::span<const Field> fields;
   std::string_view means;
 };
--- a/src/language/sections.cpp
+++ b/src/language/sections.cpp
@@ -67,7 +67,7 @@
       section.inner.push_back(std::move(*inner));
     }
   }
-  // One that is not known is most often one that is wanted, misspelt.
+  // An unknown name is most often a misspelt required field: reporting that field as missing would be noise.
   const bool misspelt = std::any_of(s.block.begin(), s.block.end(), [found](const Statement& child) {
     return find_block(child.name, found->name) == nullptr &&
            (child.has_block || find_field(*found, child.name) == nullptr);
@@ -79,7 +79,7 @@
   return section;
 }
 
-// Told before: a block of which there is one, or one of that name.
+// Reports a second block where only one is allowed, or a second one of that name.
 void Sections::seen(const Statement& s, const Section& section, const Section* outer) {
   std::string key = outer == nullptr ? "" : called(*outer) + "/";
   key += section.block->once ? std::string(section.block->name) : called(section);
--- a/src/language/sections.h
+++ b/src/language/sections.h
@@ -1,5 +1,6 @@
-// Statements held against the schema: blocks into sections, each field in the schema's unit. Owns the search
-// for what is misspelt, missing, told twice or of the wrong type; it must never know what fits together.
+// Checks statements against the schema: makes a section of each block, with each field in the schema's unit.
+// Reports misspelt, missing, repeated and wrongly typed fields. Consistency between fields and between blocks
+// is checked elsewhere (consistency.h).
 #pragma once
 
 #include <map>
@@ -21,7 +22,7 @@
   Sections(Sources& sources, Problems& problems) : sources_(sources), problems_(problems) {}
 
   std::optional<Section> read(const Statement& s) { return block(s, nullptr, nullptr); }
-  // Routes with a mistake in a split, whose sum says nothing.
+  // Routes with an error in a split, whose sum is therefore not checked.
   const std::set<std::string>& half_told() const { return half_told_; }
 
  private:
--- a/src/language/sources.cpp
+++ b/src/language/sources.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kMostIncludes = 16;   // files within files
+constexpr std::size_t kMostIncludes = 16;   // nesting depth of includes
 constexpr std::size_t kMostFile = 4 << 20;  // bytes
 
 }  // namespace
@@ -120,7 +120,7 @@
       .also.emplace_back(it->second.place, "here is the first");
 }
 
-// Statements under a name, to be put into blocks by "use NAME".
+// Stores named statements for "use NAME".
 void Sources::shared(Statement& s) {
   if (!s.has_block || s.values.size() != 1 || s.values[0].kind != Value::Kind::kWord) {
     problem(s.place, "shared statements stand as in: shared NAME { ... }");
@@ -133,7 +133,6 @@
       .also.emplace_back(it->second.place, "here is the first");
 }
 
-// A block's statements with what it uses put in; what the block itself says goes before what it uses.
 std::vector<const Statement*> Sources::statements_of(const Statement& s) {
   std::vector<const Statement*> all;
   std::set<std::string> told;
--- a/src/language/sources.h
+++ b/src/language/sources.h
@@ -1,5 +1,5 @@
-// The files of a configuration put together: includes, variables, shared statements. Owns these; it must
-// never read but through the Reader it was given, nor know what a statement means.
+// Combines the files of a configuration: resolves includes, variables and shared statements. Files are read
+// only through the Reader; what a statement means is left to Sections.
 #pragma once
 
 #include <map>
@@ -16,14 +16,16 @@
  public:
   Sources(const Reader& reader, Problems& problems) : reader_(reader), problems_(problems) {}
 
-  // Reads a file and what it includes; whether it could be read at all.
+  // Reads a file and its includes; false if the file itself could not be read.
   bool read(const std::string& path);
 
   const std::vector<std::string>& files() const { return files_; }
   const std::vector<Statement>& statements() const { return statements_; }
-  // A block's statements with what it uses put in; what the block itself says goes before what it uses.
+  // Returns a block's statements with its "use" statements expanded; a statement in the block itself
+  // overrides a shared one of the same name.
   std::vector<const Statement*> statements_of(const Statement& s);
-  // A variable's value, or the value itself; null where there is none, which it has said then.
+  // Returns the value of a variable, or `given` itself if it is none; null after reporting an unknown
+  // variable.
   const Value* resolve(const Value& given);
   void warn_of_unused();
 
--- a/src/language/syntax.cpp
+++ b/src/language/syntax.cpp
@@ -11,7 +11,7 @@
 
 namespace pegtl = tao::pegtl;
 
-constexpr int kMostDepth = 64;  // blocks within blocks: no stack overflows on a file of opening brackets
+constexpr int kMostDepth = 64;  // of nested blocks: guards the recursive parser against a stack overflow
 constexpr std::array<std::string_view, 12> kUnits = {"us",  "ms",  "s",   "min", "h",   "B",
                                                      "KiB", "MiB", "GiB", "rps", "rpm", "%"};
 
@@ -22,7 +22,7 @@
   Place place;
 };
 
-// ---- tokens (PEGTL); every text is some tokens, so that no mistake ends the reading ----
+// ---- the lexer (PEGTL); any text yields tokens, so that no error ends the parsing ----
 
 struct word_char
     : pegtl::sor<pegtl::alnum, pegtl::one<'_', '.', '/', ':', '*', '+', '-', '@', '~', '%', '='>> {};
@@ -81,8 +81,7 @@
 template <>
 struct action<bad> : put<Token::Kind::kBad> {};
 
-// ---- the tree. By hand, since every mistake is to be told, each once, and the rest read as it was meant
-// ----
+// ---- the parser: hand-written, so that it can recover from each syntax error and report it once ----
 
 class Builder {
  public:
@@ -138,7 +137,7 @@
         default:
           wrong_start(*token);
           if (token->kind == Token::Kind::kOpen) {
-            with_block({});  // read for the mistakes in it, and to find its end
+            with_block({});  // parsed to report the errors in it and to find its end
           } else {
             skip_line();
           }
--- a/src/language/syntax.h
+++ b/src/language/syntax.h
@@ -1,6 +1,6 @@
-// The text of a configuration as a tree: statements with arguments, blocks within blocks, and the comments
-// that stand by them. Owns the grammar and the words for what does not follow it; it must never know what a
-// statement means, read a file, or stop at the first mistake.
+// Parses the text of a configuration into a tree: statements with values, nested blocks, and the comments
+// beside them. Defines the grammar and the syntax errors. It does not interpret statements or read files, and
+// reports all syntax errors of a text instead of stopping at the first.
 //
 //     # a comment
 //     let patience = 410 ms
@@ -9,8 +9,8 @@
 //       give_up 1 s     # a statement ends with its line, or with ";"
 //     }
 //
-// A word is letters, digits and _ . / : * + - @ ~ % = ; a string stands in quotation marks and knows \" \\ \n
-// \t. A number takes the word behind it as its unit, or the letters that stand right at it.
+// A word consists of letters, digits and _ . / : * + - @ ~ % = ; a string is enclosed in quotation marks,
+// with the escapes \" \\ \n \t. A number's unit follows it directly or as the next word.
 #pragma once
 
 #include <memory>
@@ -24,28 +24,29 @@
   std::string file;
   int line = 0;    // from 1
   int column = 0;  // from 1, in bytes
-  int width = 1;   // bytes that are meant
+  int width = 1;   // in bytes
 };
 
-// One mistake, for people: what is wrong, where, and a way out.
+// An error or a warning for the user: what is wrong, where, and how to correct it.
 struct Problem {
   Place place;
   std::string cause;
-  std::string hint;                                 // may be empty
-  std::string line;                                 // the line as it stands
-  std::vector<std::pair<Place, std::string>> also;  // other places that belong to it, and what is there
-  bool warning = false;                             // it works, but hardly as it was meant
+  std::string hint;                                 // a suggested correction; may be empty
+  std::string line;                                 // the text of the line
+  std::vector<std::pair<Place, std::string>> also;  // related places, each with a note
+  bool warning = false;                             // valid, but probably not intended
 
-  // "file:line:column: error: cause" (or warning), the line with a caret, the hint, the other places.
+  // Formats "file:line:column: error: cause" (or warning), the line with carets, the hint, the related
+  // places.
   std::string text() const;
 };
 
 struct Value {
   enum class Kind { kWord, kString, kNumber, kVariable };
   Kind kind = Kind::kWord;
-  std::string text;  // a word, a string's content, a variable's name, a number as it was written
+  std::string text;  // a word, a string without quotes, a variable's name, a number as it was written
   double number = 0;
-  std::string unit;  // of a number; empty = none
+  std::string unit;  // a number's unit; empty = none
   Place place;
 
   bool same(const Value& o) const {
@@ -59,17 +60,17 @@
   std::vector<Value> values;
   bool has_block = false;
   std::vector<Statement> block;
-  std::vector<std::string> before;  // comments on lines of their own above it, with their "#"
-  std::string behind;               // a comment on its line
-  std::vector<std::string> last;    // comments above the end of its block
-  bool gap = false;                 // an empty line stands above it
+  std::vector<std::string> before;  // comments on the lines above it, with their "#"
+  std::string behind;               // the comment at the end of its line
+  std::vector<std::string> last;    // comments before the end of its block
+  bool gap = false;                 // an empty line precedes it
 
-  bool same(const Statement& o) const;  // but for places
+  bool same(const Statement& o) const;  // equal apart from places
 };
 
 struct Tree {
   std::vector<Statement> statements;
-  std::vector<std::string> last;  // comments at the end
+  std::vector<std::string> last;  // comments after the last statement
   std::vector<std::string> lines;
   std::vector<Problem> problems;
   bool same(const Tree& o) const;
@@ -77,11 +78,11 @@
 
 Tree parse(std::string_view text, const std::string& file);
 
-// The same in one form: two blanks a level, one empty line at most, units apart. Only for a tree without
-// problems.
+// Writes a tree in the canonical form: two spaces per level, at most one empty line in a row, a space before
+// a unit. Only for a tree without problems.
 std::string format(const Tree& tree);
 
-// Whether a number may have this unit.
+// Whether `word` is the name of a unit.
 bool is_unit(std::string_view word);
 
 }  // namespace shorelead::language
--- a/src/language/units.cpp
+++ b/src/language/units.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kFarGuess = 2;  // letters that a guess may differ by
+constexpr std::size_t kFarGuess = 2;  // largest edit distance of a suggestion
 
 constexpr std::array<Unit, 12> kUnits = {{{"us", Type::kTime, 0.001},
                                           {"ms", Type::kTime, 1},
--- a/src/language/units.h
+++ b/src/language/units.h
@@ -1,5 +1,5 @@
-// Numbers with units as people write them, and words for the types of values. Owns the table of units; it
-// must never know a block or a field by name.
+// Units and formatting of numbers, the names of the schema's types in messages, and small text helpers. It
+// knows no block or field by name.
 #pragma once
 
 #include <array>
@@ -15,19 +15,19 @@
 struct Unit {
   std::string_view name;
   Type type;
-  double worth;  // in the schema's unit
+  double worth;  // one of it, in the schema's unit
 };
 
 const Unit* find_unit(std::string_view name);
-std::string_view a_kind(Type type);  // "a time"
-std::string plain(double value);
-std::string written(const Value& v);
-std::string shown(Type type, double value);         // in the unit that people would write
+std::string_view a_kind(Type type);                 // with an article, as in "a time"
+std::string plain(double value);                    // up to 12 significant digits
+std::string written(const Value& v);                // as in the source text
+std::string shown(Type type, double value);         // with a readable unit
 std::string example(const Field& f);                // "as in: 410 ms"
-std::string meant(const Field& f, const Value& v);  // what a bare number was probably meant to be
-bool is_address(std::string_view text);             // with a port
+std::string meant(const Field& f, const Value& v);  // a guess at the unit of a number without one
+bool is_address(std::string_view text);             // HOST:PORT
 
-// "did you mean ...?", or all that is known.
+// Returns "did you mean ...?" if a known name is similar, else a list of all known names.
 std::string did_you_mean(std::string_view said, const std::vector<std::string>& known);
 std::vector<std::string> parts(std::string_view text, char by);
 std::string list(const std::vector<std::string>& names);  // "a, b"
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -16,14 +16,12 @@
                     [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
-std::string_view host_without_port(std::string_view host) {
+std::string_view strip_port(std::string_view host) {
   if (!host.empty() && host.front() == '[') return host.substr(0, host.find(']') + 1);
   return host.substr(0, host.find(':'));
 }
 
-std::string_view path_without_query(std::string_view path) {
-  return path.substr(0, path.find_first_of("?#"));
-}
+std::string_view strip_query(std::string_view path) { return path.substr(0, path.find_first_of("?#")); }
 
 // Removes the first segment from `path` and returns it; no segment is left once `path` is empty.
 std::string_view next_segment(std::string_view& path) {
@@ -198,9 +196,9 @@
 }
 
 std::optional<std::size_t> Table::find(const Request& request) const {
-  const std::string_view path = path_without_query(request.path);
+  const std::string_view path = strip_query(request.path);
   if (path.empty() || path[0] != '/') return std::nullopt;
-  const std::string_view host = host_without_port(request.host);
+  const std::string_view host = strip_port(request.host);
   // Lower case without an allocation; a host name has at most 253 bytes (RFC 1035, 2.3.4).
   char lower_case[256];
   std::string_view name;
@@ -222,7 +220,7 @@
 }
 
 bool matches(const Rule& rule, const Request& request) {
-  const std::string_view host = host_without_port(request.host);
+  const std::string_view host = strip_port(request.host);
   if (rule.host.rfind("*.", 0) == 0) {
     const std::string_view suffix = std::string_view(rule.host).substr(1);
     if (host.size() <= suffix.size() || !same_host(host.substr(host.size() - suffix.size()), suffix))
@@ -230,7 +228,7 @@
   } else if (!rule.host.empty() && !same_host(rule.host, host)) {
     return false;
   }
-  std::string_view path = path_without_query(request.path);
+  std::string_view path = strip_query(request.path);
   if (path.empty() || path[0] != '/') return false;
   std::string_view pattern = rule.path;
   while (!pattern.empty()) {
--- a/tests/language/language_test.cpp
+++ b/tests/language/language_test.cpp
@@ -1,5 +1,5 @@
-// The configuration language: every kind of mistake by a broken file with its exact words; formatting by
-// property.
+// Tests of the configuration language: the exact message for each kind of error, from a file with that error;
+// parsing and formatting as properties.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -22,7 +22,7 @@
   return std::move(text).str();
 }
 
-// What is said of a file, with places relative to its folder.
+// The messages for a file, with paths relative to its folder.
 std::string said(const fs::path& path) {
   std::string all;
   for (const Problem& problem : check(path.string(), disk()).problems) all += problem.text();
@@ -31,8 +31,8 @@
   return all;
 }
 
-// One file, one mistake, and just the words that stand beside it. SHORELEAD_WRITE_EXPECTED=1 writes them
-// anew, to be read before they are kept.
+// Each .shore file has one error, and its message equals the .expected file beside it.
+// SHORELEAD_WRITE_EXPECTED=1 rewrites the expected messages; review them before committing.
 TEST(Broken, EveryFileSaysWhatIsWrong) {
   int files = 0;
   for (const auto& entry : fs::directory_iterator(SHORELEAD_BROKEN)) {
@@ -63,7 +63,7 @@
   return reader;
 }
 
-// All mistakes of all files in one pass, in the order of the text.
+// All errors of all files are reported in one pass, in text order.
 TEST(Check, AllMistakesInOnePass) {
   const Document document =
       check("main.shore", memory({{"main.shore", "include classes.shore\npol main {\n}\nnode {\n}\n"},
@@ -93,13 +93,13 @@
   EXPECT_EQ(document.find("pool")->find("probes")->number("per_box"), 2);
 }
 
-// The page is made from the schema, and what is committed is what would be made now.
+// The committed reference page equals the one that the schema generates.
 TEST(Reference, IsCurrent) {
   EXPECT_EQ(contents(SHORELEAD_DOCS "/configuration-reference.md"), reference_page())
       << "shorelead config reference > docs/configuration-reference.md";
 }
 
-// What newcomers copy has no mistake, no warning, and the one form.
+// The example configurations have no errors or warnings and are in canonical form.
 TEST(Example, IsCleanAndInItsForm) {
   for (const char* const name : {"example", "fleet"}) {
     const std::string path = std::string(SHORELEAD_DOCS "/../deploy/") + name + ".shore";
@@ -112,7 +112,7 @@
 
 // ---- warnings ----
 
-// Each of these works, and hardly as it was meant; none keeps a node from starting.
+// Each of these is valid, so that the node starts, but probably not intended.
 TEST(Warnings, EachSaysItsOwn) {
   const std::string base =
       "node n { listen 127.0.0.1:1; discovery 127.0.0.1:2; seed 1f; nodes 2 }\n"
@@ -155,7 +155,7 @@
   }
 }
 
-// ---- formatting never changes meaning ----
+// ---- formatting preserves the meaning ----
 
 rc::Gen<std::string> gen_name() {
   return rc::gen::element<std::string>("class", "aim", "a.b/c", "x1", "include", "let", "_", "10.0.0.1:80");
@@ -195,7 +195,7 @@
   RC_ASSERT(format(again) == formatted);
 }
 
-// Whatever the bytes: no crash, every place lies within the text, and no byte is more than two mistakes.
+// Any bytes: no crash, every place lies within the text, and there are at most two problems for each byte.
 RC_GTEST_PROP(Parse, TakesAnyBytes, ()) {
   std::string text;
   for (const char c : *rc::gen::container<std::vector<char>>(
