--- a/src/language/check.cpp
+++ b/src/language/check.cpp
@@ -45,9 +45,9 @@
 }
 
 const Section* Section::find(std::string_view name) const {
-  const auto it =
-      std::find_if(inner.begin(), inner.end(), [name](const Section& s) { return s.block->name == name; });
-  return it == inner.end() ? nullptr : &*it;
+  const auto it = std::find_if(children.begin(), children.end(),
+                               [name](const Section& s) { return s.block->name == name; });
+  return it == children.end() ? nullptr : &*it;
 }
 
 const Section* Document::find(std::string_view name) const {
@@ -57,32 +57,32 @@
 }
 
 Document check(const std::string& path, const Reader& reader) {
-  const std::string whole = std::filesystem::path(path).lexically_normal().string();
+  const std::string root_file = std::filesystem::path(path).lexically_normal().string();
   Document document;
   Problems problems;
   Sources sources(reader, problems);
   Sections sections(sources, problems);
-  const bool read = sources.read(whole);
+  const bool read = sources.read(root_file);
   for (const Statement& s : sources.statements()) {
     if (auto section = sections.read(s)) document.sections.push_back(std::move(*section));
   }
   document.files = sources.files();
   const Index index(document);
-  fit_together(document, index, sections.half_told(), problems);
+  check_consistency(document, index, sections.incomplete_splits(), problems);
   if (read && problems.count() == 0) {
     std::string missing;
     for (const char* const needed : {"node", "class", "pool"}) {
       if (document.find(needed) == nullptr) missing.append(missing.empty() ? "" : ", ").append(needed);
     }
     if (!missing.empty()) {
-      problems.problem({whole, 1, 1, 1}, "these blocks are missing: " + missing,
+      problems.problem({root_file, 1, 1, 1}, "these blocks are missing: " + missing,
                        "a configuration has one or more of each, as in: class NAME { ... }");
     }
   }
   document.problems = problems.problems(document.files);
   if (document.problems.empty()) {
     sources.warn_of_unused();
-    doubt(document, index, problems);
+    add_warnings(document, index, problems);
   }
   document.warnings = problems.warnings(document.files);
   return document;
--- a/src/language/check.h
+++ b/src/language/check.h
@@ -30,7 +30,7 @@
   std::map<std::string, double, std::less<>> numbers;
   std::map<std::string, std::vector<std::string>, std::less<>> words;
   std::map<std::string, Place, std::less<>> places;  // of the fields that are set
-  std::vector<Section> inner;
+  std::vector<Section> children;
 
   std::optional<double> number(std::string_view field) const;
   std::string word(std::string_view field) const;  // empty = not set
@@ -47,7 +47,7 @@
 };
 
 // Formats a number given in the schema's unit with a readable unit.
-std::string shown(Type type, double value);
+std::string with_unit(Type type, double value);
 
 Document check(const std::string& path, const Reader& reader);
 
--- a/src/language/fit.cpp
+++ b/src/language/fit.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-void fit_class(const Section& s, Problems& problems) {
+void check_class(const Section& s, Problems& problems) {
   const auto aim = s.number("aim");
   const auto give_up = s.number("give_up");
   if (aim && give_up && *give_up < *aim) {
     problems
-        .problem(s.places.at("give_up"), "give_up is less than aim: clients of " + called(s) +
+        .problem(s.places.at("give_up"), "give_up is less than aim: clients of " + title_of(s) +
                                              " are gone before its answers are late")
-        .also.emplace_back(s.places.at("aim"), "here the aim is told");
+        .related.emplace_back(s.places.at("aim"), "here the aim is told");
   }
   const std::string effect = s.word("effect");
   if (effect.empty()) return;
   if (effect == "keyed" && s.places.count("window") == 0) {
-    problems.problem(s.places.at("effect"), called(s) + " is keyed and does not say its window",
+    problems.problem(s.places.at("effect"), title_of(s) + " is keyed and does not say its window",
                      "how long boxes drop a repeat, as in: window 800 ms");
   }
   for (const char* const only : {"window", "group"}) {
@@ -32,12 +32,12 @@
     problems
         .problem(s.places.at(only), std::string(only) + " is told of a class that is not keyed",
                  "only keyed requests carry a key by which boxes drop a repeat")
-        .also.emplace_back(s.places.at("effect"), "here it is " + effect);
+        .related.emplace_back(s.places.at("effect"), "here it is " + effect);
   }
 }
 
-void fit_route(const Section& s, const Index& index, const std::set<std::string>& half_told,
-               Problems& problems) {
+void check_route(const Section& s, const Index& index, const std::set<std::string>& incomplete_splits,
+                 Problems& problems) {
   if (const std::string wanted = s.word("class"); !wanted.empty())
     index.known("class", wanted, s.places.at("class"), problems);
   const auto split = s.words.find("split");
@@ -46,13 +46,13 @@
     index.known("pool", s.word("pool"), s.places.at("pool"), problems);
     if (splits) {
       problems
-          .problem(s.places.at("split"), called(s) + " says both its pool and a split",
+          .problem(s.places.at("split"), title_of(s) + " says both its pool and a split",
                    "take one of them out")
-          .also.emplace_back(s.places.at("pool"), "here is its pool");
+          .related.emplace_back(s.places.at("pool"), "here is its pool");
       return;
     }
   } else if (!splits && index.named("pool").size() > 1) {
-    problems.problem(s.place, called(s) + " does not say its pool",
+    problems.problem(s.place, title_of(s) + " does not say its pool",
                      "there are several: " + list(index.named("pool")));
   }
   if (s.places.count("by") > 0 && !splits) {
@@ -60,18 +60,18 @@
   }
   if (!splits) return;
   if (s.places.count("by") == 0) {
-    problems.problem(s.places.at("split"), called(s) + " splits and does not say by what",
+    problems.problem(s.places.at("split"), title_of(s) + " splits and does not say by what",
                      "the header whose value keeps its pool, as in: by X-Client-ID");
   }
-  if (split == s.words.end() || half_told.count(s.name) > 0) return;
+  if (split == s.words.end() || incomplete_splits.count(s.name) > 0) return;
   double sum = 0;
-  std::set<std::string> told;
+  std::set<std::string> seen;
   bool all = true;
   for (std::size_t n = 0; n + 1 < split->second.size(); n += 2) {
     const std::string& pool = split->second[n];
     all = index.known("pool", pool, s.places.at("split"), problems) && all;
-    if (!told.insert(pool).second) {
-      problems.problem(s.places.at("split"), called(s) + " splits to pool " + pool + " twice",
+    if (!seen.insert(pool).second) {
+      problems.problem(s.places.at("split"), title_of(s) + " splits to pool " + pool + " twice",
                        "add the shares up");
       all = false;
     }
@@ -79,13 +79,13 @@
   }
   if (all && std::abs(sum - 1) > 1e-9) {
     problems.problem(s.places.at("split"),
-                     "the shares of " + called(s) + " are " + plain(sum * 100) + " % together",
+                     "the shares of " + title_of(s) + " are " + number_text(sum * 100) + " % together",
                      "they must be 100 %");
   }
 }
 
-void fit_fallbacks(const Document& document, const Index& index, Problems& problems) {
-  std::set<std::string> told;
+void check_fallbacks(const Document& document, const Index& index, Problems& problems) {
+  std::set<std::string> reported;
   for (const Section& s : document.sections) {
     if (s.block->name != "pool" || s.places.count("fallback") == 0) continue;
     if (!index.known("pool", s.word("fallback"), s.places.at("fallback"), problems)) continue;
@@ -95,8 +95,8 @@
       const bool back = at->name == s.name;
       const bool seen = std::find(chain.begin(), chain.end(), at->name) != chain.end();
       chain.push_back(at->name);
-      if (back && told.count(s.name) == 0) {
-        told.insert(chain.begin(), chain.end());
+      if (back && reported.count(s.name) == 0) {
+        reported.insert(chain.begin(), chain.end());
         std::string whole;
         for (const std::string& name : chain) whole.append(whole.empty() ? "" : " -> ").append(name);
         problems.problem(s.places.at("fallback"), "these fallbacks go in a circle: " + whole,
@@ -107,15 +107,15 @@
   }
 }
 
-void fit_node(const Section& s, Problems& problems) {
+void check_node(const Section& s, Problems& problems) {
   const auto nodes = s.number("nodes");
   const auto index = s.number("index");
   if (!index || *index < nodes.value_or(1)) return;
-  Problem& p =
-      problems.problem(s.places.at("index"),
-                       "index is " + plain(*index) + ", but there are " + plain(nodes.value_or(1)) +
-                           (nodes.value_or(1) == 1 ? " node, counted from 0" : " nodes, counted from 0"));
-  if (nodes) p.also.emplace_back(s.places.at("nodes"), "here their number is told");
+  Problem& p = problems.problem(
+      s.places.at("index"),
+      "index is " + number_text(*index) + ", but there are " + number_text(nodes.value_or(1)) +
+          (nodes.value_or(1) == 1 ? " node, counted from 0" : " nodes, counted from 0"));
+  if (nodes) p.related.emplace_back(s.places.at("nodes"), "here their number is told");
 }
 
 }  // namespace
@@ -156,16 +156,16 @@
   return false;
 }
 
-void fit_together(const Document& document, const Index& index, const std::set<std::string>& half_told,
-                  Problems& problems) {
+void check_consistency(const Document& document, const Index& index,
+                       const std::set<std::string>& incomplete_splits, Problems& problems) {
   for (const Section& s : document.sections) {
-    if (s.block->name == "class") fit_class(s, problems);
-    if (s.block->name == "route") fit_route(s, index, half_told, problems);
-    if (s.block->name == "pool") fit_pool(document, s, problems);
-    if (s.block->name == "node") fit_node(s, problems);
+    if (s.block->name == "class") check_class(s, problems);
+    if (s.block->name == "route") check_route(s, index, incomplete_splits, problems);
+    if (s.block->name == "pool") check_pool(document, s, problems);
+    if (s.block->name == "node") check_node(s, problems);
   }
-  fit_fallbacks(document, index, problems);
-  fit_fleet(document, index, problems);
+  check_fallbacks(document, index, problems);
+  check_fleet(document, index, problems);
   const std::vector<std::string>& pools = index.named("pool");
   if (pools.size() > 1 && index.named("route").empty()) {
     problems.problem(index.second("pool")->place,
--- a/src/language/fit.h
+++ b/src/language/fit.h
@@ -34,17 +34,17 @@
 };
 
 // Reports errors in the node, classes, routes, pools, fallbacks and the fleet.
-void fit_together(const Document& document, const Index& index, const std::set<std::string>& half_told,
-                  Problems& problems);
+void check_consistency(const Document& document, const Index& index,
+                       const std::set<std::string>& incomplete_splits, Problems& problems);
 // A pool, its backends and their source.
-void fit_pool(const Document& document, const Section& pool, Problems& problems);
+void check_pool(const Document& document, const Section& pool, Problems& problems);
 // The members of a registry or store: addresses without duplicates.
-void fit_endpoints(const Section& s, const std::string& field, Problems& problems);
+void check_endpoints(const Section& s, const std::string& field, Problems& problems);
 // The fleet, its budgets, plans and affinity rules.
-void fit_fleet(const Document& document, const Index& index, Problems& problems);
-void fit_affinity(const Section& rule, Problems& problems);
-void doubt_fleet(const Document& document, Problems& problems);
+void check_fleet(const Document& document, const Index& index, Problems& problems);
+void check_affinity(const Section& rule, Problems& problems);
+void add_fleet_warnings(const Document& document, Problems& problems);
 // Reports warnings; only for a document without errors.
-void doubt(const Document& document, const Index& index, Problems& problems);
+void add_warnings(const Document& document, const Index& index, Problems& problems);
 
 }  // namespace shorelead::language
--- a/src/language/fit_affinity.cpp
+++ b/src/language/fit_affinity.cpp
@@ -21,7 +21,7 @@
      {"parameter", "its name in the route's path, as in: key parameter id"},
      {"tenant", ""}}};
 
-void fit_key(const Section& rule, Problems& problems) {
+void check_key(const Section& rule, Problems& problems) {
   const auto key = rule.words.find("key");
   if (key == rule.words.end() || key->second.empty()) return;
   const Place& place = rule.places.at("key");
@@ -51,23 +51,23 @@
 
 }  // namespace
 
-void fit_affinity(const Section& rule, Problems& problems) {
-  fit_key(rule, problems);
+void check_affinity(const Section& rule, Problems& problems) {
+  check_key(rule, problems);
   const bool must = rule.number("must").value_or(0) > 0;
   if (rule.places.count("wait") > 0 && !must) {
-    problems.problem(rule.places.at("wait"), "nothing waits by " + called(rule) + ", which is no \"must\"",
+    problems.problem(rule.places.at("wait"), "nothing waits by " + title_of(rule) + ", which is no \"must\"",
                      "take it out, or say: must yes");
   }
   if (rule.places.count("hold") > 0 && rule.word("on_loss") != "refuse") {
     problems.problem(rule.places.at("hold"),
-                     called(rule) + " moves keys of a lost box at once and holds none",
+                     title_of(rule) + " moves keys of a lost box at once and holds none",
                      "take it out, or say: on_loss refuse");
   }
   if (rule.places.count("finish") > 0 && rule.word("on_drain") == "move") {
     problems
-        .problem(rule.places.at("finish"), "nothing finishes at a box that drains by " + called(rule),
+        .problem(rule.places.at("finish"), "nothing finishes at a box that drains by " + title_of(rule),
                  "take one of them out")
-        .also.emplace_back(rule.places.at("on_drain"), "here it is called off");
+        .related.emplace_back(rule.places.at("on_drain"), "here it is called off");
   }
 }
 
--- a/src/language/fit_fleet.cpp
+++ b/src/language/fit_fleet.cpp
@@ -10,9 +10,10 @@
 namespace shorelead::language {
 namespace {
 
-constexpr std::size_t kMostBudgets = 64;  // the budgets that a request draws on are a 64-bit mask
+constexpr std::size_t kMaxBudgets = 64;  // the budgets that a request draws on are a 64-bit mask
 
-constexpr double kFewTokens = 2;  // of a burst, for each process: one in its reserve, one in its share
+constexpr double kMinTokensPerProcess =
+    2;  // of a burst, for each process: one in its reserve, one in its share
 
 // The fields that each kind of budget requires and allows.
 struct Kind {
@@ -36,7 +37,7 @@
   return it == kKinds.end() ? nullptr : &*it;
 }
 
-void fit_budget(const Section& s, const Index& index, Problems& problems) {
+void check_budget(const Section& s, const Index& index, Problems& problems) {
   for (const char* const scope : {"pool", "route", "class"}) {
     if (s.places.count(scope) > 0) index.known(scope, s.word(scope), s.places.at(scope), problems);
   }
@@ -56,7 +57,7 @@
   for (std::size_t n = 0; n < kind->needs.size(); ++n) {
     const std::string field(kind->needs[n]);
     if (s.places.count(field) > 0 || (n > 0 && kind->needs[n] == kind->needs[n - 1])) continue;
-    problems.problem(s.places.at("kind"), called(s) + " does not say its " + field, as);
+    problems.problem(s.places.at("kind"), title_of(s) + " does not say its " + field, as);
   }
   // Retries are decided by the policy, which has one instance per pool.
   for (const char* const scope : {"route", "class", "tenant"}) {
@@ -66,18 +67,18 @@
   }
 }
 
-void fit_plans(const Document& document, Problems& problems) {
-  std::map<std::string, const Section*> whose;
+void check_plans(const Document& document, Problems& problems) {
+  std::map<std::string, const Section*> plan_by_tenant;
   const Section* first_default = nullptr;
   for (const Section& s : document.sections) {
     if (s.block->name != "plan") continue;
     const auto tenants = s.words.find("tenants");
     if (tenants != s.words.end()) {
       for (const std::string& tenant : tenants->second) {
-        const auto [it, fresh] = whose.try_emplace(tenant, &s);
-        if (fresh) continue;
+        const auto [it, inserted] = plan_by_tenant.try_emplace(tenant, &s);
+        if (inserted) continue;
         problems.problem(s.places.at("tenants"), "tenant " + tenant + " has two plans", "take it out of one")
-            .also.emplace_back(it->second->places.at("tenants"), "here is the other");
+            .related.emplace_back(it->second->places.at("tenants"), "here is the other");
       }
     }
     if (s.number("default").value_or(0) == 0) continue;
@@ -86,16 +87,16 @@
       continue;
     }
     problems.problem(s.places.at("default"), "two plans are the default", "take one of them out")
-        .also.emplace_back(first_default->places.at("default"), "here is the other");
+        .related.emplace_back(first_default->places.at("default"), "here is the other");
   }
 }
 
 }  // namespace
 
-void fit_fleet(const Document& document, const Index& index, Problems& problems) {
+void check_fleet(const Document& document, const Index& index, Problems& problems) {
   const Section* const fleet = document.find("fleet");
   if (fleet != nullptr) {
-    fit_endpoints(*fleet, "store", problems);
+    check_endpoints(*fleet, "store", problems);
     if (fleet->places.count("prefix") > 0 && !fleet->word("prefix").ends_with("/")) {
       problems.problem(fleet->places.at("prefix"),
                        "prefix is \"" + fleet->word("prefix") + "\", which does not end in \"/\"",
@@ -105,20 +106,20 @@
   for (const Section& s : document.sections) {
     if (s.block->name != "budget" && s.block->name != "plan" && s.block->name != "affinity") continue;
     if (fleet == nullptr) {
-      problems.problem(s.place, called(s) + " is the fleet's, and nothing says what the fleet is",
+      problems.problem(s.place, title_of(s) + " is the fleet's, and nothing says what the fleet is",
                        "as in: fleet { store 127.0.0.1:2379; prefix \"/fleet/\"; processes 20 }");
     }
-    if (s.block->name == "budget") fit_budget(s, index, problems);
-    if (s.block->name == "affinity") fit_affinity(s, problems);
+    if (s.block->name == "budget") check_budget(s, index, problems);
+    if (s.block->name == "affinity") check_affinity(s, problems);
   }
-  if (index.named("budget").size() > kMostBudgets) {
-    problems.problem(index.section("budget", index.named("budget")[kMostBudgets])->place,
-                     "there are more than " + std::to_string(kMostBudgets) + " budgets");
+  if (index.named("budget").size() > kMaxBudgets) {
+    problems.problem(index.section("budget", index.named("budget")[kMaxBudgets])->place,
+                     "there are more than " + std::to_string(kMaxBudgets) + " budgets");
   }
-  fit_plans(document, problems);
+  check_plans(document, problems);
 }
 
-void doubt_fleet(const Document& document, Problems& problems) {
+void add_fleet_warnings(const Document& document, Problems& problems) {
   const Section* const fleet = document.find("fleet");
   if (fleet == nullptr) return;
   const double processes = *fleet->number("processes");
@@ -126,24 +127,25 @@
     const Kind* const kind = s.block->name == "budget" ? kind_of(s) : nullptr;
     if (kind == nullptr) continue;
     const char* const counted = kind->name == "rate" ? "burst" : kind->name == "at_once" ? "most" : "few";
-    const double whole = s.number(counted).value_or(0);
+    const double total = s.number(counted).value_or(0);
     const double reserve = s.number("reserve").value_or(0.05);
-    if (whole > 0 && whole < processes) {
-      problems.warning(s.places.at(counted), std::string(counted) + " of " + called(s) + " is " +
-                                                 plain(whole) + " for " + plain(processes) +
+    if (total > 0 && total < processes) {
+      problems.warning(s.places.at(counted), std::string(counted) + " of " + title_of(s) + " is " +
+                                                 number_text(total) + " for " + number_text(processes) +
                                                  " processes: not all can have one at a time, they go round");
     } else if (s.places.count("reserve") > 0 && reserve > 0 &&
-               (kind->name == "rate" ? 2 * processes > whole : whole * reserve < processes)) {
-      problems.warning(s.places.at("reserve"),
-                       "the reserve of " + called(s) + " is less than one for each process, so there is none",
-                       "at least " + plain(100 * processes / whole) + " %, or 0 %");
-    } else if (kind->name == "rate" && whole > 0 && whole < kFewTokens * processes) {
+               (kind->name == "rate" ? 2 * processes > total : total * reserve < processes)) {
+      problems.warning(
+          s.places.at("reserve"),
+          "the reserve of " + title_of(s) + " is less than one for each process, so there is none",
+          "at least " + number_text(100 * processes / total) + " %, or 0 %");
+    } else if (kind->name == "rate" && total > 0 && total < kMinTokensPerProcess * processes) {
       problems.warning(
           s.places.at(counted),
-          called(s) +
+          title_of(s) +
               " has a burst of less than two for each process: what comes close together there is "
               "refused while the whole is not used up",
-          "four for each let nearly all through: burst " + plain(2 * kFewTokens * processes));
+          "four for each let nearly all through: burst " + number_text(2 * kMinTokensPerProcess * processes));
     }
   }
   const bool any = std::any_of(document.sections.begin(), document.sections.end(), [](const Section& s) {
--- a/src/language/fit_pool.cpp
+++ b/src/language/fit_pool.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-void fit_registry(const Section& s, Problems& problems) {
-  fit_endpoints(s, "endpoints", problems);
+void check_registry(const Section& s, Problems& problems) {
+  check_endpoints(s, "endpoints", problems);
   for (const char* const field : {"certificate", "key", "name"}) {
     if (s.places.count(field) > 0 && s.places.count("ca") == 0) {
       problems.problem(s.places.at(field), std::string("\"") + field + "\" says nothing without a \"ca\"",
@@ -31,31 +31,31 @@
 
 }  // namespace
 
-void fit_endpoints(const Section& s, const std::string& field, Problems& problems) {
-  std::set<std::string> told;
+void check_endpoints(const Section& s, const std::string& field, Problems& problems) {
+  std::set<std::string> seen;
   const auto endpoints = s.words.find(field);
   if (endpoints == s.words.end()) return;
   for (const std::string& one : endpoints->second) {
     if (!is_address(one)) {
       problems.problem(s.places.at(field), one + " is no address with a port",
                        "as in: " + field + " 127.0.0.1:2379");
-    } else if (!told.insert(one).second) {
+    } else if (!seen.insert(one).second) {
       problems.problem(s.places.at(field), one + " is told twice", "take one of them out");
     }
   }
 }
 
-void fit_pool(const Document& document, const Section& s, Problems& problems) {
+void check_pool(const Document& document, const Section& s, Problems& problems) {
   std::map<std::string, const Section*> dials;
   const Section* first = nullptr;
-  for (const Section& backend : s.inner) {
+  for (const Section& backend : s.children) {
     if (backend.block->name != "box") continue;
     if (first == nullptr) first = &backend;
     const std::string dial = backend.word("dial");
-    const auto [it, fresh] = dials.try_emplace(dial, &backend);
-    if (!fresh && !dial.empty()) {
-      problems.problem(backend.places.at("dial"), "two boxes of " + called(s) + " listen at " + dial)
-          .also.emplace_back(it->second->places.at("dial"), "here is the other");
+    const auto [it, inserted] = dials.try_emplace(dial, &backend);
+    if (!inserted && !dial.empty()) {
+      problems.problem(backend.places.at("dial"), "two boxes of " + title_of(s) + " listen at " + dial)
+          .related.emplace_back(it->second->places.at("dial"), "here is the other");
     }
     const auto zones = s.words.find("zones");
     if (backend.places.count("zone") == 0) continue;
@@ -63,36 +63,36 @@
     if (zones == s.words.end() ||
         std::find(zones->second.begin(), zones->second.end(), zone) == zones->second.end()) {
       problems.problem(backend.places.at("zone"),
-                       "zone is " + zone + ", which " + called(s) + " does not name",
+                       "zone is " + zone + ", which " + title_of(s) + " does not name",
                        "it names its zones as in: zones a b");
     }
   }
   const bool own = s.places.count("discovery") > 0;
   const Section* const registry = s.find("registry");
   if (registry != nullptr) {
-    fit_registry(*registry, problems);
+    check_registry(*registry, problems);
     if (first != nullptr || own) {
       problems
-          .problem(registry->place, called(s) + " has a registry and another source of boxes",
+          .problem(registry->place, title_of(s) + " has a registry and another source of boxes",
                    "take one of them out")
-          .also.emplace_back(own ? s.places.at("discovery") : first->place, "here is the other");
+          .related.emplace_back(own ? s.places.at("discovery") : first->place, "here is the other");
     }
     return;
   }
   if (first != nullptr && own) {
     problems
-        .problem(s.places.at("discovery"), called(s) + " has both boxes and a discovery",
+        .problem(s.places.at("discovery"), title_of(s) + " has both boxes and a discovery",
                  "take one of them out")
-        .also.emplace_back(first->place, "here is a box");
+        .related.emplace_back(first->place, "here is a box");
   }
   if (first != nullptr && s.places.count("list") > 0) {
     problems.problem(s.places.at("list"), "\"list\" says nothing of a pool whose boxes stand in the file")
-        .also.emplace_back(first->place, "here is a box");
+        .related.emplace_back(first->place, "here is a box");
   }
   const Section* const node = document.find("node");
   if (first == nullptr && !own && node != nullptr && node->places.count("discovery") == 0) {
     problems.problem(
-        s.place, called(s) + " does not say where its boxes come from",
+        s.place, title_of(s) + " does not say where its boxes come from",
         "by discovery 127.0.0.1:8500, here or in the node, or by boxes: box NAME { dial 127.0.0.1:9001 }");
   }
 }
--- a/src/language/reference.cpp
+++ b/src/language/reference.cpp
@@ -39,7 +39,7 @@
   return "";
 }
 
-bool has_bounds(const Field& f) { return f.most > f.least; }
+bool has_bounds(const Field& f) { return f.max > f.min; }
 
 std::string quoted(std::string_view text) {
   std::string out = "\"";
@@ -63,7 +63,7 @@
     for (const char c : f.words) text.append(c == '|' ? std::string(", ") : std::string(1, c));
   }
   if (has_bounds(f))
-    text.append(", ").append(shown(f.type, f.least)).append(" to ").append(shown(f.type, f.most));
+    text.append(", ").append(with_unit(f.type, f.min)).append(" to ").append(with_unit(f.type, f.max));
   return text;
 }
 
@@ -88,14 +88,14 @@
       "says "
       "itself.\n";
   for (const Block& block : blocks()) {
-    page.append("\n## ").append(block.within.empty() ? "" : std::string(block.within) + " / ");
-    page.append(block.name).append(block.named ? " NAME" : "").append("\n\n").append(block.means).append(".");
-    page.append(block.within.empty() ? "" : " Within `" + std::string(block.within) + "`.");
-    page.append(block.once ? " There may be one.\n\n" : " There may be several.\n\n");
+    page.append("\n## ").append(block.parent.empty() ? "" : std::string(block.parent) + " / ");
+    page.append(block.name).append(block.named ? " NAME" : "").append("\n\n").append(block.help).append(".");
+    page.append(block.parent.empty() ? "" : " Within `" + std::string(block.parent) + "`.");
+    page.append(block.single ? " There may be one.\n\n" : " There may be several.\n\n");
     page.append("| field | value | must be told | means |\n| --- | --- | --- | --- |\n");
     for (const Field& f : block.fields) {
       page.append("| `").append(f.name).append("` | ").append(cell(value_of(f))).append(" | ");
-      page.append(f.required ? "yes" : "").append(" | ").append(cell(f.means)).append(" |\n");
+      page.append(f.required ? "yes" : "").append(" | ").append(cell(f.help)).append(" |\n");
     }
   }
   return page;
@@ -107,10 +107,10 @@
   for (const Block& block : blocks()) {
     out.append(first_block ? "" : ",").append("\n{\"name\":").append(quoted(block.name));
     first_block = false;
-    out.append(",\"within\":").append(quoted(block.within));
+    out.append(",\"within\":").append(quoted(block.parent));
     out.append(",\"named\":").append(block.named ? "true" : "false");
-    out.append(",\"once\":").append(block.once ? "true" : "false");
-    out.append(",\"means\":").append(quoted(block.means)).append(",\"fields\":[");
+    out.append(",\"once\":").append(block.single ? "true" : "false");
+    out.append(",\"means\":").append(quoted(block.help)).append(",\"fields\":[");
     bool first_field = true;
     for (const Field& f : block.fields) {
       out.append(first_field ? "" : ",").append("\n {\"name\":").append(quoted(f.name));
@@ -119,8 +119,8 @@
       out.append(",\"required\":").append(f.required ? "true" : "false");
       if (!f.words.empty()) out.append(",\"words\":").append(quoted(f.words));
       if (has_bounds(f))
-        out.append(",\"least\":").append(number(f.least)).append(",\"most\":").append(number(f.most));
-      out.append(",\"means\":").append(quoted(f.means)).append("}");
+        out.append(",\"least\":").append(number(f.min)).append(",\"most\":").append(number(f.max));
+      out.append(",\"means\":").append(quoted(f.help)).append("}");
     }
     out.append("]}");
   }
--- a/src/language/schema.cpp
+++ b/src/language/schema.cpp
@@ -202,9 +202,9 @@
 
 std::span<const Block> blocks() { return kBlocks; }
 
-const Block* find_block(std::string_view name, std::string_view within) {
+const Block* find_block(std::string_view name, std::string_view parent) {
   const auto it = std::find_if(std::begin(kBlocks), std::end(kBlocks),
-                               [&](const Block& b) { return b.name == name && b.within == within; });
+                               [&](const Block& b) { return b.name == name && b.parent == parent; });
   return it == std::end(kBlocks) ? nullptr : it;
 }
 
--- a/src/language/schema.h
+++ b/src/language/schema.h
@@ -26,24 +26,24 @@
 struct Field {
   std::string_view name;
   Type type = Type::kNumber;
-  double least = 0;
-  double most = 0;
+  double min = 0;
+  double max = 0;
   bool required = false;
   std::string_view words;  // for kWord: separated by "|"; empty = any
-  std::string_view means;
+  std::string_view help;
 };
 
 struct Block {
   std::string_view name;
-  std::string_view within;  // the enclosing block; empty = top level
+  std::string_view parent;  // the enclosing block; empty = top level
   bool named = false;       // has a name, unique among blocks of its kind
-  bool once = false;        // at most one in its enclosing block
+  bool single = false;      // at most one in its enclosing block
   std::span<const Field> fields;
-  std::string_view means;
+  std::string_view help;
 };
 
 std::span<const Block> blocks();
-const Block* find_block(std::string_view name, std::string_view within);
+const Block* find_block(std::string_view name, std::string_view parent);
 const Field* find_field(const Block& block, std::string_view name);
 
 }  // namespace shorelead::language
--- a/src/language/sections.h
+++ b/src/language/sections.h
@@ -15,7 +15,7 @@
 
 namespace shorelead::language {
 
-std::string called(const Section& s);  // "pool main"
+std::string title_of(const Section& s);  // "pool main"
 
 class Sections {
  public:
@@ -23,16 +23,16 @@
 
   std::optional<Section> read(const Statement& s) { return block(s, nullptr, nullptr); }
   // Routes with an error in a split, whose sum is therefore not checked.
-  const std::set<std::string>& half_told() const { return half_told_; }
+  const std::set<std::string>& incomplete_splits() const { return incomplete_splits_; }
 
  private:
-  std::optional<Section> block(const Statement& s, const Block* within, Section* outer);
-  void seen(const Statement& s, const Section& section, const Section* outer);
+  std::optional<Section> block(const Statement& s, const Block* parent, Section* outer);
+  void check_unique(const Statement& s, const Section& section, const Section* outer);
   void field(const Statement& s, Section& section);
   void shares(const Field& f, const Statement& s, Section& section);
-  void one_share(const Field& f, const Statement& s, Section& section);
-  void take(const Field& f, const Value& v, const Place& place, Section& section);
-  void wrong(const Field& f, const Value& v, const Place& place, std::string hint);
+  void add_share(const Field& f, const Statement& s, Section& section);
+  void set_value(const Field& f, const Value& v, const Place& place, Section& section);
+  void wrong_type(const Field& f, const Value& v, const Place& place, std::string hint);
   void number(const Field& f, const Value& v, const Place& place, Section& section);
   Problem& problem(const Place& place, std::string cause, std::string hint = "") {
     return problems_.problem(place, std::move(cause), std::move(hint));
@@ -40,8 +40,8 @@
 
   Sources& sources_;
   Problems& problems_;
-  std::map<std::string, Place> seen_;
-  std::set<std::string> half_told_;
+  std::map<std::string, Place> first_places_;
+  std::set<std::string> incomplete_splits_;
 };
 
 }  // namespace shorelead::language
--- a/src/language/sources.cpp
+++ b/src/language/sources.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::size_t kMostIncludes = 16;   // nesting depth of includes
-constexpr std::size_t kMostFile = 4 << 20;  // bytes
+constexpr std::size_t kMaxIncludeDepth = 16;    // nesting depth of includes
+constexpr std::size_t kMaxFileBytes = 4 << 20;  // bytes
 
 }  // namespace
 
@@ -38,7 +38,7 @@
 
 void Sources::file(const std::string& path, const std::string& text) {
   files_.push_back(path);
-  if (text.size() > kMostFile) {
+  if (text.size() > kMaxFileBytes) {
     problem({path, 1, 1, 1}, "this file has more than 4 MiB");
     return;
   }
@@ -87,13 +87,13 @@
     problem(value.place, "this include goes in a circle: " + whole + path, "take one of these includes out");
     return;
   }
-  const auto [first, fresh] = included_.try_emplace(path, value.place);
-  if (!fresh) {
+  const auto [first, inserted] = included_.try_emplace(path, value.place);
+  if (!inserted) {
     problem(value.place, "\"" + path + "\" is included a second time", "include it once, where both need it")
-        .also.emplace_back(first->second, "here is the first");
+        .related.emplace_back(first->second, "here is the first");
     return;
   }
-  if (chain_.size() >= kMostIncludes) {
+  if (chain_.size() >= kMaxIncludeDepth) {
     problem(value.place, "includes go more than 16 files deep");
     return;
   }
@@ -112,12 +112,12 @@
     problem(s.place, "a variable is set as in: let patience = 410 ms");
     return;
   }
-  const auto [it, fresh] =
+  const auto [it, inserted] =
       variables_.try_emplace(s.values[0].text, Variable{s.values[2], s.values[0].place, false});
-  if (fresh) return;
+  if (inserted) return;
   problem(s.values[0].place, "\"" + s.values[0].text + "\" is set a second time",
           "variables never change; give it another name")
-      .also.emplace_back(it->second.place, "here is the first");
+      .related.emplace_back(it->second.place, "here is the first");
 }
 
 // Stores named statements for "use NAME".
@@ -127,19 +127,19 @@
     return;
   }
   const std::string name = s.values[0].text;
-  const auto [it, fresh] = shared_.try_emplace(name, Shared{std::move(s.block), s.place, false});
-  if (fresh) return;
+  const auto [it, inserted] = shared_.try_emplace(name, Shared{std::move(s.block), s.place, false});
+  if (inserted) return;
   problem(s.place, "\"" + name + "\" is shared a second time", "give it another name")
-      .also.emplace_back(it->second.place, "here is the first");
+      .related.emplace_back(it->second.place, "here is the first");
 }
 
 std::vector<const Statement*> Sources::statements_of(const Statement& s) {
   std::vector<const Statement*> all;
-  std::set<std::string> told;
+  std::set<std::string> own_names;
   for (const Statement& child : s.block) {
     if (child.name == "use") continue;
     all.push_back(&child);
-    told.insert(child.name);
+    own_names.insert(child.name);
   }
   std::map<std::string, const Statement*> used;
   for (const Statement& child : s.block) {
@@ -158,16 +158,16 @@
     }
     it->second.used = true;
     for (const Statement& one : it->second.statements) {
-      if (told.count(one.name) > 0) continue;
+      if (own_names.count(one.name) > 0) continue;
       if (one.name == "use") {
         problem(one.place, "shared statements cannot use others", "use both in the block itself");
         continue;
       }
-      const auto [first, fresh] = used.try_emplace(one.name, &child);
-      if (!fresh && first->second != &child) {
+      const auto [first, inserted] = used.try_emplace(one.name, &child);
+      if (!inserted && first->second != &child) {
         problem(child.place, "\"" + one.name + "\" comes from this and from another that is used here",
                 "say it in the block itself")
-            .also.emplace_back(first->second->place, "here is the other");
+            .related.emplace_back(first->second->place, "here is the other");
         continue;
       }
       all.push_back(&one);
--- a/src/language/syntax.cpp
+++ b/src/language/syntax.cpp
@@ -11,12 +11,12 @@
 
 namespace pegtl = tao::pegtl;
 
-constexpr int kMostDepth = 64;  // of nested blocks: guards the recursive parser against a stack overflow
+constexpr int kMaxDepth = 64;  // of nested blocks: guards the recursive parser against a stack overflow
 constexpr std::array<std::string_view, 12> kUnits = {"us",  "ms",  "s",   "min", "h",   "B",
                                                      "KiB", "MiB", "GiB", "rps", "rpm", "%"};
 
 struct Token {
-  enum class Kind { kWord, kString, kOpenString, kVariable, kOpen, kClose, kEnd, kLine, kComment, kBad };
+  enum class Kind { kWord, kString, kOpenString, kVariable, kOpen, kClose, kEnd, kLine, kComment, kInvalid };
   Kind kind;
   std::string text;
   Place place;
@@ -38,9 +38,9 @@
 struct open : pegtl::one<'{'> {};
 struct close : pegtl::one<'}'> {};
 struct end : pegtl::one<';'> {};
-struct bad : pegtl::any {};
+struct invalid : pegtl::any {};
 struct tokens : pegtl::until<pegtl::eof, pegtl::sor<blank, line_end, comment, string, open_string, variable,
-                                                    word, open, close, end, bad>> {};
+                                                    word, open, close, end, invalid>> {};
 
 struct Lexer {
   std::string file;
@@ -51,7 +51,7 @@
 struct action {};
 
 template <Token::Kind K>
-struct put {
+struct add_token {
   template <typename Input>
   static void apply(const Input& in, Lexer& lexer) {
     const auto at = in.position();
@@ -61,25 +61,25 @@
   }
 };
 template <>
-struct action<word> : put<Token::Kind::kWord> {};
+struct action<word> : add_token<Token::Kind::kWord> {};
 template <>
-struct action<variable> : put<Token::Kind::kVariable> {};
+struct action<variable> : add_token<Token::Kind::kVariable> {};
 template <>
-struct action<string> : put<Token::Kind::kString> {};
+struct action<string> : add_token<Token::Kind::kString> {};
 template <>
-struct action<open_string> : put<Token::Kind::kOpenString> {};
+struct action<open_string> : add_token<Token::Kind::kOpenString> {};
 template <>
-struct action<comment> : put<Token::Kind::kComment> {};
+struct action<comment> : add_token<Token::Kind::kComment> {};
 template <>
-struct action<line_end> : put<Token::Kind::kLine> {};
+struct action<line_end> : add_token<Token::Kind::kLine> {};
 template <>
-struct action<open> : put<Token::Kind::kOpen> {};
+struct action<open> : add_token<Token::Kind::kOpen> {};
 template <>
-struct action<close> : put<Token::Kind::kClose> {};
+struct action<close> : add_token<Token::Kind::kClose> {};
 template <>
-struct action<end> : put<Token::Kind::kEnd> {};
+struct action<end> : add_token<Token::Kind::kEnd> {};
 template <>
-struct action<bad> : put<Token::Kind::kBad> {};
+struct action<invalid> : add_token<Token::Kind::kInvalid> {};
 
 // ---- the parser: hand-written, so that it can recover from each syntax error and report it once ----
 
@@ -87,7 +87,7 @@
  public:
   Builder(std::vector<Token> tokens, Tree& tree) : tokens_(std::move(tokens)), tree_(tree) {}
 
-  void build() { tree_.statements = block(nullptr, tree_.last); }
+  void build() { tree_.statements = block(nullptr, tree_.closing_comments); }
 
  private:
   const Token* peek() const { return at_ < tokens_.size() ? &tokens_[at_] : nullptr; }
@@ -100,15 +100,16 @@
     tree_.problems.push_back(std::move(p));
   }
 
-  std::vector<Statement> block(const Place* opened, std::vector<std::string>& last) {
+  std::vector<Statement> block(const Place* opened, std::vector<std::string>& closing_comments) {
     std::vector<Statement> statements;
     std::vector<std::string> comments;
     int lines = 0;
-    bool gap = false;
+    bool blank_line_before = false;
     while (const Token* token = peek()) {
       switch (token->kind) {
         case Token::Kind::kLine:
-          gap = gap || (++lines > 1 && (!statements.empty() || !comments.empty()) && comments.empty());
+          blank_line_before = blank_line_before ||
+                              (++lines > 1 && (!statements.empty() || !comments.empty()) && comments.empty());
           ++at_;
           continue;
         case Token::Kind::kEnd:
@@ -122,7 +123,7 @@
         case Token::Kind::kClose:
           if (opened != nullptr) {
             ++at_;
-            last = std::move(comments);
+            closing_comments = std::move(comments);
             return statements;
           }
           problem(token->place, "\"}\" closes nothing", "take it out, or open a block with \"{\" before it");
@@ -130,8 +131,8 @@
           continue;
         case Token::Kind::kWord:
           statements.push_back(statement());
-          statements.back().before = std::exchange(comments, {});
-          statements.back().gap = std::exchange(gap, false);
+          statements.back().comments_before = std::exchange(comments, {});
+          statements.back().blank_line_before = std::exchange(blank_line_before, false);
           lines = 0;
           continue;
         default:
@@ -145,7 +146,7 @@
       }
     }
     if (opened != nullptr) problem(*opened, "this block is not closed", "put a \"}\" where it ends");
-    last = std::move(comments);
+    closing_comments = std::move(comments);
     return statements;
   }
 
@@ -156,16 +157,16 @@
                        "a block begins with its kind, as in: class check {");
       case Token::Kind::kOpenString:
         return problem(token.place, "this string is not closed on its line", "put a \" where it ends");
-      case Token::Kind::kBad:
+      case Token::Kind::kInvalid:
         return problem(token.place, "\"" + token.text + "\" means nothing here",
                        "texts that hold it stand in quotation marks");
       default:
-        return problem(token.place, "a line begins with a name, not with " + shown(token),
+        return problem(token.place, "a line begins with a name, not with " + shortened(token),
                        "as in: aim 410 ms");
     }
   }
 
-  static std::string shown(const Token& token) {
+  static std::string shortened(const Token& token) {
     return token.text.size() > 30 ? token.text.substr(0, 30) + "..." : token.text;
   }
 
@@ -194,7 +195,7 @@
         case Token::Kind::kOpen:
           return with_block(std::move(s));
         case Token::Kind::kComment:
-          s.behind = trimmed(token->text);
+          s.trailing_comment = trimmed(token->text);
           ++at_;
           continue;
         case Token::Kind::kOpenString:
@@ -202,7 +203,7 @@
           s.values.push_back({Value::Kind::kString, token->text.substr(1), 0, "", token->place});
           ++at_;
           continue;
-        case Token::Kind::kBad:
+        case Token::Kind::kInvalid:
           problem(token->place, "\"" + token->text + "\" means nothing here",
                   "texts that hold it stand in quotation marks");
           skip_line();
@@ -223,14 +224,14 @@
     ++at_;
     s.has_block = true;
     if (peek() != nullptr && peek()->kind == Token::Kind::kComment) {
-      s.behind = trimmed(peek()->text);
+      s.trailing_comment = trimmed(peek()->text);
       ++at_;
     }
-    if (++depth_ > kMostDepth) {
+    if (++depth_ > kMaxDepth) {
       problem(opened, "blocks stand more than 64 deep in each other");
       at_ = tokens_.size();
     } else {
-      s.block = block(&opened, s.last);
+      s.block = block(&opened, s.closing_comments);
     }
     --depth_;
     return s;
@@ -336,17 +337,17 @@
 void write(const std::vector<Statement>& statements, const std::string& indent, std::string& out) {
   bool first = true;
   for (const Statement& s : statements) {
-    if (s.gap && !first) out += "\n";
+    if (s.blank_line_before && !first) out += "\n";
     first = false;
-    for (const std::string& comment : s.before) out += indent + comment + "\n";
+    for (const std::string& comment : s.comments_before) out += indent + comment + "\n";
     out += indent + s.name;
     for (const Value& value : s.values) write(value, out);
     if (s.has_block) out += " {";
-    if (!s.behind.empty()) out += "  " + s.behind;
+    if (!s.trailing_comment.empty()) out += "  " + s.trailing_comment;
     out += "\n";
     if (!s.has_block) continue;
     write(s.block, indent + "  ", out);
-    for (const std::string& comment : s.last) out += indent + "  " + comment + "\n";
+    for (const std::string& comment : s.closing_comments) out += indent + "  " + comment + "\n";
     out += indent + "}\n";
   }
 }
@@ -356,8 +357,8 @@
 bool is_unit(std::string_view word) { return std::find(kUnits.begin(), kUnits.end(), word) != kUnits.end(); }
 
 bool Statement::same(const Statement& o) const {
-  return name == o.name && has_block == o.has_block && before == o.before && behind == o.behind &&
-         last == o.last &&
+  return name == o.name && has_block == o.has_block && comments_before == o.comments_before &&
+         trailing_comment == o.trailing_comment && closing_comments == o.closing_comments &&
          std::equal(values.begin(), values.end(), o.values.begin(), o.values.end(),
                     [](const Value& x, const Value& y) { return x.same(y); }) &&
          std::equal(block.begin(), block.end(), o.block.begin(), o.block.end(),
@@ -365,7 +366,7 @@
 }
 
 bool Tree::same(const Tree& o) const {
-  return last == o.last &&
+  return closing_comments == o.closing_comments &&
          std::equal(statements.begin(), statements.end(), o.statements.begin(), o.statements.end(),
                     [](const Statement& x, const Statement& y) { return x.same(y); });
 }
@@ -385,7 +386,7 @@
     out += std::string(static_cast<std::size_t>(std::max(1, place.width)), '^') + "\n";
   }
   if (!hint.empty()) out += "  help: " + hint + "\n";
-  for (const auto& [other, what] : also) out += "  " + where(other) + ": " + what + "\n";
+  for (const auto& [other, what] : related) out += "  " + where(other) + ": " + what + "\n";
   return out;
 }
 
@@ -409,8 +410,8 @@
 std::string format(const Tree& tree) {
   std::string out;
   write(tree.statements, "", out);
-  if (!tree.last.empty() && !tree.statements.empty()) out += "\n";
-  for (const std::string& comment : tree.last) out += comment + "\n";
+  if (!tree.closing_comments.empty() && !tree.statements.empty()) out += "\n";
+  for (const std::string& comment : tree.closing_comments) out += comment + "\n";
   return out;
 }
 
--- a/src/language/syntax.h
+++ b/src/language/syntax.h
@@ -31,10 +31,10 @@
 struct Problem {
   Place place;
   std::string cause;
-  std::string hint;                                 // a suggested correction; may be empty
-  std::string line;                                 // the text of the line
-  std::vector<std::pair<Place, std::string>> also;  // related places, each with a note
-  bool warning = false;                             // valid, but probably not intended
+  std::string hint;                                    // a suggested correction; may be empty
+  std::string line;                                    // the text of the line
+  std::vector<std::pair<Place, std::string>> related;  // related places, each with a note
+  bool warning = false;                                // valid, but probably not intended
 
   // Formats "file:line:column: error: cause" (or warning), the line with carets, the hint, the related
   // places.
@@ -60,17 +60,17 @@
   std::vector<Value> values;
   bool has_block = false;
   std::vector<Statement> block;
-  std::vector<std::string> before;  // comments on the lines above it, with their "#"
-  std::string behind;               // the comment at the end of its line
-  std::vector<std::string> last;    // comments before the end of its block
-  bool gap = false;                 // an empty line precedes it
+  std::vector<std::string> comments_before;   // comments on the lines above it, with their "#"
+  std::string trailing_comment;               // the comment at the end of its line
+  std::vector<std::string> closing_comments;  // comments before the end of its block
+  bool blank_line_before = false;             // an empty line precedes it
 
   bool same(const Statement& o) const;  // equal apart from places
 };
 
 struct Tree {
   std::vector<Statement> statements;
-  std::vector<std::string> last;  // comments after the last statement
+  std::vector<std::string> closing_comments;  // comments after the last statement
   std::vector<std::string> lines;
   std::vector<Problem> problems;
   bool same(const Tree& o) const;
--- a/src/language/units.cpp
+++ b/src/language/units.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kFarGuess = 2;  // largest edit distance of a suggestion
+constexpr std::size_t kMaxSuggestionDistance = 2;  // largest edit distance of a suggestion
 
 constexpr std::array<Unit, 12> kUnits = {{{"us", Type::kTime, 0.001},
                                           {"ms", Type::kTime, 1},
@@ -46,7 +46,7 @@
   return it == kUnits.end() ? nullptr : &*it;
 }
 
-std::string_view a_kind(Type type) {
+std::string_view type_phrase(Type type) {
   switch (type) {
     case Type::kTime:
       return "a time";
@@ -73,14 +73,14 @@
   return "something else";
 }
 
-std::string plain(double value) {
+std::string number_text(double value) {
   std::ostringstream out;
   out.precision(12);
   out << value;
   return out.str();
 }
 
-std::string written(const Value& v) {
+std::string source_text(const Value& v) {
   if (v.kind == Value::Kind::kString) return "\"" + v.text + "\"";
   if (v.kind == Value::Kind::kVariable) return "$" + v.text;
   return v.unit.empty() ? v.text : v.text + " " + v.unit;
@@ -91,7 +91,8 @@
   for (const std::string& one : known) {
     if (best == nullptr || distance(said, one) < distance(said, *best)) best = &one;
   }
-  if (best != nullptr && distance(said, *best) <= kFarGuess && distance(said, *best) < said.size()) {
+  if (best != nullptr && distance(said, *best) <= kMaxSuggestionDistance &&
+      distance(said, *best) < said.size()) {
     return "did you mean \"" + *best + "\"?";
   }
   std::string all;
@@ -108,22 +109,23 @@
   }
   return all;
 }
-std::string shown(Type type, double value) {
+std::string with_unit(Type type, double value) {
   switch (type) {
     case Type::kTime:
       for (const char* const unit : {"h", "min", "s"}) {
-        const double worth = find_unit(unit)->worth;
-        if (value >= worth && std::fmod(value, worth) == 0) return plain(value / worth) + " " + unit;
+        const double factor = find_unit(unit)->factor;
+        if (value >= factor && std::fmod(value, factor) == 0) return number_text(value / factor) + " " + unit;
       }
-      return plain(value) + " ms";
+      return number_text(value) + " ms";
     case Type::kRate:
-      return plain(value) + " rps";
+      return number_text(value) + " rps";
     case Type::kShare:
-      return plain(value * 100) + " %";
+      return number_text(value * 100) + " %";
     case Type::kSize:
-      return std::fmod(value, 1048576) == 0 ? plain(value / 1048576) + " MiB" : plain(value) + " B";
+      return std::fmod(value, 1048576) == 0 ? number_text(value / 1048576) + " MiB"
+                                            : number_text(value) + " B";
     default:
-      return plain(value);
+      return number_text(value);
   }
 }
 
@@ -142,14 +144,14 @@
   }
 }
 
-std::string meant(const Field& f, const Value& v) {
+std::string suggested_unit(const Field& f, const Value& v) {
   switch (f.type) {
     case Type::kTime:
       return v.text + (v.number < 10 ? " s" : " ms");
     case Type::kRate:
       return v.text + " rps";
     case Type::kShare:
-      return plain(v.number <= 1 ? v.number * 100 : v.number) + " %";
+      return number_text(v.number <= 1 ? v.number * 100 : v.number) + " %";
     default:
       return v.text + " B";
   }
--- a/src/node/pool_binding.cpp
+++ b/src/node/pool_binding.cpp
@@ -12,7 +12,7 @@
 List backends_of(const Section& pool) {
   List list;
   list.whole = true;
-  for (const Section& backend : pool.inner) {
+  for (const Section& backend : pool.children) {
     if (backend.block->name != "box") continue;
     ListedBackend listed;
     listed.host = backend.name;
