--- a/src/language/check.cpp
+++ b/src/language/check.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "files/whole_file.h"
-#include "language/fit.h"
+#include "language/consistency.h"
 #include "language/sections.h"
 #include "language/sources.h"
 
--- a/src/language/fit.cpp
+++ b/src/language/consistency.cpp
@@ -1,4 +1,4 @@
-#include "language/fit.h"
+#include "language/consistency.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/language/fit_fleet.cpp
+++ b/src/language/consistency_fleet.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <set>
 
-#include "language/fit.h"
+#include "language/consistency.h"
 #include "language/sections.h"
 #include "language/units.h"
 
--- a/src/language/doubts.cpp
+++ b/src/language/warnings.cpp
@@ -2,7 +2,7 @@
 #include <cstdlib>
 #include <set>
 
-#include "language/fit.h"
+#include "language/consistency.h"
 #include "language/sections.h"
 #include "language/units.h"
 
