--- a/src/node/affinity_binding.cpp
+++ b/src/node/affinity_binding.cpp
@@ -71,8 +71,9 @@
   if (!config.routes) return {0};
   for (const routing::Route& route : config.routes->routes) {
     if (!can_match(rule, affinity::Subject::kRoute, route.name, universe)) continue;
-    if (route.arms.empty()) pools.insert(0);
-    for (const routing::Arm& arm : route.arms) pools.insert(static_cast<std::size_t>(arm.pool));
+    if (route.weighted_pools.empty()) pools.insert(0);
+    for (const routing::WeightedPool& weighted : route.weighted_pools)
+      pools.insert(static_cast<std::size_t>(weighted.pool));
   }
   return pools;
 }
--- a/src/node/config_diff.cpp
+++ b/src/node/config_diff.cpp
@@ -189,7 +189,8 @@
     const routing::Route& route = config.routes->routes[n];
     std::string to = "class " + config.host.classes[static_cast<std::size_t>(route.request_class)];
     std::map<std::string, double> shares;
-    for (const routing::Arm& arm : route.arms) shares[arm.name] += arm.share;
+    for (const routing::WeightedPool& weighted : route.weighted_pools)
+      shares[weighted.name] += weighted.share;
     for (const auto& [pool, pool_share] : shares) {
       to.append(", pool ").append(pool);
       if (shares.size() > 1) to.append(" ").append(percent(pool_share));
@@ -215,8 +216,8 @@
       routes->rules = renamed.routes->rules;
       routes->routes = renamed.routes->routes;
       for (routing::Route& route : routes->routes) {
-        for (routing::Arm& arm : route.arms) {
-          if (arm.name == old_name) arm.name = new_name;
+        for (routing::WeightedPool& weighted : route.weighted_pools) {
+          if (weighted.name == old_name) weighted.name = new_name;
         }
       }
       renamed.routes = std::move(routes);
--- a/src/node/explain.cpp
+++ b/src/node/explain.cpp
@@ -16,17 +16,18 @@
 int explain_pool(const Config& config, const routing::Route& route,
                  const std::function<std::string_view(std::string_view)>& field, std::ostream& out) {
   const auto name = [&config](int pool) { return config.pools[static_cast<std::size_t>(pool)].name; };
-  int to = route.arms.empty() ? 0 : route.arms.front().pool;
-  if (route.arms.size() > 1) {
+  int to = route.weighted_pools.empty() ? 0 : route.weighted_pools.front().pool;
+  if (route.weighted_pools.size() > 1) {
     std::string_view key = field(route.by);
     if (key.empty()) key = field("idempotency-key");
     if (key.empty()) key = field("x-request-id");
-    for (const auto& arm : route.arms) out << "split: pool " << arm.name << " " << arm.share * 100 << " %\n";
+    for (const auto& weighted : route.weighted_pools)
+      out << "split: pool " << weighted.name << " " << weighted.share * 100 << " %\n";
     if (key.empty()) {
       out << "pool: by " << route.by << ", which was not told\n";
       return -1;
     }
-    to = routing::arm_of(route, key);
+    to = routing::pool_for_key(route, key);
     out << "pool " << name(to) << ": " << route.by << " \"" << key << "\" keeps it\n";
   } else {
     out << "pool " << name(to) << "\n";
--- a/src/node/language_binding.cpp
+++ b/src/node/language_binding.cpp
@@ -38,9 +38,9 @@
       config.pools.size(), std::vector<bool>(count, config.pools.size() == 1 || !config.routes));
   if (config.pools.size() > 1 && config.routes) {
     for (const routing::Route& route : config.routes->routes) {
-      for (const routing::Arm& arm : route.arms) {
+      for (const routing::WeightedPool& weighted : route.weighted_pools) {
         std::vector<bool> visited(config.pools.size());
-        for (int at = arm.pool; at >= 0 && !visited[static_cast<std::size_t>(at)];
+        for (int at = weighted.pool; at >= 0 && !visited[static_cast<std::size_t>(at)];
              at = config.pools[static_cast<std::size_t>(at)].fallback) {
           visited[static_cast<std::size_t>(at)] = true;
           reachable[static_cast<std::size_t>(at)][static_cast<std::size_t>(route.request_class)] = true;
--- a/src/node/request_classifier.cpp
+++ b/src/node/request_classifier.cpp
@@ -26,7 +26,8 @@
     std::string_view key = route.by.empty() ? std::string_view() : message.value(route.by);
     if (key.empty()) key = message.value("idempotency-key");
     if (key.empty()) key = message.value("x-request-id");
-    return RequestRoute{snapshot, route.request_class, routing::arm_of(route, key), static_cast<int>(*rule)};
+    return RequestRoute{snapshot, route.request_class, routing::pool_for_key(route, key),
+                        static_cast<int>(*rule)};
   }
   path = path.substr(1, std::min(path.find_first_of("/?#", 1), path.size()) - 1);
   const auto known = std::find(snapshot->names.begin(), snapshot->names.end(), path);
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -43,10 +43,11 @@
   const auto& request_class = snapshot.classes[static_cast<std::size_t>(request_route.request_class)];
   const bool bound = (info.client_retry && request_class.effect == Effect::kKeyed) ||
                      (found && found->keyed && affinity_router->must(*found));
-  const int target = bound ? request_route.pool
-                           : routing::standing_in(snapshot.fallbacks, request_route.pool, [&snapshot](int n) {
-                               return snapshot.pools[static_cast<std::size_t>(n)]->any_ready();
-                             });
+  const int target = bound
+                         ? request_route.pool
+                         : routing::fallback_pool(snapshot.fallbacks, request_route.pool, [&snapshot](int n) {
+                             return snapshot.pools[static_cast<std::size_t>(n)]->any_ready();
+                           });
   if (target != request_route.pool) ++stood_in_;
   const auto n = static_cast<std::size_t>(target);
   FleetAdmission::Ticket ticket;
--- a/src/node/route_binding.cpp
+++ b/src/node/route_binding.cpp
@@ -11,18 +11,20 @@
 
 std::string place_of(const language::Place& place) { return place.file + ":" + std::to_string(place.line); }
 
-std::vector<routing::Arm> arms_of(const Section& route, const std::vector<std::string>& pools) {
+std::vector<routing::WeightedPool> weighted_pools_of(const Section& route,
+                                                     const std::vector<std::string>& pools) {
   const auto split = route.words.find("split");
   if (split == route.words.end()) {
     const int pool = route.places.count("pool") > 0 ? index_of(pools, route.word("pool")) : 0;
     return {{pool, 1, pools[static_cast<std::size_t>(pool)]}};
   }
-  std::vector<routing::Arm> arms;
+  std::vector<routing::WeightedPool> weighted_pools;
   for (std::size_t n = 0; n + 1 < split->second.size(); n += 2) {
     const std::string& pool = split->second[n];
-    arms.push_back({index_of(pools, pool), std::strtod(split->second[n + 1].c_str(), nullptr), pool});
+    weighted_pools.push_back(
+        {index_of(pools, pool), std::strtod(split->second[n + 1].c_str(), nullptr), pool});
   }
-  return arms;
+  return weighted_pools;
 }
 
 }  // namespace
@@ -48,7 +50,7 @@
     route.name = section.name;
     route.place = place_of(section.place);
     route.request_class = index_of(config.host.classes, section.word("class"));
-    route.arms = arms_of(section, pools);
+    route.weighted_pools = weighted_pools_of(section, pools);
     route.by = to_lower(section.word("by"));
     routes->routes.push_back(std::move(route));
   }
--- a/src/routing/plan.cpp
+++ b/src/routing/plan.cpp
@@ -17,22 +17,22 @@
 
 }  // namespace
 
-int arm_of(const Route& route, std::string_view key) {
-  if (route.arms.empty()) return 0;
-  if (route.arms.size() == 1) return route.arms.front().pool;
-  const Arm* best = nullptr;
+int pool_for_key(const Route& route, std::string_view key) {
+  if (route.weighted_pools.empty()) return 0;
+  if (route.weighted_pools.size() == 1) return route.weighted_pools.front().pool;
+  const WeightedPool* best = nullptr;
   double best_score = 0;
-  for (const Arm& arm : route.arms) {
-    if (arm.share <= 0) continue;
-    const double score = -arm.share / std::log(uniform_hash(arm.name, key));
+  for (const WeightedPool& weighted : route.weighted_pools) {
+    if (weighted.share <= 0) continue;
+    const double score = -weighted.share / std::log(uniform_hash(weighted.name, key));
     if (best != nullptr && score <= best_score) continue;
-    best = &arm;
+    best = &weighted;
     best_score = score;
   }
-  return best == nullptr ? route.arms.front().pool : best->pool;
+  return best == nullptr ? route.weighted_pools.front().pool : best->pool;
 }
 
-int standing_in(const std::vector<int>& fallbacks, int pool, const std::function<bool(int)>& ready) {
+int fallback_pool(const std::vector<int>& fallbacks, int pool, const std::function<bool(int)>& ready) {
   int at = pool;
   for (std::size_t steps = 0; at >= 0 && steps <= fallbacks.size(); ++steps) {
     if (ready(at)) return at;
--- a/src/routing/plan.h
+++ b/src/routing/plan.h
@@ -18,20 +18,22 @@
 
 namespace shorelead::routing {
 
-struct Arm {
+struct WeightedPool {
   int pool = 0;
   double share = 1;  // 0 to 1; the shares of a route sum to 1
   std::string name;  // the pool's name: hashed in place of its number, which a reload may change
-  bool operator==(const Arm&) const = default;
+  bool operator==(const WeightedPool&) const = default;
 };
 
 struct Route {
   std::string name;
   std::string place;  // file:line
   int request_class = 0;
-  std::vector<Arm> arms{};  // empty = pool 0
-  std::string by{};         // lower-case header field whose value is the key of the split; empty = no split
-  bool same(const Route& o) const { return request_class == o.request_class && arms == o.arms && by == o.by; }
+  std::vector<WeightedPool> weighted_pools{};  // empty = pool 0
+  std::string by{};  // lower-case header field whose value is the key of the split; empty = no split
+  bool same(const Route& o) const {
+    return request_class == o.request_class && weighted_pools == o.weighted_pools && by == o.by;
+  }
 };
 
 // All routes of one configuration; a rule of the table refers to its route by `target`.
@@ -43,10 +45,10 @@
 };
 
 // Returns the number of the pool to which the route's split assigns this key.
-int arm_of(const Route& route, std::string_view key);
+int pool_for_key(const Route& route, std::string_view key);
 
 // Returns the first pool with a ready backend along the chain of fallbacks that begins with `pool`; `pool`
 // itself if there is none, so that the refusal is its own. Ends also when the fallbacks form a cycle.
-int standing_in(const std::vector<int>& fallbacks, int pool, const std::function<bool(int)>& ready);
+int fallback_pool(const std::vector<int>& fallbacks, int pool, const std::function<bool(int)>& ready);
 
 }  // namespace shorelead::routing
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -479,7 +479,7 @@
   const routing::Route& route = config.routes->routes[*rule];
   const auto n = static_cast<std::size_t>(route.request_class);
   std::string text = config.host.classes[n] + " " + std::to_string(config.settings.classes[n].aim);
-  for (int pool = routing::arm_of(route, client); pool >= 0;) {
+  for (int pool = routing::pool_for_key(route, client); pool >= 0;) {
     const PoolConfig& at = config.pools[static_cast<std::size_t>(pool)];
     text += " " + at.name + " " + std::to_string(at.settings.max_attempts);
     pool = at.fallback;
@@ -540,8 +540,8 @@
   const Config other = load(gen_text(after));
   if (differences(one, other).empty()) RC_ASSERT(same_outcomes(one, other));
   for (const routing::Route& route : one.routes->routes) {
-    for (const routing::Arm& arm : route.arms) {
-      for (int pool = arm.pool; pool >= 0; pool = one.pools[static_cast<std::size_t>(pool)].fallback) {
+    for (const routing::WeightedPool& weighted : route.weighted_pools) {
+      for (int pool = weighted.pool; pool >= 0; pool = one.pools[static_cast<std::size_t>(pool)].fallback) {
         const PoolConfig& at = one.pools[static_cast<std::size_t>(pool)];
         const auto node_class = static_cast<std::size_t>(route.request_class);
         const int number = at.classes[node_class];
--- a/tests/routing/plan_test.cpp
+++ b/tests/routing/plan_test.cpp
@@ -19,11 +19,11 @@
 Route gen_route() {
   Route route;
   int left = 100;
-  const int arms = *rc::gen::inRange(2, 5);
-  for (int n = 0; n < arms; ++n) {
-    const int part = n + 1 == arms ? left : *rc::gen::inRange(0, left + 1);
+  const int pool_count = *rc::gen::inRange(2, 5);
+  for (int n = 0; n < pool_count; ++n) {
+    const int part = n + 1 == pool_count ? left : *rc::gen::inRange(0, left + 1);
     left -= part;
-    route.arms.push_back({n, part / 100.0, "pool-" + std::to_string(n)});
+    route.weighted_pools.push_back({n, part / 100.0, "pool-" + std::to_string(n)});
   }
   return route;
 }
@@ -32,16 +32,16 @@
 RC_GTEST_PROP(Split, GivesEachPoolItsShareWhateverTheOrder, ()) {
   const Route route = gen_route();
   Route reversed = route;
-  std::reverse(reversed.arms.begin(), reversed.arms.end());
+  std::reverse(reversed.weighted_pools.begin(), reversed.weighted_pools.end());
   std::map<int, int> keys_by_pool;
   for (int n = 0; n < kKeys; ++n) {
-    const int pool = arm_of(route, key(n));
-    RC_ASSERT(pool == arm_of(reversed, key(n)));
+    const int pool = pool_for_key(route, key(n));
+    RC_ASSERT(pool == pool_for_key(reversed, key(n)));
     ++keys_by_pool[pool];
   }
-  for (const Arm& arm : route.arms) {
-    const double spread = std::sqrt(kKeys * arm.share * (1 - arm.share));
-    RC_ASSERT(std::abs(keys_by_pool[arm.pool] - kKeys * arm.share) <= 5 * spread);
+  for (const WeightedPool& weighted : route.weighted_pools) {
+    const double spread = std::sqrt(kKeys * weighted.share * (1 - weighted.share));
+    RC_ASSERT(std::abs(keys_by_pool[weighted.pool] - kKeys * weighted.share) <= 5 * spread);
   }
 }
 
@@ -49,13 +49,14 @@
 // pool and nowhere else.
 RC_GTEST_PROP(Split, KeysMoveOnlyToTheGrowingPool, ()) {
   const Route before = gen_route();
-  const std::size_t grows = *rc::gen::inRange<std::size_t>(0, before.arms.size());
+  const std::size_t grows = *rc::gen::inRange<std::size_t>(0, before.weighted_pools.size());
   Route after = before;
-  after.arms[grows].share += *rc::gen::inRange(1, 100) / 100.0;  // scores depend on the ratio of shares only
-  const int to = after.arms[grows].pool;
+  after.weighted_pools[grows].share +=
+      *rc::gen::inRange(1, 100) / 100.0;  // scores depend on the ratio of shares only
+  const int to = after.weighted_pools[grows].pool;
   for (int n = 0; n < kKeys / 4; ++n) {
-    const int was = arm_of(before, key(n));
-    const int is = arm_of(after, key(n));
+    const int was = pool_for_key(before, key(n));
+    const int is = pool_for_key(after, key(n));
     RC_ASSERT(is == was || is == to);
   }
 }
@@ -63,11 +64,11 @@
 // A pool keeps its keys when its number changes, as after a reload that inserts a pool before it.
 TEST(Split, KeysFollowTheNameOfThePool) {
   Route route;
-  route.arms = {{0, 0.9, "main"}, {1, 0.1, "canary"}};
+  route.weighted_pools = {{0, 0.9, "main"}, {1, 0.1, "canary"}};
   Route moved;
-  moved.arms = {{3, 0.1, "canary"}, {5, 0.9, "main"}};
+  moved.weighted_pools = {{3, 0.1, "canary"}, {5, 0.9, "main"}};
   for (int n = 0; n < kKeys; ++n) {
-    EXPECT_EQ(arm_of(route, key(n)) == 0, arm_of(moved, key(n)) == 5) << n;
+    EXPECT_EQ(pool_for_key(route, key(n)) == 0, pool_for_key(moved, key(n)) == 5) << n;
   }
 }
 
@@ -82,7 +83,7 @@
     if (*rc::gen::inRange(0, 3) == 0) ready.insert(n);
   }
   const int from = *rc::gen::inRange(0, pools);
-  const int to = standing_in(fallbacks, from, [&](int pool) { return ready.count(pool) > 0; });
+  const int to = fallback_pool(fallbacks, from, [&](int pool) { return ready.count(pool) > 0; });
   std::set<int> visited;
   int expected = from;
   for (int at = from; at >= 0 && visited.insert(at).second; at = fallbacks[static_cast<std::size_t>(at)]) {
