--- a/src/language/consistency.cpp
+++ b/src/language/consistency.cpp
@@ -39,11 +39,11 @@
 void check_route(const Section& s, const Index& index, const std::set<std::string>& incomplete_splits,
                  Problems& problems) {
   if (const std::string wanted = s.word("class"); !wanted.empty())
-    index.known("class", wanted, s.places.at("class"), problems);
+    index.require("class", wanted, s.places.at("class"), problems);
   const auto split = s.words.find("split");
   const bool splits = s.places.count("split") > 0;
   if (s.places.count("pool") > 0) {
-    index.known("pool", s.word("pool"), s.places.at("pool"), problems);
+    index.require("pool", s.word("pool"), s.places.at("pool"), problems);
     if (splits) {
       problems
           .problem(s.places.at("split"), title_of(s) + " says both its pool and a split",
@@ -51,9 +51,9 @@
           .related.emplace_back(s.places.at("pool"), "here is its pool");
       return;
     }
-  } else if (!splits && index.named("pool").size() > 1) {
+  } else if (!splits && index.names_of("pool").size() > 1) {
     problems.problem(s.place, title_of(s) + " does not say its pool",
-                     "there are several: " + list(index.named("pool")));
+                     "there are several: " + join_names(index.names_of("pool")));
   }
   if (s.places.count("by") > 0 && !splits) {
     problems.problem(s.places.at("by"), "\"by\" says nothing without a split", "as in: split main 95 %");
@@ -69,7 +69,7 @@
   bool all = true;
   for (std::size_t n = 0; n + 1 < split->second.size(); n += 2) {
     const std::string& pool = split->second[n];
-    all = index.known("pool", pool, s.places.at("split"), problems) && all;
+    all = index.require("pool", pool, s.places.at("split"), problems) && all;
     if (!seen.insert(pool).second) {
       problems.problem(s.places.at("split"), title_of(s) + " splits to pool " + pool + " twice",
                        "add the shares up");
@@ -88,7 +88,7 @@
   std::set<std::string> reported;
   for (const Section& s : document.sections) {
     if (s.block->name != "pool" || s.places.count("fallback") == 0) continue;
-    if (!index.known("pool", s.word("fallback"), s.places.at("fallback"), problems)) continue;
+    if (!index.require("pool", s.word("fallback"), s.places.at("fallback"), problems)) continue;
     std::vector<std::string> chain{s.name};
     for (const Section* at = index.section("pool", s.word("fallback")); at != nullptr;
          at = index.section("pool", at->word("fallback"))) {
@@ -97,9 +97,9 @@
       chain.push_back(at->name);
       if (back && reported.count(s.name) == 0) {
         reported.insert(chain.begin(), chain.end());
-        std::string whole;
-        for (const std::string& name : chain) whole.append(whole.empty() ? "" : " -> ").append(name);
-        problems.problem(s.places.at("fallback"), "these fallbacks go in a circle: " + whole,
+        std::string cycle;
+        for (const std::string& name : chain) cycle.append(cycle.empty() ? "" : " -> ").append(name);
+        problems.problem(s.places.at("fallback"), "these fallbacks go in a circle: " + cycle,
                          "the last of them has no fallback");
       }
       if (seen || back) break;
@@ -129,13 +129,13 @@
   }
 }
 
-const std::vector<std::string>& Index::named(std::string_view block) const {
+const std::vector<std::string>& Index::names_of(std::string_view block) const {
   static const std::vector<std::string> kNone;
   const auto it = names_.find(block);
   return it == names_.end() ? kNone : it->second;
 }
 
-const Section* Index::second(std::string_view block) const {
+const Section* Index::second_of(std::string_view block) const {
   const Section* last = nullptr;
   for (const Section& s : document_.sections) {
     if (s.block->name == block && std::exchange(last, &s) != nullptr) return &s;
@@ -148,11 +148,11 @@
   return it == index_.end() ? nullptr : it->second;
 }
 
-bool Index::known(std::string_view block, const std::string& name, const Place& place,
-                  Problems& problems) const {
+bool Index::require(std::string_view block, const std::string& name, const Place& place,
+                    Problems& problems) const {
   if (section(block, name) != nullptr) return true;
   const std::string what(block);
-  problems.problem(place, "there is no " + what + " \"" + name + "\"", did_you_mean(name, named(block)));
+  problems.problem(place, "there is no " + what + " \"" + name + "\"", did_you_mean(name, names_of(block)));
   return false;
 }
 
@@ -166,9 +166,9 @@
   }
   check_fallbacks(document, index, problems);
   check_fleet(document, index, problems);
-  const std::vector<std::string>& pools = index.named("pool");
-  if (pools.size() > 1 && index.named("route").empty()) {
-    problems.problem(index.second("pool")->place,
+  const std::vector<std::string>& pools = index.names_of("pool");
+  if (pools.size() > 1 && index.names_of("route").empty()) {
+    problems.problem(index.second_of("pool")->place,
                      "there are " + std::to_string(pools.size()) + " pools and no route",
                      "a route says which requests go where, as in: route a { path \"/a/*\"; class C; pool " +
                          pools[0] + " }");
--- a/src/language/consistency.h
+++ b/src/language/consistency.h
@@ -20,12 +20,12 @@
   explicit Index(const Document& document);
 
   // Returns the names of all blocks of a kind.
-  const std::vector<std::string>& named(std::string_view block) const;
+  const std::vector<std::string>& names_of(std::string_view block) const;
   // Returns the second block of a kind, the only one if there is one, or null.
-  const Section* second(std::string_view block) const;
+  const Section* second_of(std::string_view block) const;
   const Section* section(std::string_view block, std::string_view name) const;
   // Whether a block of that name exists; reports a problem if not.
-  bool known(std::string_view block, const std::string& name, const Place& place, Problems& problems) const;
+  bool require(std::string_view block, const std::string& name, const Place& place, Problems& problems) const;
 
  private:
   const Document& document_;
--- a/src/language/consistency_fleet.cpp
+++ b/src/language/consistency_fleet.cpp
@@ -39,7 +39,7 @@
 
 void check_budget(const Section& s, const Index& index, Problems& problems) {
   for (const char* const scope : {"pool", "route", "class"}) {
-    if (s.places.count(scope) > 0) index.known(scope, s.word(scope), s.places.at(scope), problems);
+    if (s.places.count(scope) > 0) index.require(scope, s.word(scope), s.places.at(scope), problems);
   }
   const Kind* const kind = kind_of(s);
   if (kind == nullptr) return;  // already reported
@@ -112,8 +112,8 @@
     if (s.block->name == "budget") check_budget(s, index, problems);
     if (s.block->name == "affinity") check_affinity(s, problems);
   }
-  if (index.named("budget").size() > kMaxBudgets) {
-    problems.problem(index.section("budget", index.named("budget")[kMaxBudgets])->place,
+  if (index.names_of("budget").size() > kMaxBudgets) {
+    problems.problem(index.section("budget", index.names_of("budget")[kMaxBudgets])->place,
                      "there are more than " + std::to_string(kMaxBudgets) + " budgets");
   }
   check_plans(document, problems);
--- a/src/language/sections.cpp
+++ b/src/language/sections.cpp
@@ -183,7 +183,7 @@
       break;
     case Type::kWord:
     case Type::kWords: {
-      const std::vector<std::string> words = parts(f.words, '|');
+      const std::vector<std::string> words = split_text(f.words, '|');
       if (!words.empty() && std::find(words.begin(), words.end(), v.text) == words.end()) {
         problem(place, std::string(f.name) + " cannot be " + source_text(v), did_you_mean(v.text, words));
         return;
--- a/src/language/sources.cpp
+++ b/src/language/sources.cpp
@@ -45,7 +45,7 @@
   Tree tree = parse(text, path);
   problems_.lines_of(path, std::move(tree.lines));
   problems_.take(tree.problems);
-  chain_.push_back(path);
+  include_chain_.push_back(path);
   for (Statement& s : tree.statements) {
     if (s.name == "include") {
       include(s, path);
@@ -57,7 +57,7 @@
       statements_.push_back(std::move(s));
     }
   }
-  chain_.pop_back();
+  include_chain_.pop_back();
 }
 
 void Sources::include(const Statement& s, const std::string& from) {
@@ -68,23 +68,24 @@
   }
   const Value& value = s.values[0];
   const std::filesystem::path pattern(value.text);
-  const std::string whole =
+  const std::string resolved_pattern =
       (pattern.is_absolute() ? pattern : std::filesystem::path(from).parent_path() / pattern)
           .lexically_normal()
           .string();
-  const std::vector<std::string> paths = reader_.glob(whole);
+  const std::vector<std::string> paths = reader_.glob(resolved_pattern);
   if (paths.empty()) {
-    problem(value.place, "no file is called or matches \"" + value.text + "\"", "looked for " + whole);
+    problem(value.place, "no file is called or matches \"" + value.text + "\"",
+            "looked for " + resolved_pattern);
   }
-  for (const std::string& path : paths) one_include(value, path);
+  for (const std::string& path : paths) include_file(value, path);
 }
 
-void Sources::one_include(const Value& value, const std::string& path) {
-  const auto again = std::find(chain_.begin(), chain_.end(), path);
-  if (again != chain_.end()) {
-    std::string whole;
-    for (auto it = again; it != chain_.end(); ++it) whole += *it + " -> ";
-    problem(value.place, "this include goes in a circle: " + whole + path, "take one of these includes out");
+void Sources::include_file(const Value& value, const std::string& path) {
+  const auto cycle_start = std::find(include_chain_.begin(), include_chain_.end(), path);
+  if (cycle_start != include_chain_.end()) {
+    std::string cycle;
+    for (auto it = cycle_start; it != include_chain_.end(); ++it) cycle += *it + " -> ";
+    problem(value.place, "this include goes in a circle: " + cycle + path, "take one of these includes out");
     return;
   }
   const auto [first, inserted] = included_.try_emplace(path, value.place);
@@ -93,7 +94,7 @@
         .related.emplace_back(first->second, "here is the first");
     return;
   }
-  if (chain_.size() >= kMaxIncludeDepth) {
+  if (include_chain_.size() >= kMaxIncludeDepth) {
     problem(value.place, "includes go more than 16 files deep");
     return;
   }
--- a/src/language/sources.h
+++ b/src/language/sources.h
@@ -43,7 +43,7 @@
 
   void file(const std::string& path, const std::string& text);
   void include(const Statement& s, const std::string& from);
-  void one_include(const Value& value, const std::string& path);
+  void include_file(const Value& value, const std::string& path);
   void let(const Statement& s);
   void shared(Statement& s);
   Problem& problem(const Place& place, std::string cause, std::string hint = "") {
@@ -54,7 +54,7 @@
   Problems& problems_;
   std::vector<std::string> files_;
   std::vector<Statement> statements_;
-  std::vector<std::string> chain_;
+  std::vector<std::string> include_chain_;
   std::map<std::string, Place> included_;
   std::map<std::string, Variable> variables_;
   std::map<std::string, Shared> shared_;
--- a/src/language/syntax.cpp
+++ b/src/language/syntax.cpp
@@ -90,7 +90,7 @@
   void build() { tree_.statements = block(nullptr, tree_.closing_comments); }
 
  private:
-  const Token* peek() const { return at_ < tokens_.size() ? &tokens_[at_] : nullptr; }
+  const Token* peek() const { return position_ < tokens_.size() ? &tokens_[position_] : nullptr; }
 
   void problem(const Place& place, std::string cause, std::string hint = "") {
     Problem p{place, std::move(cause), std::move(hint), "", {}};
@@ -110,24 +110,24 @@
         case Token::Kind::kLine:
           blank_line_before = blank_line_before ||
                               (++lines > 1 && (!statements.empty() || !comments.empty()) && comments.empty());
-          ++at_;
+          ++position_;
           continue;
         case Token::Kind::kEnd:
-          ++at_;
+          ++position_;
           continue;
         case Token::Kind::kComment:
           lines = 0;
           comments.push_back(trimmed(token->text));
-          ++at_;
+          ++position_;
           continue;
         case Token::Kind::kClose:
           if (opened != nullptr) {
-            ++at_;
+            ++position_;
             closing_comments = std::move(comments);
             return statements;
           }
           problem(token->place, "\"}\" closes nothing", "take it out, or open a block with \"{\" before it");
-          ++at_;
+          ++position_;
           continue;
         case Token::Kind::kWord:
           statements.push_back(statement());
@@ -136,7 +136,7 @@
           lines = 0;
           continue;
         default:
-          wrong_start(*token);
+          report_statement_start(*token);
           if (token->kind == Token::Kind::kOpen) {
             with_block({});  // parsed to report the errors in it and to find its end
           } else {
@@ -150,7 +150,7 @@
     return statements;
   }
 
-  void wrong_start(const Token& token) {
+  void report_statement_start(const Token& token) {
     switch (token.kind) {
       case Token::Kind::kOpen:
         return problem(token.place, "\"{\" stands without a name before it",
@@ -176,32 +176,32 @@
   }
 
   void skip_line() {
-    while (peek() != nullptr && peek()->kind != Token::Kind::kLine) ++at_;
+    while (peek() != nullptr && peek()->kind != Token::Kind::kLine) ++position_;
   }
 
   Statement statement() {
     Statement s;
-    s.name = tokens_[at_].text;
-    s.place = tokens_[at_].place;
-    ++at_;
+    s.name = tokens_[position_].text;
+    s.place = tokens_[position_].place;
+    ++position_;
     while (const Token* token = peek()) {
       switch (token->kind) {
         case Token::Kind::kWord:
         case Token::Kind::kVariable:
         case Token::Kind::kString:
           take_value(s, *token);
-          ++at_;
+          ++position_;
           continue;
         case Token::Kind::kOpen:
           return with_block(std::move(s));
         case Token::Kind::kComment:
           s.trailing_comment = trimmed(token->text);
-          ++at_;
+          ++position_;
           continue;
         case Token::Kind::kOpenString:
           problem(token->place, "this string is not closed on its line", "put a \" where it ends");
           s.values.push_back({Value::Kind::kString, token->text.substr(1), 0, "", token->place});
-          ++at_;
+          ++position_;
           continue;
         case Token::Kind::kInvalid:
           problem(token->place, "\"" + token->text + "\" means nothing here",
@@ -209,7 +209,7 @@
           skip_line();
           return s;
         case Token::Kind::kEnd:
-          ++at_;
+          ++position_;
           return s;
         case Token::Kind::kLine:
         case Token::Kind::kClose:
@@ -220,16 +220,16 @@
   }
 
   Statement with_block(Statement s) {
-    const Place opened = tokens_[at_].place;
-    ++at_;
+    const Place opened = tokens_[position_].place;
+    ++position_;
     s.has_block = true;
     if (peek() != nullptr && peek()->kind == Token::Kind::kComment) {
       s.trailing_comment = trimmed(peek()->text);
-      ++at_;
+      ++position_;
     }
     if (++depth_ > kMaxDepth) {
       problem(opened, "blocks stand more than 64 deep in each other");
-      at_ = tokens_.size();
+      position_ = tokens_.size();
     } else {
       s.block = block(&opened, s.closing_comments);
     }
@@ -297,7 +297,7 @@
 
   std::vector<Token> tokens_;
   Tree& tree_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   int depth_ = 0;
 };
 
--- a/src/language/units.cpp
+++ b/src/language/units.cpp
@@ -25,14 +25,14 @@
                                           {"rpm", Type::kRate, 1.0 / 60},
                                           {"%", Type::kShare, 0.01}}};
 
-std::size_t distance(std::string_view a, std::string_view b) {
+std::size_t edit_distance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
   for (std::size_t i = 1; i <= a.size(); ++i) {
-    std::size_t corner = std::exchange(row[0], i);
+    std::size_t diagonal = std::exchange(row[0], i);
     for (std::size_t j = 1; j <= b.size(); ++j) {
-      const std::size_t here = std::min({row[j] + 1, row[j - 1] + 1, corner + (a[i - 1] != b[j - 1])});
-      corner = std::exchange(row[j], here);
+      const std::size_t cost = std::min({row[j] + 1, row[j - 1] + 1, diagonal + (a[i - 1] != b[j - 1])});
+      diagonal = std::exchange(row[j], cost);
     }
   }
   return row[b.size()];
@@ -86,13 +86,13 @@
   return v.unit.empty() ? v.text : v.text + " " + v.unit;
 }
 
-std::string did_you_mean(std::string_view said, const std::vector<std::string>& known) {
+std::string did_you_mean(std::string_view given, const std::vector<std::string>& known) {
   const std::string* best = nullptr;
   for (const std::string& one : known) {
-    if (best == nullptr || distance(said, one) < distance(said, *best)) best = &one;
+    if (best == nullptr || edit_distance(given, one) < edit_distance(given, *best)) best = &one;
   }
-  if (best != nullptr && distance(said, *best) <= kMaxSuggestionDistance &&
-      distance(said, *best) < said.size()) {
+  if (best != nullptr && edit_distance(given, *best) <= kMaxSuggestionDistance &&
+      edit_distance(given, *best) < given.size()) {
     return "did you mean \"" + *best + "\"?";
   }
   std::string all;
@@ -100,7 +100,7 @@
   return all.empty() ? "" : "it knows: " + all;
 }
 
-std::vector<std::string> parts(std::string_view text, char by) {
+std::vector<std::string> split_text(std::string_view text, char by) {
   std::vector<std::string> all;
   while (!text.empty()) {
     const std::size_t end = std::min(text.find(by), text.size());
@@ -165,7 +165,7 @@
   return error == std::errc() && rest == text.data() + text.size() && port > 0 && port < 65536;
 }
 
-std::string list(const std::vector<std::string>& names) {
+std::string join_names(const std::vector<std::string>& names) {
   std::string all;
   for (const std::string& name : names) all.append(all.empty() ? "" : ", ").append(name);
   return all;
--- a/src/language/units.h
+++ b/src/language/units.h
@@ -28,8 +28,8 @@
 bool is_address(std::string_view text);                      // HOST:PORT
 
 // Returns "did you mean ...?" if a known name is similar, else a list of all known names.
-std::string did_you_mean(std::string_view said, const std::vector<std::string>& known);
-std::vector<std::string> parts(std::string_view text, char by);
-std::string list(const std::vector<std::string>& names);  // "a, b"
+std::string did_you_mean(std::string_view given, const std::vector<std::string>& known);
+std::vector<std::string> split_text(std::string_view text, char by);
+std::string join_names(const std::vector<std::string>& names);  // "a, b"
 
 }  // namespace shorelead::language
--- a/src/language/warnings.cpp
+++ b/src/language/warnings.cpp
@@ -53,12 +53,12 @@
   for (const Section& s : document.sections) {
     if (s.block->name == "class") longest_wait = std::max(longest_wait, s.number("give_up").value_or(0));
   }
-  const bool routed = !index.named("route").empty();
+  const bool routed = !index.names_of("route").empty();
   std::set<std::string> used;
   for (const Section& s : document.sections) {
     if (s.block->name != "route") continue;
     used.insert("class " + s.word("class"));
-    used.insert("pool " + (s.places.count("pool") > 0 ? s.word("pool") : index.named("pool").front()));
+    used.insert("pool " + (s.places.count("pool") > 0 ? s.word("pool") : index.names_of("pool").front()));
     const auto split = s.words.find("split");
     if (split == s.words.end()) continue;
     for (std::size_t n = 0; n + 1 < split->second.size(); n += 2) {
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -53,7 +53,7 @@
   std::vector<std::pair<std::string, std::string>> fields;
 };
 
-bool fits(const Leaf& leaf, const Request& request) {
+bool leaf_matches(const Leaf& leaf, const Request& request) {
   const bool method = leaf.methods.empty() || std::find(leaf.methods.begin(), leaf.methods.end(),
                                                         request.method) != leaf.methods.end();
   return method && std::all_of(leaf.fields.begin(), leaf.fields.end(), [&request](const auto& field) {
@@ -69,8 +69,8 @@
 };
 
 const Leaf* first_match(const std::vector<Leaf>& leaves, const Request& request) {
-  const auto it =
-      std::find_if(leaves.begin(), leaves.end(), [&](const Leaf& leaf) { return fits(leaf, request); });
+  const auto it = std::find_if(leaves.begin(), leaves.end(),
+                               [&](const Leaf& leaf) { return leaf_matches(leaf, request); });
   return it == leaves.end() ? nullptr : &*it;
 }
 
@@ -241,7 +241,7 @@
     const std::string_view segment = next_segment(path);
     if (is_parameter(wanted) ? segment.empty() : segment != wanted) return false;
   }
-  return path.empty() && fits({0, rule.methods, rule.fields}, request);
+  return path.empty() && leaf_matches({0, rule.methods, rule.fields}, request);
 }
 
 bool goes_before(const Rule& a, const Rule& b) {
--- a/tests/language/language_test.cpp
+++ b/tests/language/language_test.cpp
@@ -23,7 +23,7 @@
 }
 
 // The messages for a file, with paths relative to its folder.
-std::string said(const fs::path& path) {
+std::string messages_of(const fs::path& path) {
   std::string all;
   for (const Problem& problem : check(path.string(), disk()).problems) all += problem.text();
   const std::string folder = path.parent_path().lexically_normal().string() + "/";
@@ -33,14 +33,14 @@
 
 // Each .shore file has one error, and its message equals the .expected file beside it.
 // SHORELEAD_WRITE_EXPECTED=1 rewrites the expected messages; review them before committing.
-TEST(Broken, EveryFileSaysWhatIsWrong) {
+TEST(Broken, EveryFileGivesItsExpectedMessage) {
   int files = 0;
   for (const auto& entry : fs::directory_iterator(SHORELEAD_BROKEN)) {
     if (entry.path().extension() != ".shore") continue;
     ++files;
     fs::path expected = entry.path();
     expected.replace_extension(".expected");
-    const std::string words = said(entry.path());
+    const std::string words = messages_of(entry.path());
     if (std::getenv("SHORELEAD_WRITE_EXPECTED") != nullptr)
       std::ofstream(expected, std::ios::binary) << words;
     EXPECT_EQ(words, contents(expected)) << entry.path();
@@ -64,7 +64,7 @@
 }
 
 // All errors of all files are reported in one pass, in text order.
-TEST(Check, AllMistakesInOnePass) {
+TEST(Check, ReportsAllErrorsInOnePass) {
   const Document document =
       check("main.shore", memory({{"main.shore", "include classes.shore\npol main {\n}\nnode {\n}\n"},
                                   {"classes.shore", "class a {\n  effect odd\n  aim 5\n}\n"}}));
@@ -100,7 +100,7 @@
 }
 
 // The example configurations have no errors or warnings and are in canonical form.
-TEST(Example, IsCleanAndInItsForm) {
+TEST(Example, HasNoWarningsAndIsFormatted) {
   for (const char* const name : {"example", "fleet"}) {
     const std::string path = std::string(SHORELEAD_DOCS "/../deploy/") + name + ".shore";
     const Document document = check(path, disk());
@@ -113,7 +113,7 @@
 // ---- warnings ----
 
 // Each of these is valid, so that the node starts, but probably not intended.
-TEST(Warnings, EachSaysItsOwn) {
+TEST(Warnings, EachIsReportedOnce) {
   const std::string base =
       "node n { listen 127.0.0.1:1; discovery 127.0.0.1:2; seed 1f; nodes 2 }\n"
       "class c { effect safe; aim 400 ms; give_up 1 s }\npool p { }\n";
@@ -182,21 +182,21 @@
   return text + *rc::gen::element<std::string>("\n", ";", " # behind\n", "\r\n");
 }
 
-RC_GTEST_PROP(Format, KeepsTheMeaningAndTheCommentsAndIsItsOwnForm, ()) {
+RC_GTEST_PROP(Format, KeepsMeaningAndCommentsAndIsIdempotent, ()) {
   std::string text;
   for (int n = *rc::gen::inRange(0, 6); n > 0; --n) text += gen_line(0);
   const Tree tree = parse(text, "t");
   RC_PRE(tree.problems.empty());
   const std::string formatted = format(tree);
-  const Tree again = parse(formatted, "t");
+  const Tree reparsed = parse(formatted, "t");
   RC_LOG() << text << "\n--\n" << formatted;
-  RC_ASSERT(again.problems.empty());
-  RC_ASSERT(again.same(tree));
-  RC_ASSERT(format(again) == formatted);
+  RC_ASSERT(reparsed.problems.empty());
+  RC_ASSERT(reparsed.same(tree));
+  RC_ASSERT(format(reparsed) == formatted);
 }
 
 // Any bytes: no crash, every place lies within the text, and there are at most two problems for each byte.
-RC_GTEST_PROP(Parse, TakesAnyBytes, ()) {
+RC_GTEST_PROP(Parse, AcceptsAnyBytes, ()) {
   std::string text;
   for (const char c : *rc::gen::container<std::vector<char>>(
            rc::gen::element('{', '}', '"', '\\', '#', '$', 'a', '1', ' ', '\n', ';', '%', '\0', '\xff'))) {
@@ -210,7 +210,7 @@
   }
 }
 
-TEST(Parse, DeepBlocksEndInAWord) {
+TEST(Parse, TooDeepBlocksAreReported) {
   std::string text;
   for (int n = 0; n < 100000; ++n) text += "a{";
   const Tree tree = parse(text, "t");
