--- a/src/net/ending.h
+++ b/src/net/ending.h
@@ -5,9 +5,9 @@
 namespace shorelead::net {
 
 enum class Ending {
-  // An answer came whole.
+  // A complete response arrived.
   kServed,    // 200
-  kErred,     // 500, or any other answer that does not exclude that the request ran
+  kErred,     // 500, or any other response that does not rule out that the request was processed
   kRejected,  // 503 or 504 that says the request was not processed
   // No response, and the request was not written completely.
   kRefused,         // the peer refused the connection, or there is no route to it
@@ -17,16 +17,16 @@
   kBrokenUnsent,    // the connection broke
   kStoppedUnsent,   // this node gave up
   // No response, and the request was written completely.
-  kBroken,     // the connection broke or ended, within the answer too
-  kMalformed,  // what came is no answer
-  kTimeout,    // nothing came in time
+  kBroken,     // the connection broke or closed, also in the middle of a response
+  kMalformed,  // the data received is not a valid response
+  kTimeout,    // no response arrived in time
   kCancelled,  // this node gave up
-  // Nothing was in progress, or this side closed the connection.
+  // No request was in progress, or this node closed the connection.
   kPeerClosed,  // the peer closed between messages, or a client disconnected
   kIdle,        // idle for too long
   kEvicted,     // closed in favour of another connection
   kSilent,      // a watch, or a client without a request, sent nothing in time
-  kWithdrawn,   // its backend gets no new requests
+  kWithdrawn,   // its backend must get no new requests
   kUnasked,     // data arrived without a request
   kDone,        // closed as announced, after the last response
   kNotSent,     // an attempt without a connection: its request or its time ended first
--- a/src/node/recorder.h
+++ b/src/node/recorder.h
@@ -1,6 +1,6 @@
-// Records each event at this node once: in the ring of recent events, in the checker of the rules, and at
-// debug level in the log. Owns the state of all three. It decides nothing and does not allocate while a
-// request is handled. A violated rule is logged with the request's number and followed by the recent events.
+// Records each event of this node once: in the ring buffer of recent events, in the rule checker and, at
+// debug level, in the log. Owns the first two. It decides nothing and does not allocate while a request is
+// handled. A violated rule is logged with the request's number and followed by the recent events.
 #pragma once
 
 #include <memory>
@@ -27,8 +27,8 @@
   void due(RequestId request, Millis due) { checker_.deadline_set(request, due); }
   void attempt_decided(RequestId request, int attempt, std::string_view host, BackendId backend);
   void attempt_denied(RequestId request, int attempt, guard::Reason reason);
-  // `withdrawn`: the backend was to get nothing new by then; `told`: the remaining time sent to the backend;
-  // `at`: the clock reading before the write from which `told` was computed.
+  // `withdrawn`: the backend was no longer to get new requests; `told`: the remaining time sent to the
+  // backend; `at`: the clock reading before the write from which `told` was computed.
   void attempt_written(RequestId request, int attempt, BackendId backend, bool withdrawn, Millis told,
                        Millis at);
   // `never_ran`: the outcome of a written attempt proves that it was not processed.
@@ -74,7 +74,7 @@
   std::uint64_t thrown_ = 0;
 };
 
-// The node's recorder for one of its parts, or an own recorder where none was given, as in unit tests.
+// Refers to the node's recorder, or owns one if none is given, as in unit tests.
 class RecorderHandle {
  public:
   RecorderHandle(Loop& loop, Recorder* shared)
