--- a/src/language/sources.cpp
+++ b/src/language/sources.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::size_t kMostIncludes = 16;   // files within files
-constexpr std::size_t kMostFile = 4 << 20;  // bytes
+constexpr std::size_t kMaxIncludeDepth = 16;    // nesting depth of includes
+constexpr std::size_t kMaxFileBytes = 4 << 20;  // bytes
 
 }  // namespace
 
@@ -38,14 +38,14 @@
 
 void Sources::file(const std::string& path, const std::string& text) {
   files_.push_back(path);
-  if (text.size() > kMostFile) {
+  if (text.size() > kMaxFileBytes) {
     problem({path, 1, 1, 1}, "this file has more than 4 MiB");
     return;
   }
   Tree tree = parse(text, path);
   problems_.lines_of(path, std::move(tree.lines));
   problems_.take(tree.problems);
-  chain_.push_back(path);
+  include_chain_.push_back(path);
   for (Statement& s : tree.statements) {
     if (s.name == "include") {
       include(s, path);
@@ -57,7 +57,7 @@
       statements_.push_back(std::move(s));
     }
   }
-  chain_.pop_back();
+  include_chain_.pop_back();
 }
 
 void Sources::include(const Statement& s, const std::string& from) {
@@ -68,32 +68,33 @@
   }
   const Value& value = s.values[0];
   const std::filesystem::path pattern(value.text);
-  const std::string whole =
+  const std::string resolved_pattern =
       (pattern.is_absolute() ? pattern : std::filesystem::path(from).parent_path() / pattern)
           .lexically_normal()
           .string();
-  const std::vector<std::string> paths = reader_.glob(whole);
+  const std::vector<std::string> paths = reader_.glob(resolved_pattern);
   if (paths.empty()) {
-    problem(value.place, "no file is called or matches \"" + value.text + "\"", "looked for " + whole);
+    problem(value.place, "no file is called or matches \"" + value.text + "\"",
+            "looked for " + resolved_pattern);
   }
-  for (const std::string& path : paths) one_include(value, path);
+  for (const std::string& path : paths) include_file(value, path);
 }
 
-void Sources::one_include(const Value& value, const std::string& path) {
-  const auto again = std::find(chain_.begin(), chain_.end(), path);
-  if (again != chain_.end()) {
-    std::string whole;
-    for (auto it = again; it != chain_.end(); ++it) whole += *it + " -> ";
-    problem(value.place, "this include goes in a circle: " + whole + path, "take one of these includes out");
+void Sources::include_file(const Value& value, const std::string& path) {
+  const auto cycle_start = std::find(include_chain_.begin(), include_chain_.end(), path);
+  if (cycle_start != include_chain_.end()) {
+    std::string cycle;
+    for (auto it = cycle_start; it != include_chain_.end(); ++it) cycle += *it + " -> ";
+    problem(value.place, "this include goes in a circle: " + cycle + path, "take one of these includes out");
     return;
   }
-  const auto [first, fresh] = included_.try_emplace(path, value.place);
-  if (!fresh) {
+  const auto [first, inserted] = included_.try_emplace(path, value.place);
+  if (!inserted) {
     problem(value.place, "\"" + path + "\" is included a second time", "include it once, where both need it")
-        .also.emplace_back(first->second, "here is the first");
+        .related.emplace_back(first->second, "here is the first");
     return;
   }
-  if (chain_.size() >= kMostIncludes) {
+  if (include_chain_.size() >= kMaxIncludeDepth) {
     problem(value.place, "includes go more than 16 files deep");
     return;
   }
@@ -112,35 +113,34 @@
     problem(s.place, "a variable is set as in: let patience = 410 ms");
     return;
   }
-  const auto [it, fresh] =
+  const auto [it, inserted] =
       variables_.try_emplace(s.values[0].text, Variable{s.values[2], s.values[0].place, false});
-  if (fresh) return;
+  if (inserted) return;
   problem(s.values[0].place, "\"" + s.values[0].text + "\" is set a second time",
           "variables never change; give it another name")
-      .also.emplace_back(it->second.place, "here is the first");
+      .related.emplace_back(it->second.place, "here is the first");
 }
 
-// Statements under a name, to be put into blocks by "use NAME".
+// Stores named statements for "use NAME".
 void Sources::shared(Statement& s) {
   if (!s.has_block || s.values.size() != 1 || s.values[0].kind != Value::Kind::kWord) {
     problem(s.place, "shared statements stand as in: shared NAME { ... }");
     return;
   }
   const std::string name = s.values[0].text;
-  const auto [it, fresh] = shared_.try_emplace(name, Shared{std::move(s.block), s.place, false});
-  if (fresh) return;
+  const auto [it, inserted] = shared_.try_emplace(name, Shared{std::move(s.block), s.place, false});
+  if (inserted) return;
   problem(s.place, "\"" + name + "\" is shared a second time", "give it another name")
-      .also.emplace_back(it->second.place, "here is the first");
+      .related.emplace_back(it->second.place, "here is the first");
 }
 
-// A block's statements with what it uses put in; what the block itself says goes before what it uses.
 std::vector<const Statement*> Sources::statements_of(const Statement& s) {
   std::vector<const Statement*> all;
-  std::set<std::string> told;
+  std::set<std::string> own_names;
   for (const Statement& child : s.block) {
     if (child.name == "use") continue;
     all.push_back(&child);
-    told.insert(child.name);
+    own_names.insert(child.name);
   }
   std::map<std::string, const Statement*> used;
   for (const Statement& child : s.block) {
@@ -159,16 +159,16 @@
     }
     it->second.used = true;
     for (const Statement& one : it->second.statements) {
-      if (told.count(one.name) > 0) continue;
+      if (own_names.count(one.name) > 0) continue;
       if (one.name == "use") {
         problem(one.place, "shared statements cannot use others", "use both in the block itself");
         continue;
       }
-      const auto [first, fresh] = used.try_emplace(one.name, &child);
-      if (!fresh && first->second != &child) {
+      const auto [first, inserted] = used.try_emplace(one.name, &child);
+      if (!inserted && first->second != &child) {
         problem(child.place, "\"" + one.name + "\" comes from this and from another that is used here",
                 "say it in the block itself")
-            .also.emplace_back(first->second->place, "here is the other");
+            .related.emplace_back(first->second->place, "here is the other");
         continue;
       }
       all.push_back(&one);
--- a/tests/language/language_test.cpp
+++ b/tests/language/language_test.cpp
@@ -1,5 +1,5 @@
-// The configuration language: every kind of mistake by a broken file with its exact words; formatting by
-// property.
+// Tests of the configuration language: the exact message for each kind of error, from a file with that error;
+// parsing and formatting as properties.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -22,8 +22,8 @@
   return std::move(text).str();
 }
 
-// What is said of a file, with places relative to its folder.
-std::string said(const fs::path& path) {
+// The messages for a file, with paths relative to its folder.
+std::string messages_of(const fs::path& path) {
   std::string all;
   for (const Problem& problem : check(path.string(), disk()).problems) all += problem.text();
   const std::string folder = path.parent_path().lexically_normal().string() + "/";
@@ -31,16 +31,16 @@
   return all;
 }
 
-// One file, one mistake, and just the words that stand beside it. SHORELEAD_WRITE_EXPECTED=1 writes them
-// anew, to be read before they are kept.
-TEST(Broken, EveryFileSaysWhatIsWrong) {
+// Each .shore file has one error, and its message equals the .expected file beside it.
+// SHORELEAD_WRITE_EXPECTED=1 rewrites the expected messages; review them before committing.
+TEST(Broken, EveryFileGivesItsExpectedMessage) {
   int files = 0;
   for (const auto& entry : fs::directory_iterator(SHORELEAD_BROKEN)) {
     if (entry.path().extension() != ".shore") continue;
     ++files;
     fs::path expected = entry.path();
     expected.replace_extension(".expected");
-    const std::string words = said(entry.path());
+    const std::string words = messages_of(entry.path());
     if (std::getenv("SHORELEAD_WRITE_EXPECTED") != nullptr)
       std::ofstream(expected, std::ios::binary) << words;
     EXPECT_EQ(words, contents(expected)) << entry.path();
@@ -63,8 +63,8 @@
   return reader;
 }
 
-// All mistakes of all files in one pass, in the order of the text.
-TEST(Check, AllMistakesInOnePass) {
+// All errors of all files are reported in one pass, in text order.
+TEST(Check, ReportsAllErrorsInOnePass) {
   const Document document =
       check("main.shore", memory({{"main.shore", "include classes.shore\npol main {\n}\nnode {\n}\n"},
                                   {"classes.shore", "class a {\n  effect odd\n  aim 5\n}\n"}}));
@@ -93,14 +93,14 @@
   EXPECT_EQ(document.find("pool")->find("probes")->number("per_box"), 2);
 }
 
-// The page is made from the schema, and what is committed is what would be made now.
+// The committed reference page equals the one that the schema generates.
 TEST(Reference, IsCurrent) {
   EXPECT_EQ(contents(SHORELEAD_DOCS "/configuration-reference.md"), reference_page())
       << "shorelead config reference > docs/configuration-reference.md";
 }
 
-// What newcomers copy has no mistake, no warning, and the one form.
-TEST(Example, IsCleanAndInItsForm) {
+// The example configurations have no errors or warnings and are in canonical form.
+TEST(Example, HasNoWarningsAndIsFormatted) {
   for (const char* const name : {"example", "fleet"}) {
     const std::string path = std::string(SHORELEAD_DOCS "/../deploy/") + name + ".shore";
     const Document document = check(path, disk());
@@ -112,8 +112,8 @@
 
 // ---- warnings ----
 
-// Each of these works, and hardly as it was meant; none keeps a node from starting.
-TEST(Warnings, EachSaysItsOwn) {
+// Each of these is valid, so that the node starts, but probably not intended.
+TEST(Warnings, EachIsReportedOnce) {
   const std::string base =
       "node n { listen 127.0.0.1:1; discovery 127.0.0.1:2; seed 1f; nodes 2 }\n"
       "class c { effect safe; aim 400 ms; give_up 1 s }\npool p { }\n";
@@ -155,7 +155,7 @@
   }
 }
 
-// ---- formatting never changes meaning ----
+// ---- formatting preserves the meaning ----
 
 rc::Gen<std::string> gen_name() {
   return rc::gen::element<std::string>("class", "aim", "a.b/c", "x1", "include", "let", "_", "10.0.0.1:80");
@@ -182,21 +182,21 @@
   return text + *rc::gen::element<std::string>("\n", ";", " # behind\n", "\r\n");
 }
 
-RC_GTEST_PROP(Format, KeepsTheMeaningAndTheCommentsAndIsItsOwnForm, ()) {
+RC_GTEST_PROP(Format, KeepsMeaningAndCommentsAndIsIdempotent, ()) {
   std::string text;
   for (int n = *rc::gen::inRange(0, 6); n > 0; --n) text += gen_line(0);
   const Tree tree = parse(text, "t");
   RC_PRE(tree.problems.empty());
   const std::string formatted = format(tree);
-  const Tree again = parse(formatted, "t");
+  const Tree reparsed = parse(formatted, "t");
   RC_LOG() << text << "\n--\n" << formatted;
-  RC_ASSERT(again.problems.empty());
-  RC_ASSERT(again.same(tree));
-  RC_ASSERT(format(again) == formatted);
+  RC_ASSERT(reparsed.problems.empty());
+  RC_ASSERT(reparsed.same(tree));
+  RC_ASSERT(format(reparsed) == formatted);
 }
 
-// Whatever the bytes: no crash, every place lies within the text, and no byte is more than two mistakes.
-RC_GTEST_PROP(Parse, TakesAnyBytes, ()) {
+// Any bytes: no crash, every place lies within the text, and there are at most two problems for each byte.
+RC_GTEST_PROP(Parse, AcceptsAnyBytes, ()) {
   std::string text;
   for (const char c : *rc::gen::container<std::vector<char>>(
            rc::gen::element('{', '}', '"', '\\', '#', '$', 'a', '1', ' ', '\n', ';', '%', '\0', '\xff'))) {
@@ -210,7 +210,7 @@
   }
 }
 
-TEST(Parse, DeepBlocksEndInAWord) {
+TEST(Parse, TooDeepBlocksAreReported) {
   std::string text;
   for (int n = 0; n < 100000; ++n) text += "a{";
   const Tree tree = parse(text, "t");
