--- a/src/affinity/bindings.cpp
+++ b/src/affinity/bindings.cpp
@@ -7,11 +7,10 @@
 namespace shorelead::affinity {
 namespace {
 
-constexpr Millis kToAnswer =
-    100;  // a refusal at the client's last moment comes too late where anything is slow
+constexpr Millis kToAnswer = 100;  // a rejection sent at the deadline itself reaches a slow client too late
 constexpr double kToAnswerPart = 0.25;
 
-// Till when a request waits, at most: its answer has to reach its client.
+// Returns how long a request may wait: the rejection has to reach its client before the deadline.
 Millis waits_until(Millis until, Millis now) {
   return until - std::min(kToAnswer, kToAnswerPart * std::max(0.0, until - now));
 }
@@ -44,7 +43,7 @@
     const Seats& seats = seats_[place.found.rule];
     const Seat seat = seats.any() ? seats.at(place.found.key) : Seat{};
     const bool open = place.incarnation == incarnation_ && seat.open && seat.unit == place.unit;
-    // What was called off is over soon, also where its slot is given back to its backend.
+    // A cancelled request stays closed, also if its slot goes back to its backend.
     if (!open && place.closed_at < 0) place.closed_at = now;
     if (open && !place.called_off) place.closed_at = -1;
     closing_ += place.closed_at >= 0;
@@ -113,7 +112,7 @@
   const Found found = place.found;
   leave(n);
   if (decision.go != Go::kOnly) return said(found, answer, -1);
-  // The same place, which has just been given back.
+  // Takes the entry that leave() has just released.
   const int taken = take_place();
   Place& now_there = at(taken);
   now_there.state = State::kUnderWay;
--- a/src/affinity/bindings.h
+++ b/src/affinity/bindings.h
@@ -1,13 +1,14 @@
-// What one process's traffic has of slots, from a request's arrival to the end of all that was sent for it:
+// The slots that one process's requests use, from a request's arrival to the end of everything sent for it:
 //
 //   arrived --> free                                        (no key; `prefer` that cannot be kept)
-//           --> under way --slot closes--> closing --> over (called off where the rule says so)
-//           --> waiting --> under way | refused
+//           --> in flight --slot closes--> closing --> finished (cancelled where the rule says so)
+//           --> waiting --> in flight | refused
 //
-// Pure: requests, the maps in force, how units stand, endings and the time in; where a request may go, who is
-// to be called off and whether closed slots are quiet out. Owns the places of `must` requests. It must never
-// say that a slot is quiet while anything may be under way for it at a backend that it is closed for, nor let
-// anything new go there; what began under one incarnation never counts as another's.
+// Pure: takes requests, the maps in force, the status of units, the ends of requests and the time; returns
+// where a request may be sent, which requests to cancel and whether all closed slots are quiet. Owns the
+// entries of `must` requests. A slot is never reported quiet while a request may be in flight for it at a
+// backend that it is closed for, and no new request is sent there. A request that began under one incarnation
+// never counts for another.
 #pragma once
 
 #include <array>
@@ -28,18 +29,18 @@
 
 class Bindings {
  public:
-  // How a unit stands in the host's eyes; none: it knows none of that name.
+  // Returns the host's status of a unit; nullopt: the host knows no unit of that name.
   using Look = std::function<std::optional<Standing>(To, const std::string& unit)>;
 
   struct Said {
     Go go = Go::kFree;
     Why why = Why::kNoKey;
-    const std::string* unit = nullptr;  // kOnly, kPrefer: till the next maps
+    const std::string* unit = nullptr;  // kOnly, kPrefer: valid until the next take_up()
     To to = To::kBackend;
-    int place = -1;  // kOnly: till over(); kWait: till again() says otherwise, or leave()
+    int place = -1;  // kOnly: valid until over(); kWait: until again() decides otherwise, or leave()
   };
   struct Counters {
-    std::array<std::uint64_t, kWhys> by{};  // what became of requests, by Why
+    std::array<std::uint64_t, kWhys> by{};  // requests by the reason of their decision
     std::uint64_t waited = 0;
     std::uint64_t called_off = 0;
   };
@@ -48,27 +49,27 @@
 
   const std::vector<Rule>& rules() const { return rules_; }
 
-  // The maps of a snapshot, once it is in force. Not on a request's path: it goes through all slots.
+  // Applies the maps of a snapshot that is in force. Not for the request path: it iterates over all slots.
   void take_up(const fleet::Snapshot& snapshot, Millis now);
 
-  // `valid`: looked at for this request; `until`: its client's time. Allocates nothing but places, which are
-  // used again.
+  // `valid`: whether the snapshot is valid now; `until`: the request's deadline. Allocates nothing but
+  // entries, which are reused.
   Said arrive(std::uint32_t request, const Found& found, bool valid, Millis until, Millis now,
               const Look& look);
   Said again(int place, bool valid, Millis now, const Look& look);
-  void leave(int place);  // it waits no more: its client has gone
+  void leave(int place);  // stops waiting: the client has disconnected
 
-  // Whether one under way may still be sent to its unit.
+  // Whether a request in flight may still be sent to its unit.
   bool may_send(int place, bool valid) const;
   void over(int place);
 
-  // Nothing is under way for a slot at a backend that it is closed for.
+  // Nothing is in flight for a slot at a backend that it is closed for.
   bool quiet() const { return closing_ == 0; }
-  // Whether anything is under way or waits.
+  // Whether any request is in flight or waits.
   bool busy() const { return free_.size() < places_.size(); }
   const std::vector<int>& waiting() const { return waiting_; }
   std::uint32_t request_of(int place) const { return places_[static_cast<std::size_t>(place)].request; }
-  // Those whose time is over, each told once.
+  // Returns the requests to cancel, each once.
   std::vector<int> call_off(bool valid, Millis now, const Look& look);
 
   const Counters& counters(std::size_t rule) const { return counters_[rule]; }
@@ -79,10 +80,10 @@
     State state = State::kFree;
     std::uint32_t request = 0;
     Found found;
-    int unit = -1;  // under way: there
+    int unit = -1;  // in flight: its unit
     std::uint64_t incarnation = 0;
-    Millis since = 0, until = 0;  // waiting
-    Millis closed_at = -1;        // under way; -1: its slot is open there
+    Millis since = 0, until = 0;  // while waiting
+    Millis closed_at = -1;        // in flight; -1: its slot is open there
     bool called_off = false;
   };
   struct Answer {
@@ -98,15 +99,15 @@
   Said said(const Found& found, const Answer& answer, int place);
 
   const std::vector<Rule> rules_;
-  std::vector<std::string> names_;  // of maps, by rule
+  std::vector<std::string> names_;  // of the maps, by rule
   WaitingRoom room_;
   std::uint64_t incarnation_ = 0;  // of the maps
   std::vector<Seats> seats_;       // by rule
   std::vector<std::string> units_;
   std::vector<Place> places_;
   std::vector<int> free_;
-  std::vector<int> waiting_;  // the longest first
-  int closing_ = 0;           // under way, and closed
+  std::vector<int> waiting_;  // the longest waiting first
+  int closing_ = 0;           // requests in flight whose slot is closed
   std::vector<Counters> counters_;
 };
 
--- a/src/affinity/choice.cpp
+++ b/src/affinity/choice.cpp
@@ -3,10 +3,9 @@
 namespace shorelead::affinity {
 namespace {
 
-// `prefer` never stands in the way: what the rule cannot have, the module decides.
+// `prefer` never blocks a request: where the rule cannot be kept, the policy selects the backend.
 Decision preferred(const Ask& ask) {
-  // Whatever the validity: a stale seat is a guess that costs a warm backend at worst, never rule 2 to 4,
-  // which the module keeps among all backends.
+  // A wrong owner costs a warm cache at worst. Rules 2 to 4 are kept by the policy among all backends.
   if (!ask.mapped) return {Go::kFree, -1, Why::kNoMap};
   if (!ask.valid) return {Go::kFree, -1, Why::kNotValid};
   if (ask.repeat_at >= 0 && ask.repeat_at != ask.seat.unit) return {Go::kFree, -1, Why::kRepeat};
@@ -30,11 +29,11 @@
 }
 
 Decision required(const Ask& ask) {
-  // Not waited for: the plan may be away for long, and what waits meanwhile is more with every second.
+  // Does not wait: the plan may be missing for long, and the queue would grow meanwhile.
   if (!ask.mapped) return {Go::kRefuse, -1, Why::kNoMap};
   if (!ask.valid) return {Go::kRefuse, -1, Why::kNotValid};
-  // Not waited for either: no snapshot brings the earlier unit back but by chance, and sent anywhere else it
-  // may run twice.
+  // Does not wait: a later snapshot brings the earlier unit back only by chance, and sent to any other unit
+  // the request may run twice.
   if (ask.repeat_at >= 0 && ask.repeat_at != ask.seat.unit) return {Go::kRefuse, -1, Why::kRepeat};
   if (!ask.seat.open) return wait(ask, Why::kClosed);
   if (ask.seat.unit < 0) return wait(ask, Why::kUnknown);
--- a/src/affinity/rules.cpp
+++ b/src/affinity/rules.cpp
@@ -33,7 +33,7 @@
   return {};
 }
 
-// Takes the first segment off a path that begins with "/".
+// Removes and returns the first segment of a path that begins with "/".
 std::string_view next_segment(std::string_view& path) {
   path.remove_prefix(1);
   const std::size_t end = std::min(path.find('/'), path.size());
@@ -61,7 +61,7 @@
   return {};
 }
 
-// RFC 6265, 4.2.1: pairs with "; " between; quotation marks are part of the value.
+// RFC 6265, 4.2.1: pairs are separated by "; "; quotation marks are part of the value.
 std::string_view cookie_of(std::string_view cookies, std::string_view name) {
   while (!cookies.empty()) {
     const std::size_t end = std::min(cookies.find(';'), cookies.size());
@@ -77,7 +77,7 @@
   return {};
 }
 
-// Without a query; empty where it is no path.
+// Returns the path without the query; empty if it does not begin with "/".
 std::string_view path_of(const Request& request) {
   const std::string_view path = request.path.substr(0, request.path.find_first_of("?#"));
   return path.empty() || path[0] != '/' ? std::string_view() : path;
--- a/src/affinity/slots.cpp
+++ b/src/affinity/slots.cpp
@@ -11,7 +11,7 @@
 namespace shorelead::affinity {
 namespace {
 
-constexpr double kRound = 1e-9;  // of sums of weights
+constexpr double kRound = 1e-9;  // tolerance for rounding in sums of weights
 
 class Assignment {
  public:
@@ -68,7 +68,7 @@
     return all;
   }
 
-  // The first unit of a slot's ranking for which `may` holds.
+  // Returns the first unit of a slot's ranking for which `may` holds.
   template <typename May>
   int first(std::size_t slot, const May& may) const {
     int best = kNobody;
@@ -87,7 +87,7 @@
     ++held_[to];
   }
 
-  // Slots of nobody get a unit. There is always one: the parts add up to all free slots.
+  // Assigns a unit to each slot without one. There always is one: the shares add up to all free slots.
   void house() {
     int left = static_cast<int>(std::count(owners_.begin(), owners_.end(), kNobody));
     const double room = std::sqrt(moves_.bound);
@@ -102,13 +102,13 @@
     }
   }
 
-  // Units over the bound give what is over: to those that starved, while these have room, else to any that is
-  // under its part.
+  // Units above the bound give up the excess: to starved units while these have room, else to any unit below
+  // its share.
   void give(const std::vector<std::size_t>& starved) {
     for (std::size_t u = 0; u < units_.size(); ++u) {
       int over = held_[u] - most(u, moves_.bound);
       if (over <= 0) continue;
-      std::vector<std::pair<double, std::size_t>> mine;  // the furthest from it first
+      std::vector<std::pair<double, std::size_t>> mine;  // the lowest score first
       for (std::size_t slot = 0; slot < owners_.size(); ++slot) {
         if (owners_[slot] == static_cast<int>(u)) mine.emplace_back(score_of(slot, u), slot);
       }
@@ -130,8 +130,8 @@
     }
   }
 
-  // One that starved takes slots of units that are over their parts, first those that it is nearest to beside
-  // their present unit.
+  // A starved unit takes slots from units above their shares, beginning with those for which its score is
+  // highest relative to their present unit's.
   void take(std::size_t u) {
     std::vector<std::pair<double, std::size_t>> theirs;
     for (std::size_t slot = 0; slot < owners_.size(); ++slot) {
