--- a/src/affinity/condition.cpp
+++ b/src/affinity/condition.cpp
@@ -49,12 +49,12 @@
 struct any_of : pegtl::list_must<all_of, kw_or> {};
 struct whole : pegtl::seq<gap, pegtl::must<any_of>, pegtl::must<pegtl::eof>> {};
 
-// What is said where a rule that must match does not.
+// The error message for each grammar rule that has to match and does not.
 struct told {
   template <typename>
   static constexpr const char* message = "this is no condition";
   template <typename>
-  static constexpr bool raise_on_failure = false;  // but under must
+  static constexpr bool raise_on_failure = false;  // errors are raised only by must<>
 };
 constexpr const char* kWordDue =
     "a condition is due here: route, class, tenant, plan or method with a value, a header, \"not\" or \"(\"";
--- a/src/affinity/rule_checks.cpp
+++ b/src/affinity/rule_checks.cpp
@@ -8,10 +8,10 @@
 namespace shorelead::affinity {
 namespace {
 
-// `must` holds its bound by moving slots only, and each that moves is closed for a while: weights wobble by a
-// few percent, and under this the wobble alone would move slots without end (slots.h).
+// A `must` rule keeps its bound only by moving slots, and each moved slot is closed for a while. Weights vary
+// by a few percent, and below this bound that variation alone would move slots without end (slots.h).
 constexpr double kLeastMustBound = 1.1;
-constexpr std::size_t kMostSlots = 65536;  // of one rule: the plan is one document
+constexpr std::size_t kMostSlots = 65536;  // of one rule; the plan is stored as one document
 
 std::string seconds(Millis span) {
   std::ostringstream out;
@@ -25,8 +25,8 @@
   return out.str();
 }
 
-// The first of the classes that the rule takes, whose repeats only a cell or zone drops, by the longest
-// window.
+// Returns the class with the longest deduplication window among those that the rule matches and whose repeats
+// are dropped only within a cell or zone.
 std::optional<std::string> narrow_class(const Rule& rule, const Universe& universe) {
   std::optional<std::string> worst;
   for (const auto& [name, one] : universe.classes) {
@@ -74,8 +74,8 @@
     }
   }
 
-  // Words that nothing in the configuration is called by; a condition on them never holds, but the name says
-  // more than that.
+  // Reports names that the configuration does not declare. A condition on one never holds, but a message with
+  // the name is clearer than "it never matches".
   void names(const Rule& rule) {
     std::vector<const Condition*> open = {&rule.when};
     while (!open.empty()) {
@@ -137,7 +137,7 @@
   }
 
   void repeats(const Rule& rule) {
-    if (!rule.must) return;  // else the module keeps a repeat where it is dropped
+    if (!rule.must) return;  // otherwise the policy keeps a repeat where it is dropped
     const auto narrow = narrow_class(rule, universe_);
     if (!narrow) return;
     const Millis window = universe_.classes.at(*narrow).window;
--- a/src/affinity/satisfy.cpp
+++ b/src/affinity/satisfy.cpp
@@ -1,4 +1,4 @@
-// Whether a condition can hold: the search over kinds of requests.
+// Decides whether a condition can be satisfied: the search over kinds of requests.
 #include <algorithm>
 #include <set>
 #include <utility>
@@ -8,11 +8,11 @@
 namespace shorelead::affinity {
 namespace {
 
-// Stands for every word that no condition names; no word is like it.
+// Stands for every value that the condition does not name; no real value equals it.
 const std::string kOther("\0other", 6);
 
-using Word = std::pair<Subject, std::string>;  // the string: a field's name
-using Words = std::map<Word, std::string>;     // what was tried so far; an empty one is absent
+using Word = std::pair<Subject, std::string>;  // the string: the name of a header field, else empty
+using Words = std::map<Word, std::string>;     // the values assigned so far; an empty one means absent
 
 enum class Truth { kNo, kOpen, kYes };
 
@@ -49,7 +49,8 @@
   for (const Condition& part : c.parts) named_in(part, named);
 }
 
-// Words that are told together, each choice a kind of requests: a route has one class, a tenant one plan.
+// Attributes that are assigned together, each choice one kind of request: a route has one class, a tenant one
+// plan.
 using Choices = std::vector<Words>;
 
 class Search {
@@ -71,7 +72,7 @@
   Can decide() { return from(0); }
 
  private:
-  // A word as a kind: itself where a condition names it.
+  // Returns the value itself if the condition names it, else kOther; an empty one stays empty.
   std::string kind(Subject subject, const std::string& word) const {
     const auto it = named_.find({subject, ""});
     return it != named_.end() && it->second.count(word) > 0 ? word : word.empty() ? word : kOther;
@@ -95,7 +96,7 @@
 
   Choices tenants(const Universe& universe) const {
     std::set<std::pair<std::string, std::string>> all(universe.tenants.begin(), universe.tenants.end());
-    all.emplace("", universe.no_plan);  // and all that nothing names
+    all.emplace("", universe.no_plan);  // all tenants that neither the condition nor a plan names
     const auto it = named_.find({Subject::kTenant, ""});
     if (it != named_.end()) {
       for (const std::string& name : it->second) {
--- a/src/affinity/shaper.cpp
+++ b/src/affinity/shaper.cpp
@@ -11,7 +11,7 @@
   return to == To::kBackend ? backend.name : to == To::kCell ? backend.cell : backend.zone;
 }
 
-// Who has a slot, or gets it.
+// Returns the unit that has a slot, or the one that a closed slot moves to.
 const std::string& owner_of(const fleet::Slot& slot) { return slot.open ? slot.backend : slot.to; }
 
 std::uint64_t hash_of_units(const std::vector<Unit>& units) {
@@ -26,11 +26,11 @@
 
 }  // namespace
 
-// What the list says of all units of a kind.
+// The units of one kind in the list of backends.
 struct Shaper::Units {
-  std::vector<Unit> ready;           // in the order of their names
-  std::map<std::string, int> place;  // of those
-  std::set<std::string> listed;      // those that drain too
+  std::vector<Unit> ready;           // sorted by name
+  std::map<std::string, int> place;  // index into `ready` by name
+  std::set<std::string> listed;      // including those that drain
 };
 
 Shaper::Units Shaper::units_of(const Rule& rule) const {
@@ -39,7 +39,7 @@
   for (const BackendSeen& backend : backends_) {
     const bool its = rule.pool.empty() || backend.pool.empty() || rule.pool == backend.pool;
     const std::string& name = unit_name(backend, rule.to);
-    if (name.empty() || !its) continue;  // a backend without a cell is in none
+    if (name.empty() || !its) continue;  // a backend without a cell or zone belongs to none
     units.listed.insert(name);
     if (!backend.draining && backend.weight > 0) weights[name] += backend.weight * warm_step(backend.warm);
   }
@@ -50,9 +50,9 @@
   return units;
 }
 
-// Whether slots of a unit that is not listed stay with it for now.
+// Whether the slots of a unit that is not listed stay with it for now.
 bool Shaper::stays(const Rule& rule, const std::string& unit, const Units& units, Millis now) {
-  if (unit.empty() || units.listed.count(unit) > 0) return false;  // nobody's, or it drains
+  if (unit.empty() || units.listed.count(unit) > 0) return false;  // no owner, or the unit drains
   const std::pair key(rule.to, unit);
   met_.insert(key);
   const Millis since = missing_.try_emplace(key, now).first->second;
@@ -72,7 +72,7 @@
   }
   const Units units = units_of(rule);
   std::vector<int> owners;
-  std::map<std::string, int> place = units.place;  // and what was found out of those that are not ready
+  std::map<std::string, int> place = units.place;  // and kHeld or kNobody for units that are not ready
   std::size_t closed = 0;
   for (const fleet::Slot& slot : map.slots) {
     const auto [it, fresh] = place.try_emplace(owner_of(slot), kNobody);
@@ -84,7 +84,7 @@
   Moves moves;
   moves.bound = rule.bound;
   moves.most = options_.most_moves - std::min(options_.most_moves, closed);
-  // A move that must stay closed for a window of repeats is made only where it has to be.
+  // A slot that has to stay closed for a deduplication window is not moved for balance.
   moves.balance = rule.still <= 0 && moves.most > 0;
   const std::vector<int> next = assign(owners, units.ready, moves);
 
@@ -107,7 +107,8 @@
       continue;
     }
     slot.to = to;
-    // Not in the plan that closes it: whoever has nothing yet may just now put the standing one in force.
+    // Not in the plan that closes it: a process at epoch 0 may be putting the standing plan in force just
+    // now.
     const bool all = slot.since <= standing_epoch &&
                      std::all_of(records.begin(), records.end(), [&](const fleet::Record& record) {
                        return acknowledged(record, slot.since, standing_epoch);
@@ -146,7 +147,7 @@
     maps[name] = shaped(rule, old, next.epoch, records, standing_epoch, now);
     for (const BackendSeen& backend : backends_) known_.emplace(rule.to, unit_name(backend, rule.to));
   }
-  // Maps of another version of the file, which other processes may still go by.
+  // Keeps maps of another version of the configuration file, which other processes may still use.
   if (standing != nullptr) {
     for (const auto& [name, map] : standing->affinity) {
       if (maps.count(name) > 0) continue;
@@ -157,7 +158,7 @@
   next.affinity = std::move(maps);
 }
 
-// What is kept between rounds stays as large as the list and the maps.
+// Drops state of backends and maps that are gone, so that it does not grow without bound.
 void Shaper::forget(const std::map<std::string, fleet::SlotMap>& maps) {
   std::set<std::pair<To, std::string>> listed;
   for (const BackendSeen& backend : backends_) {
--- a/src/plans/order.h
+++ b/src/plans/order.h
@@ -1,9 +1,9 @@
-// Which requests go first in a shortage, and which last: plans and the worth of classes made into one order
-// of compound ranks. Pure, immutable once made. Owns the numbering; it must never decide whether there is a
-// shortage, nor allocate while the traffic looks something up.
+// Which requests are served first in a shortage: plans and the worth of classes combined into one order of
+// compound ranks. Pure, immutable once constructed. Owns the numbering of ranks; it does not decide whether
+// there is a shortage, and look-ups do not allocate.
 //
 // The order is that of DAGOR (Zhou et al., "Overload Control for Scaling WeChat Microservices", SoCC 2018):
-// first by whose the request is (the plan's rank), then by what it is (the class's worth). Ranks are numbered
+// first by the rank of the tenant's plan, then by the worth of the request's class. Ranks are numbered
 // densely, 0 the highest, as fleet::CutOff counts them.
 #pragma once
 
@@ -14,20 +14,20 @@
 
 namespace shorelead::plans {
 
-// As the configuration has it: plan gold { rank 1; tenants acme initech; floor 10 % }
+// A plan of the configuration: plan gold { rank 1; tenants acme initech; floor 10 % }
 struct PlanSpec {
   std::string name;
-  int rank = 1;  // 1 = the highest; plans may share one
-  // Share of the plan's own offered load, from 0 to 1, that each process goes on taking whatever the cut-off.
+  int rank = 1;  // 1 = the highest; several plans may have the same
+  // Share of the plan's own offered load, 0 to 1, that each process admits whatever the cut-off.
   double floor = 0;
   std::vector<std::string> tenants;
-  bool is_default = false;  // of tenants that no plan names
+  bool is_default = false;  // for tenants that no plan lists
 
   bool operator==(const PlanSpec&) const = default;
 };
 
-// What is wrong with the plans, a sentence each; empty: nothing. Order takes them all the same: of two plans
-// that name one tenant, or are both the default, the first counts.
+// Returns the faults of the plans, a sentence each; empty = none. Order accepts faulty plans too: of two
+// plans that list one tenant, or are both the default, the first counts.
 std::vector<std::string> faults_of(const std::vector<PlanSpec>& plans);
 
 struct Rung {
@@ -39,14 +39,15 @@
 
 class Order {
  public:
-  // `worths`: of the classes, by their index; not finite counts as 0. No plans: one without a name and floor.
+  // `worths`: by index of the class; one that is not finite counts as 0. Without plans there is one plan
+  // without a name or floor.
   Order(std::vector<PlanSpec> plans, std::vector<double> worths);
 
-  // A tenant that no plan names has the default plan; where there is none, the last of the lowest rank.
+  // A tenant that no plan lists has the default plan; if there is none, the last plan of the lowest rank.
   int plan_of(std::string_view tenant) const;
-  // A class that does not exist counts as the one of least worth.
+  // An unknown class counts as the class of least worth.
   int rank_of(int plan, int request_class) const { return at(rank_of_, plan, request_class); }
-  // How many classes of higher worth the plan has: who has the plan's floor first.
+  // Returns the number of classes of higher worth: the plan's floor goes to the classes with the lowest step.
   int step_of(int plan, int request_class) const { return at(step_of_, plan, request_class); }
 
   int ranks() const { return static_cast<int>(rungs_.size()); }
@@ -67,7 +68,7 @@
   std::vector<Rung> rungs_;
   std::vector<int> rank_of_;
   std::vector<int> step_of_;
-  std::vector<std::pair<std::string, int>> tenants_;  // by name
+  std::vector<std::pair<std::string, int>> tenants_;  // sorted by name
 };
 
 }  // namespace shorelead::plans
--- a/src/plans/shortage.cpp
+++ b/src/plans/shortage.cpp
@@ -7,8 +7,8 @@
 namespace shorelead::plans {
 namespace {
 
-constexpr double kMostWeight = 3;    // times the median
-constexpr double kLeastOffered = 1;  // requests a second; less tells nothing
+constexpr double kMostWeight = 3;    // multiple of the median
+constexpr double kLeastOffered = 1;  // requests per second; a record with less has no vote
 
 struct Voter {
   const fleet::Record* record = nullptr;
@@ -21,7 +21,7 @@
 
 double figure(double value) { return std::isfinite(value) ? std::max(0.0, value) : 0; }
 
-// Nobody has taken more than came, nor answered more than was taken.
+// Clamps a reported load: no more admitted than offered, no more answered than admitted.
 fleet::RankLoad bounded(const fleet::RankLoad& load) {
   fleet::RankLoad out;
   out.offered = figure(load.offered);
