--- a/src/plans/admission.cpp
+++ b/src/plans/admission.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr Millis kNever = -std::numeric_limits<Millis>::infinity();
-constexpr Millis kOrderHolds = 2000;  // the order holds over any window of this length
-// So many requests more must be owed for a class one step lower, or for a coin of 0 in place of 1: several
-// times what chance moves it by (about one), few enough to be owed within seconds.
+constexpr Millis kOrderHolds = 2000;  // the order holds within any window of this length
+// Additional debt, in requests, required for a class one step lower, or for a sample of 0 in place of 1:
+// several times the random variation of the debt (about one), and few enough to be owed within seconds.
 constexpr double kSpread = 8;
 
 bool within(Millis then, Millis now) { return now - then <= kOrderHolds; }
@@ -66,8 +66,8 @@
 
 Millis Admission::wait(const fleet::CutOff& cut, int rank, double coin) const {
   if (!(settings_.most_wait > 0)) return 0;
-  // Those next to the level come back first: they are let in first. Within the rank that is cut in part only
-  // coins under its share are turned away.
+  // Requests close to the cut-off retry first, since they are admitted first. Within the rank that is partly
+  // cut only samples below its share are rejected.
   const double part = rank == cut.rank && cut.share > 0 ? std::min(1.0, coin / cut.share) : coin;
   const Millis least = std::min(settings_.least_wait, settings_.most_wait);
   return least + (settings_.most_wait - least) * (1 - part);
--- a/src/plans/admission.h
+++ b/src/plans/admission.h
@@ -1,16 +1,18 @@
-// The traffic's decision in a shortage: is this request taken, or turned away at once, and when may it come
-// back? Pure, one thread, no lock, wait or allocation. Owns what is needed to keep the order while the
-// cut-off moves, and the plans' floors; it must never park a request, nor move the cut-off.
+// Admission control on the request path: whether a request is admitted or rejected at once during a shortage,
+// and after how long its client may retry. Pure, not thread-safe; takes no lock, does not wait or allocate.
+// Owns the state that keeps the order while the cut-off moves, and the plans' floors. It neither queues
+// requests nor moves the cut-off.
 //
-// The order: in any 2 s nobody of a higher rank is turned away here while somebody of a lower one is taken
-// (floors apart). A cut-off that moves over a rank would break it: it took the lower rank a moment ago. So it
-// passes one rank in 2 s: a rank is cut only once all below it have been out for so long, and taken again
-// only once all above it have been in for so long. Ranks nobody asks for are passed at once.
+// The order: within any 2 s no request of a higher rank is rejected here while one of a lower rank is
+// admitted (floors apart). A cut-off that moves past a rank would break it, since the lower rank was admitted
+// a moment ago. So it passes one rank in 2 s: a rank is cut only once all below it have been rejected for
+// that long, and admitted again only once all above it have been admitted for that long. Ranks without
+// requests are passed at once.
 //
-// Floors: a plan with one is owed that share of what it offers. What is cut is taken all the same where the
-// plan is owed enough: more must be owed the lower the class and the smaller the coin, so the floor goes to
-// the plan's best classes and, among those, to the same clients each time; where there are few clients it is
-// kept all the same, since what is owed grows until somebody will do.
+// Floors: a plan with a floor is owed that share of its offered load. A request that the cut-off rejects is
+// admitted all the same if its plan is owed enough: the lower the class and the smaller the stable sample,
+// the more must be owed. So the floor goes to the plan's best classes and, among those, to the same clients
+// each time. With few clients the floor is kept too, since the debt grows until a request qualifies.
 #pragma once
 
 #include <cstdint>
@@ -24,34 +26,34 @@
 namespace shorelead::plans {
 
 struct AdmissionSettings {
-  Millis least_wait = 1000;  // before a client may come back
-  Millis most_wait = 4000;   // at most; 0 = nothing is told of coming back
+  Millis least_wait = 1000;  // shortest time before a rejected client may retry
+  Millis most_wait = 4000;   // longest such time; 0 = the client is given no time
 };
 
 enum class Admitted {
-  kTaken,  // not cut
-  kFloor,  // cut, but owed to its plan
-  kOrder,  // cut by the cut-off, but a lower rank was taken a moment ago
-  kCut,    // turned away
-  kWaits,  // turned away: let in by the cut-off, but a higher rank was turned away a moment ago
+  kTaken,  // admitted by the cut-off
+  kFloor,  // cut, but admitted for its plan's floor
+  kOrder,  // cut, but admitted: a lower rank was admitted within the last 2 s
+  kCut,    // rejected by the cut-off
+  kWaits,  // not cut, but rejected: a higher rank was rejected within the last 2 s
 };
 
 struct Verdict {
   Admitted as = Admitted::kTaken;
-  Millis come_back = 0;  // for those turned away: after so long; 0 = nothing is said
+  Millis come_back = 0;  // for rejected requests: time until a retry; 0 = none is given
 
   bool taken() const { return as <= Admitted::kOrder; }
 };
 
 class Admission {
  public:
-  // `order` outlives it.
+  // `order` must outlive this object.
   Admission(const Order& order, const AdmissionSettings& settings);
 
-  // `now` never falls. `plan` and `request_class` as the order has them, the coin as coin_of gives it.
+  // `now` never decreases. `plan` and `request_class` are the order's indices.
   Verdict decide(const fleet::CutOff& cut, int plan, int request_class, const Coin& coin, Millis now);
 
-  // How many since the start, by what became of them: [rank * 5 + Admitted].
+  // Requests since the start: [rank * 5 + Admitted].
   const std::vector<std::uint64_t>& counts() const { return counts_; }
   std::uint64_t count(int rank, Admitted as) const {
     return counts_[static_cast<std::size_t>(rank) * 5 + static_cast<std::size_t>(as)];
@@ -63,10 +65,10 @@
 
   const Order& order_;
   const AdmissionSettings settings_;
-  std::vector<Millis> taken_at_;    // by rank: the last one taken for another reason than a floor
+  std::vector<Millis> taken_at_;    // by rank: the last one admitted for another reason than a floor
   std::vector<Millis> refused_at_;  // by rank
   Millis refused_any_at_;
-  std::vector<double> owed_;  // by plan
+  std::vector<double> owed_;  // by plan: requests that its floor is owed
   std::vector<std::uint64_t> counts_;
 };
 
--- a/src/plans/coin.cpp
+++ b/src/plans/coin.cpp
@@ -11,12 +11,12 @@
 namespace shorelead::plans {
 
 double coin_of(std::string_view tenant, std::string_view key, Millis wall, Millis lasts) {
-  // The tenant's hash is the seed of the key's: no joined text, and "ab" + "c" is not "a" + "bc".
+  // The tenant's hash seeds the key's, so no string is concatenated, and "ab" + "c" differs from "a" + "bc".
   const std::uint64_t who =
       XXH3_64bits_withSeed(key.data(), key.size(), XXH3_64bits(tenant.data(), tenant.size()));
   const double phase = static_cast<double>(who >> 11) * 0x1.0p-53;
   const auto turn = static_cast<std::uint64_t>(std::max(0.0, wall) / lasts + phase);
-  // SplitMix64 over both: neighbouring turns give coins that have nothing to do with one another.
+  // SplitMix64 over both, so that the samples of successive periods are independent.
   return Random(who ^ Random(turn).next()).unit();
 }
 
--- a/src/plans/coin.h
+++ b/src/plans/coin.h
@@ -1,13 +1,13 @@
-// The coin that tells who goes first within one rank: the same for a client at every process and at each of
-// its repeats, and another one some time later, so that it is not always the same client that goes. Pure, no
-// state, no allocation. It must never depend on a process, a plan's epoch or chance.
+// A stable hash sample that orders requests within one rank: the same for a client at every process and at
+// each of its retries, and another one some time later, so that it is not always the same clients that are
+// rejected. Pure, no state, no allocation. It depends on neither the process, the epoch of a plan nor chance.
 //
-// What changes a coin is the time alone. A salt that never changes would have the same clients turned away in
-// every shortage of the year; one that changes with the plan's epoch would redraw everybody whenever a
-// process joins, and a client that repeats would soon be in: the cut would leak. So a coin lasts for `lasts`
-// (an hour: longer than most shortages, short beside a day), and each key's hour begins at a moment of its
-// own, or all of them would change at once, with a burst of those who were out. Clocks of processes that
-// differ by d have different coins of a key for d an hour.
+// Only time changes a sample. With a salt that never changes the same clients would be rejected in every
+// shortage of the year. With one that changes with the plan's epoch all samples would be redrawn whenever a
+// process joins, and a client that retries would soon be admitted: the cut would leak. So a sample lasts for
+// `lasts` (an hour: longer than most shortages, short beside a day), and each key's hour begins at its own
+// phase, or all samples would change at once, with a burst of the requests rejected so far. Processes whose
+// clocks differ by d disagree on a key's sample for a time of d in each hour.
 #pragma once
 
 #include <string_view>
@@ -18,12 +18,12 @@
 
 inline constexpr Millis kCoinLasts = 3'600'000;
 
-// From 0, under 1. `key`: what tells a tenant's clients apart (a user, an address); without one the whole
-// tenant has one coin. `wall`: the time since 1970 by the machine's clock.
+// Returns a number from 0, below 1. `key` distinguishes a tenant's clients (a user, an address); without one
+// the whole tenant shares one sample. `wall`: the time since 1970 by the machine's clock.
 double coin_of(std::string_view tenant, std::string_view key, Millis wall, Millis lasts = kCoinLasts);
 
-// One request's coin, made when it is first asked for: out of a shortage nobody does. It must not outlive the
-// texts.
+// The sample of one request, computed on first use: it is not needed while there is no shortage. It must not
+// outlive the strings it was constructed from.
 class Coin {
  public:
   Coin(std::string_view tenant, std::string_view key, Millis wall)
--- a/src/plans/controller.cpp
+++ b/src/plans/controller.cpp
@@ -6,16 +6,17 @@
 namespace shorelead::plans {
 namespace {
 
-constexpr Millis kForgets = 120000;   // what the fleet could do is forgotten within this
-constexpr Millis kGap = 5000;         // looks further apart than this prove nothing of what was between them
-constexpr Millis kLate = 5000;        // by then a move counts as in force, whoever has not said so
-constexpr Millis kDrains = 1500;      // queues drain, and a report of the time after it is in
+constexpr Millis kForgets = 120000;  // time constant with which the peak load answered in time decays
+constexpr Millis kGap = 5000;        // observations further apart than this prove nothing of the time between
+constexpr Millis kLate = 5000;  // a move counts as in force after this, even if not all have acknowledged it
+constexpr Millis kDrains = 1500;      // time for queues to drain and the next report to arrive
 constexpr Millis kPassesRank = 2000;  // admission.cpp: kOrderHolds
-constexpr double kNearBest = 0.95;    // of what could be done: aimed at
-constexpr double kOfMissed = 0.75;    // of what is taken and missed: cut, where nothing else tells
+constexpr double kNearBest = 0.95;    // target, as a share of the peak load answered in time
+constexpr double kOfMissed = 0.75;    // share of the missed requests that is cut if the peak gives no target
 constexpr double kSomeRoom = 0.08;
 constexpr double kAmple = 0.25;
-constexpr double kJitter = 0.2;  // of a hold: processes alone do not try at the same moment
+constexpr double kJitter =
+    0.2;  // of a hold, so that processes without a plan do not start trials at the same time
 
 }  // namespace
 
@@ -82,7 +83,7 @@
     rise_ = std::min(2 * rise_, settings_.most_rise);
   }
   if (open || trial_ || view.is_short) return level_;
-  // A trial that failed has shown that some room is not enough.
+  // A failed trial has shown that a little room is not enough.
   const bool failed = hold_ > settings_.hold * (1 + kJitter);
   const bool ample = view.room > (failed ? kAmple : kSomeRoom);
   if (now - moved_at_ >= (ample ? std::min(hold_, settings_.brief_hold) : hold_)) loosen(view, now);
@@ -98,7 +99,7 @@
 }
 
 void Controller::move(double level, const FleetView& view, Millis now) {
-  // Boundaries of ranks that are passed, those nobody asks for left out.
+  // Counts the rank boundaries that are passed; ranks without requests do not count.
   int passed = 0;
   const double from = std::min(level, level_);
   const double to = std::max(level, level_);
@@ -115,13 +116,13 @@
 void Controller::tighten(const FleetView& view, Millis now) {
   const double offered = taken_at(view.offered, ranks_);
   const double taken = taken_at(view.offered, level_);
-  // What the fleet could do of late is the aim where it is less than what is taken. Where it is not, the
-  // fleet can do less than it could, and only the misses tell by how much.
+  // The recent peak is the target if it is below the admitted load. If not, the fleet's capacity has fallen,
+  // and only the misses tell by how much.
   double fall = settings_.least_step;
   if (best_ > 0 && best_ < view.taken) fall = 1 - kNearBest * best_ / view.taken;
   if (fall < 2 * settings_.least_step) fall = kOfMissed * view.missed;
   fall = std::clamp(fall, settings_.least_step, settings_.most_fall);
-  best_ = std::min(best_, view.taken * (1 - fall));  // it is short all the same: that was too much
+  best_ = std::min(best_, view.taken * (1 - fall));  // still short: the peak was too high
   const double aim = std::max(taken * (1 - fall), settings_.least_taken * offered);
   if (aim >= taken) return;
   ++counters_.tightened;
@@ -133,7 +134,7 @@
 void Controller::loosen(const FleetView& view, Millis now) {
   const double offered = taken_at(view.offered, ranks_);
   const double taken = taken_at(view.offered, level_);
-  // All of the room: who is let in repeats no more, so it takes up less than it asked for.
+  // Uses all of the room: admitted clients stop retrying, so they take less than they offered.
   const double fits = view.room < 1 ? view.room / (1 - view.room) : settings_.most_rise;
   const double rise = std::clamp(std::max(rise_, fits), settings_.least_step, settings_.most_rise);
   const double aim = std::max(taken * (1 + rise), settings_.least_taken * offered);
--- a/src/plans/controller.h
+++ b/src/plans/controller.h
@@ -1,21 +1,19 @@
-// How far the cut-off is moved, and when. Pure: what the fleet says and whether the last move is in force,
-// with the time in; a level (level.h) out. Owns the level and its trials; it must never look at a single
-// record, nor take its own cut for the end of a shortage.
+// The controller of the cut-off: how far it is moved, and when. Pure: takes the view of the fleet, whether
+// the last move is in force and the time, and returns a level (level.h). Owns the level and its trials. It
+// looks at no single record, and does not take the effect of its own cut for the end of a shortage.
 //
 //   open ---- short for `confirm` ----> watching <---- short for `watch` ---- holding
 //                                         |  ^                                 ^ |
-//                          short: tighten |  | not short                       | | `hold` is over: loosen a
-//                          step
+//                          short: tighten |  | not short                       | | `hold` over: loosen
 //                                         +--+-------------------------> holding v
-//                                          step back, hold twice as long <--- trial ---> good: hold as at
-//                                          first
+//                                      step back, hold twice as long <--- trial ---> good: `hold` as at first
 //
-// Short: at every look within a span, as CoDel (Nichols and Jacobson, 2012) judges a queue by its least delay
-// over an interval: stalls and bursts come and go within it, a standing shortage does not. Under a cut
-// nothing looks short whatever the demand, so the end of a shortage is only found by trying: a step up, a
-// look at what it does, and back if it was too much; each that fails doubles the time to the next. A move is
-// judged only once it is in force and what it needs to show is over: the order lets the cut-off pass one rank
-// in 2 s (admission.h).
+// Short means short at every observation within a span, as CoDel (Nichols and Jacobson, 2012) judges a queue
+// by its least delay over an interval: stalls and bursts come and go within it, a standing shortage does not.
+// Under a cut nothing looks short whatever the demand, so the end of a shortage is only found by trial: raise
+// the level by a step, observe the effect, and step back if it was too much; each failed trial doubles the
+// time to the next. A move is judged only once it is in force and its effect can be seen: the order lets the
+// cut-off pass one rank in 2 s (admission.h).
 #pragma once
 
 #include <cstdint>
@@ -28,16 +26,16 @@
 
 struct CutOffSettings {
   ShortageSettings shortage;
-  Millis confirm = 3000;  // a shortage has to last before anything is cut; over 310 ms of stall and a report
-  Millis watch = 2000;    // and before a cut is moved again
-  Millis trial = 3000;    // a step up is good when it was not short for so long
-  Millis hold = 10000;    // from a move to the next step up
-  Millis brief_hold = 5500;  // the same while there is ample room
+  Millis confirm = 3000;  // how long a shortage lasts before a first cut; over a 310 ms stall and one report
+  Millis watch = 2000;    // how long it lasts before a cut is tightened again
+  Millis trial = 3000;    // a step up has succeeded if there was no shortage for this long
+  Millis hold = 10000;    // time from a move to the next step up
+  Millis brief_hold = 5500;  // the same while the backends have ample room
   Millis most_hold = 80000;
-  double least_step = 0.05;   // of what is taken: by so much it is lowered or raised at least,
-  double most_fall = 0.5;     // and at most in one step down,
-  double most_rise = 0.3;     // and up
-  double least_taken = 0.05;  // of what is offered: never cut deeper
+  double least_step = 0.05;   // smallest step down or up, as a share of the admitted load
+  double most_fall = 0.5;     // largest step down
+  double most_rise = 0.3;     // largest step up
+  double least_taken = 0.05;  // share of the offered load that is always admitted
 
   bool operator==(const CutOffSettings&) const = default;
 };
@@ -50,9 +48,9 @@
  public:
   Controller(int ranks, const CutOffSettings& settings, std::uint64_t seed);
 
-  // The level from now on. `in_force`: the last move has reached those it concerns.
+  // Returns the level from now on. `in_force`: the last move has reached the processes it concerns.
   double see(const FleetView& view, bool in_force, Millis now);
-  // Goes on from a level that another has set: held like one of its own.
+  // Continues from a level that another controller has set, and holds it like one of its own.
   void adopt(double level, Millis now);
 
   double level() const { return level_; }
@@ -68,22 +66,22 @@
   const CutOffSettings settings_;
   Random random_;
   double level_;
-  double before_ = 0;  // the trial under way, where there is one
+  double before_ = 0;  // the level before the present trial
   bool trial_ = false;
   double rise_;
   Millis hold_;
-  double best_ = 0;  // most answered in time of late, a second: what the fleet could do
+  double best_ = 0;  // recent peak of requests answered in time, per second: the capacity of the fleet
   Millis seen_at_ = -1;
   Millis moved_at_ = -1;
   Millis in_force_at_ = -1;
   Millis settled_at_ = -1;   // -1: the last move cannot be judged yet
-  Millis short_since_ = -1;  // at every look since
+  Millis short_since_ = -1;  // short at every observation since
   Millis settle_ = 0;
   CutOffCounters counters_;
 };
 
-// What is taken at a level of what is offered, and the level at which so much is: never lower than 0 or
-// higher than the number of ranks.
+// The load admitted at a level, and the level at which a load is admitted: at least 0, at most the number of
+// ranks.
 double taken_at(const std::vector<double>& offered, double level);
 double level_for(const std::vector<double>& offered, double taken);
 
--- a/src/plans/cutoff.cpp
+++ b/src/plans/cutoff.cpp
@@ -5,8 +5,8 @@
 namespace shorelead::plans {
 namespace {
 
-constexpr double kMostHaveIt = 0.8;  // of the processes: a straggler or two hold nothing up
-constexpr Millis kWritten = 5000;    // a plan that was shaped stands by then, or is not going to
+constexpr double kMostHaveIt = 0.8;  // share of the processes; a few stragglers do not delay a move
+constexpr Millis kWritten = 5000;    // a plan not written within this time is taken as lost
 
 }  // namespace
 
--- a/src/plans/cutoff.h
+++ b/src/plans/cutoff.h
@@ -1,6 +1,6 @@
-// Who runs the controller: the planner for the fleet, and each process for itself while it has no plan that
-// counts. Pure. Both shed in the same order; they differ in what they look at. It must never put a cut-off in
-// a plan that another planner's is newer than.
+// The users of the controller: the planner for the fleet, and each process for itself while it has no valid
+// plan. Pure. Both shed load in the same order; they differ in the records they use. A cut-off never enters a
+// plan if another planner's is newer.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 
 namespace shorelead::plans {
 
-// Sets the cut-off of each plan. Called at every look of the planner, some twice a second; another planner's
-// cut-off is taken over and held.
+// Sets the cut-off of each plan. Called in every round of the planner, about twice a second. Another
+// planner's cut-off is adopted and held.
 class CutOffShaper : public fleet::PlanShaper {
  public:
   CutOffShaper(int ranks, const CutOffSettings& settings, std::uint64_t seed);
@@ -31,21 +31,21 @@
   const int ranks_;
   const CutOffSettings settings_;
   Controller controller_;
-  fleet::CutOff asked_;   // in the plans since `asked_at_`
-  fleet::CutOff before_;  // what they said before
+  fleet::CutOff asked_;   // in this planner's plans since `asked_at_`
+  fleet::CutOff before_;  // the cut-off before it
   Millis asked_at_ = 0;
-  std::uint64_t epoch_ = 0;  // of the first plan with it; 0 = none stands yet
+  std::uint64_t epoch_ = 0;  // of the first standing plan with `asked_`; 0 = none yet
 };
 
-// One process's cut-off: the plan's while that counts; then the last one, moved by what the process sees
-// itself.
+// The cut-off of one process: the plan's while the plan is valid; afterwards the last one, moved by what the
+// process itself observes.
 class LocalShedder {
  public:
   LocalShedder(int ranks, const CutOffSettings& settings, std::uint64_t seed);
 
-  // The plan in force has this cut-off; it counts until then, on the clock of `now`.
+  // Sets the cut-off of the plan in force, valid until `valid_until` on the clock of `now`.
   void told(const fleet::CutOff& cut, Millis valid_until);
-  // What the traffic is to go by. About once a second, with the figures of the last.
+  // Returns the cut-off to apply. Called about once a second with the load of the last second.
   fleet::CutOff in_force(const std::map<int, fleet::RankLoad>& ranks, double room, Millis now);
 
   bool alone() const { return alone_; }
