--- a/tests/affinity/bindings_test.cpp
+++ b/tests/affinity/bindings_test.cpp
@@ -1,5 +1,5 @@
-// From a request's arrival to the end of what was sent for it, over random histories of snapshots, requests,
-// endings and time; and the few rules that stand beside, by example.
+// Bindings over random histories of snapshots, requests, ends of requests and time: no request is sent where
+// its slot is not open, and no slot is reported quiet too early. Wait times by example.
 #include "affinity/bindings.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   return rule;
 }
 
-// A host of one process, which holds what it is told against what it knows itself.
+// The host of one process, with a reference model that each decision is checked against.
 struct World {
   explicit World(std::uint64_t seed) : random(seed), bindings({a_rule()}, kMost) {
     snapshot.incarnation = 1;
@@ -83,7 +83,7 @@
       const auto [slot, since] = waiting.at(place);
       const auto said = bindings.again(place, valid, now, look());
       if (said.go == Go::kWait) {
-        RC_ASSERT(now - since < 50);  // its client's time is sooner than the rule's
+        RC_ASSERT(now - since < 50);  // the client's deadline comes before the rule's wait time
         continue;
       }
       waiting.erase(place);
@@ -135,7 +135,7 @@
     if (slot.open) {
       slot.open = false;
     } else if (bindings.quiet() ||
-               random.below(4) == 0) {  // a plan that jumps, too: what is there stays closed
+               random.below(4) == 0) {  // also a plan that skips epochs: requests in flight stay closed
       slot = {random.below(2) == 0 ? "a" : "b", true, "", 1};
     }
     if (random.below(8) == 0) ++snapshot.incarnation;
@@ -185,10 +185,10 @@
   std::map<int, std::pair<std::size_t, Millis>> waiting;
 };
 
-RC_GTEST_PROP(Bindings, NothingGoesWhereASlotIsNotOpenAndNoneIsQuietTooSoon, (std::uint64_t seed)) {
+RC_GTEST_PROP(Bindings, RequestsUseOnlyOpenSlotsAndQuietIsNeverReportedEarly, (std::uint64_t seed)) {
   World world(seed);
   for (int n = 0; n < 300; ++n) world.step();
-  // All end in the end, and every request is accounted for.
+  // All requests end, and each is counted once.
   while (!world.sent.empty()) world.end_one();
   world.now += kWait;
   world.ask_again();
@@ -200,9 +200,9 @@
   RC_ASSERT(sum == world.came);
 }
 
-// A request that waits is refused while there is time to say so: a tenth of a second, a quarter of what is
-// left.
-TEST(Bindings, WhoWaitsIsRefusedInTime) {
+// A waiting request is refused while the rejection can still reach its client: 100 ms before the deadline, or
+// a quarter of the time left if that is less.
+TEST(Bindings, WaitingRequestIsRefusedBeforeItsDeadline) {
   Rule rule = a_rule();
   rule.wait = 10000;
   Bindings bindings({rule}, kMost);
--- a/tests/affinity/choice_test.cpp
+++ b/tests/affinity/choice_test.cpp
@@ -1,4 +1,4 @@
-// Where a request goes by its seat, and when what is under way is over. By table.
+// Decisions by the owner of the slot and its status, and when requests in flight are cancelled. Table-driven.
 #include "affinity/choice.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace shorelead::affinity {
 namespace {
 
-TEST(Choice, WhatCountsBeforeWhat) {
+TEST(Choice, DecidesByPrecedence) {
   Rule rule;
   rule.must = true;
   const auto ask = [&rule](auto change) {
@@ -61,7 +61,7 @@
   EXPECT_TRUE(room.enter());
 }
 
-TEST(Choice, WhenWhatIsUnderWayIsOver) {
+TEST(Choice, CancelsRequestsOfClosedSlots) {
   Rule rule;
   rule.must = true;
   rule.finish = 100;
--- a/tests/affinity/condition_test.cpp
+++ b/tests/affinity/condition_test.cpp
@@ -1,5 +1,4 @@
-// The text of conditions: what it means by table, each mistake with its column, and there and back by
-// property.
+// The text of conditions: their meaning and the column of each error by table, the round trip by property.
 #include "affinity/condition.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +11,7 @@
 const Condition kGet = is(Subject::kMethod, "GET");
 const Condition kTest = field_is("x-test", "yes");
 
-TEST(ConditionText, Means) {
+TEST(ConditionText, ParsesToTheExpectedCondition) {
   const std::vector<std::pair<std::string, Condition>> table = {
       {"class = check", kCheck},
       {"  class=check ", kCheck},
@@ -36,7 +35,7 @@
   }
 }
 
-TEST(ConditionText, EachMistakeHasItsColumn) {
+TEST(ConditionText, ReportsTheColumnOfEachError) {
   struct Case {
     std::string text, cause;
     std::size_t column;
@@ -79,7 +78,7 @@
   return kind == 4 ? all(std::move(parts)) : any(std::move(parts));
 }
 
-RC_GTEST_PROP(ConditionText, ThereAndBack, ()) {
+RC_GTEST_PROP(ConditionText, RoundTrips, ()) {
   const Condition condition = gen(4);
   const std::string text = text_of(condition);
   if (text.size() > kMostText) return;
@@ -88,8 +87,8 @@
   RC_ASSERT(parsed.condition == condition);
 }
 
-// Whatever the bytes: a condition or a mistake within the text.
-RC_GTEST_PROP(ConditionText, AnyBytes, (const std::string& text)) {
+// Any bytes parse to a condition or to an error with a column within the text.
+RC_GTEST_PROP(ConditionText, ArbitraryBytesGiveAConditionOrAnError, (const std::string& text)) {
   const Parsed parsed = parse_condition("not " + text);
   RC_ASSERT(parsed.cause.empty() || (parsed.column >= 1 && parsed.column <= text.size() + 5));
 }
--- a/tests/affinity/model.cpp
+++ b/tests/affinity/model.cpp
@@ -1,4 +1,4 @@
-// The model's store, planners, faults and backends.
+// The store, planners, faults and backends of the model.
 #include "model.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Millis kEnd = 12000;
-constexpr Millis kCalm = 8000;  // no faults from here on
+constexpr Millis kCalm = 8000;  // no faults after this
 
 }  // namespace
 
@@ -47,7 +47,7 @@
     fleet::Plan next = standing;
     ++next.epoch;
     std::vector<BackendSeen> seen = backends_;
-    // Planners may see different lists, and backends in another order.
+    // Planners may have different lists, in another order.
     if (!calm_ && random_.unit() < 0.1) seen.pop_back();
     if (random_.unit() < 0.5) std::reverse(seen.begin(), seen.end());
     shapers_[planner].see(seen);
@@ -70,7 +70,7 @@
   Process& p = processes_[random_.below(processes_.size())];
   BackendSeen& backend = backends_[random_.below(backends_.size())];
   switch (random_.below(7)) {
-    case 0:  // killed and started anew
+    case 0:  // killed and restarted
       p = Process{p.name, p.life + 1};
       p.paused_until = now_ + 500;
       return;
@@ -86,7 +86,7 @@
     case 4:
       backend.warm = backend.warm < 1 ? 1 : 0.2;
       return;
-    case 5:  // its watch is deaf, its calls work
+    case 5:  // its watch delivers nothing, its calls work
       p.deaf_until = now_ + 3000 * random_.unit();
       return;
     case 6:
@@ -115,7 +115,7 @@
       at(t, [this, n] {
         const fleet::Plan plan = stored_plan_;
         const std::uint64_t modified = plan_modified_;
-        at(now_ + 150 * random_.unit(), [=, this] {  // a watch lags
+        at(now_ + 150 * random_.unit(), [=, this] {  // delay of the watch
           if (modified > 0 && processes_[n].deaf_until <= now_)
             to(n, [=, this](Process& p) { see(p, plan, modified); });
         });
--- a/tests/affinity/model.h
+++ b/tests/affinity/model.h
@@ -1,10 +1,10 @@
-// Several processes, a store and two planners in simulated time: messages late, lost and out of order,
-// processes that are killed, paused and cut off, backends that come, go and drain. The processes here keep to
-// the rules of fleet/plan.h by a few lines of their own; shaper, choice and bindings (what waits and is under
-// way) are the real ones. What is looked for:
-//   - a send for a slot at another backend than one sent before, by an older opening (a token that went
-//   back);
-//   - two backends that work for one slot at a time, by processes that are awake.
+// Several processes, a store and two planners in simulated time: messages that are late, lost and reordered,
+// processes that are killed, paused and partitioned, backends that come, go and drain. The processes here
+// implement the rules of fleet/plan.h in a few lines of their own; shaper, choice and bindings (requests that
+// wait or are in flight) are the real ones. The model looks for:
+//   - a request sent for a slot to another backend than an earlier one, by an older opening (a fencing token
+//     that went back);
+//   - two backends that work for one slot at the same time, for processes that are not paused.
 #pragma once
 
 #include <functional>
@@ -23,9 +23,9 @@
 namespace shorelead::affinity {
 
 inline constexpr std::size_t kSlots = 16;
-inline constexpr Millis kLongest = 300;  // a request's work
+inline constexpr Millis kLongest = 300;  // longest duration of a request
 
-// A lease of 1 s; the rest as it is by default.
+// A lease of 1 s; the other settings have their defaults.
 inline fleet::Sharing sharing() {
   fleet::Sharing s;
   s.lease = 1000;
@@ -34,17 +34,17 @@
 
 enum class Flaw {
   kNone,
-  kIgnoresExpiry,   // choice is told that the snapshot is valid, whatever the clock
-  kOpensAtOnce,     // the plan opens a slot elsewhere in the step that closes it
-  kKeepsStale,      // a process acknowledges, and sends by the old map for a while
-  kNotQuiet,        // a process acknowledges while requests are under way
-  kNoRecord,        // a process opens what it sees, before its record says so
-  kPlanUncompared,  // a record is written whatever the plan is by then
+  kIgnoresExpiry,   // the snapshot is passed as valid whatever the clock
+  kOpensAtOnce,     // the plan opens a slot at its new backend in the step that closes it
+  kKeepsStale,      // a process acknowledges, but sends by the old map for a while
+  kNotQuiet,        // a process acknowledges while requests are in flight
+  kNoRecord,        // a process opens slots before its record has the epoch
+  kPlanUncompared,  // a record is written without comparing the plan's revision
 };
 
 struct ModelResult {
   int sends = 0, moves = 0, refused = 0, broken = 0;
-  bool whole = false;  // at the end all living processes can send for every slot
+  bool whole = false;  // at the end all live processes can send for every slot
   std::string what;
 };
 
@@ -62,15 +62,15 @@
   };
   struct Process {
     std::string name;
-    std::uint64_t life = 0;  // counts restarts: what an earlier life asked for is not answered to this one
+    std::uint64_t life = 0;  // counts restarts; answers to an earlier life are dropped
     bool alive = true, cut = false;
     Millis paused_until = 0, deaf_until = 0;
-    std::uint64_t modified = 0;  // of its record; 0 = it has none
-    std::uint64_t call = 0;      // the one for its record that is out; 0 = none
+    std::uint64_t modified = 0;  // revision of its record; 0 = none
+    std::uint64_t call = 0;      // the pending call for its record; 0 = none
     Millis valid_until = -1;
     fleet::Plan in_force{}, seen{};
     std::uint64_t seen_modified = 0;
-    fleet::SlotMap open{};  // what traffic goes by
+    fleet::SlotMap open{};  // the map that requests are sent by
     std::uint64_t incarnation = 0;
     std::shared_ptr<Bindings> keys{};
     std::vector<Work> work{};
@@ -84,7 +84,8 @@
   Millis late() { return !calm_ && random_.unit() < 0.1 ? 400 * random_.unit() : 5 * random_.unit(); }
   bool lost() { return !calm_ && random_.unit() < 0.05; }
   void at(Millis when, std::function<void()> what) { queue_.push({when, order_++, std::move(what)}); }
-  // Does it once the process lives its life, is awake and has a way to the store (an answer, a message).
+  // Delivers a message or answer to a process, unless it was restarted or partitioned; waits while it is
+  // paused.
   void to(std::size_t process, std::function<void(Process&)> what);
   void from(std::size_t process, std::function<void()> what);
 
@@ -93,7 +94,7 @@
   void renew(std::size_t process);
   void put_record(std::size_t process, std::uint64_t epoch);
   void see(Process& p, const fleet::Plan& plan, std::uint64_t modified);
-  void take_up(Process& p);  // the traffic does
+  void take_up(Process& p);  // on the request path
   void look_after(Process& p);
   void sent(Process& p, const Bindings::Said& said, std::size_t slot);
   void follow(std::size_t process);
--- a/tests/affinity/model_process.cpp
+++ b/tests/affinity/model_process.cpp
@@ -1,4 +1,4 @@
-// A process of the model: its lease and record, the plan that it follows, what it sends.
+// A process of the model: its lease and record, the plan that it follows, the requests it sends.
 #include <algorithm>
 
 #include "model.h"
@@ -6,7 +6,8 @@
 namespace shorelead::affinity {
 namespace {
 
-// What both have open at the same backend: what a process may go by as soon as it sees the next plan.
+// Returns the slots that both maps have open at the same backend: those that a process may use as soon as it
+// sees the next plan.
 fleet::SlotMap common(const fleet::SlotMap& a, const fleet::SlotMap& b) {
   fleet::SlotMap both = a;
   for (std::size_t n = 0; n < both.slots.size(); ++n) {
@@ -23,7 +24,7 @@
 
 }  // namespace
 
-// Nothing is in force any more; what it has in the store, if anything, runs out by itself.
+// Nothing is in force any more; a record left in the store expires by itself.
 void Model::lose(Process& p) {
   p.modified = 0;
   p.valid_until = -1;
@@ -41,7 +42,7 @@
   p.keys->take_up(snapshot, now_);
 }
 
-// Every few milliseconds, and before anything is decided: what has ended, what is to be called off.
+// Every few milliseconds and before each decision: ends finished requests and cancels those that are due.
 void Model::look_after(Process& p) {
   if (!p.keys) take_up(p);
   const auto over = [&p](const Work& work) { return p.keys->over(work.place), true; };
@@ -51,7 +52,7 @@
   }
 }
 
-// One call that renews the lease, or makes the record where this process has none.
+// Renews the lease, or creates the record if this process has none.
 void Model::renew(std::size_t n) {
   if (processes_[n].modified == 0) return put_record(n, 0);
   const Millis begun = now_;
@@ -72,7 +73,7 @@
   if (p.call != 0) return;
   const std::uint64_t call = p.call = ++calls_;
   at(now_ + 600,
-     [this, n, call] {  // no answer: it may have been done or not, and one that comes late is none
+     [this, n, call] {  // timed out: the write may have been done or not, and a late answer is dropped
        if (processes_[n].call == call) processes_[n].call = 0;
      });
   const Millis begun = now_;
@@ -104,7 +105,7 @@
       if (modified == 0) q.valid_until = begun + fleet::valid_for(sharing());
       if (epoch > 0 && epoch > q.in_force.epoch) {
         q.in_force = plan;
-        // A newer one that was seen meanwhile has closed what it has closed.
+        // Slots that a newer plan seen meanwhile has closed stay closed.
         const fleet::SlotMap& map = plan.affinity.at(map_name(rule_));
         q.open = q.seen.epoch > epoch ? common(map, q.seen.affinity.at(map_name(rule_))) : map;
         take_up(q);
--- a/tests/affinity/model_test.cpp
+++ b/tests/affinity/model_test.cpp
@@ -1,5 +1,5 @@
-// Never the same key at two backends by two processes, over random histories; and each guard taken out is
-// found.
+// Over random histories no two processes send one key to two backends; a model with any one guard removed
+// fails.
 #include "model.h"
 
 #include <gtest/gtest.h>
@@ -7,14 +7,14 @@
 namespace shorelead::affinity {
 namespace {
 
-constexpr std::uint64_t kSeeds = 40;  // more by hand, with SHORELEAD_SEEDS
+constexpr std::uint64_t kSeeds = 40;  // SHORELEAD_SEEDS overrides the number
 
 std::uint64_t seeds() {
   const char* const told = std::getenv("SHORELEAD_SEEDS");
   return told == nullptr ? kSeeds : std::strtoull(told, nullptr, 10);
 }
 
-TEST(AffinityModel, OneBackendAKeyThroughAllFaults) {
+TEST(AffinityModel, EachKeyHasOneBackendThroughAllFaults) {
   int sends = 0;
   int moves = 0;
   for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
@@ -26,7 +26,7 @@
   }
   RecordProperty("sends", sends);
   RecordProperty("moves", moves);
-  // It says nothing unless keys were sent, and moved.
+  // The test proves nothing unless keys were sent and moved.
   EXPECT_GT(sends, static_cast<int>(seeds()) * 2000);
   EXPECT_GT(moves, static_cast<int>(seeds()) * 10);
 }
--- a/tests/affinity/rule_checks_test.cpp
+++ b/tests/affinity/rule_checks_test.cpp
@@ -1,4 +1,4 @@
-// What is refused at load: by table, and the search beside trying every request.
+// Problems reported at load by table; the satisfiability search compared with trying every request.
 #include "affinity/rule_checks.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
 const Condition kPut = is(Subject::kMethod, "PUT");
 const Condition kYes = field_is("x", "yes");
 
-TEST(RuleChecks, WhetherAConditionCanHold) {
+TEST(RuleChecks, DecidesWhetherAConditionCanHold) {
   const std::vector<std::pair<Condition, Can>> table = {
       {{}, Can::kYes},
       {all({kGet, kPut}), Can::kNo},
@@ -54,7 +54,7 @@
   for (std::size_t n = 0; n < table.size(); ++n) {
     EXPECT_EQ(can_hold(table[n].first, a_universe()), table[n].second) << n;
   }
-  // Pairs of fields that must differ: it ends, and says that it does not know.
+  // Pairs of fields that must differ: the search gives up after its step limit and reports that.
   std::vector<Condition> parts;
   for (int n = 0; n < 24; ++n) {
     const std::string a = "left-" + std::to_string(n), b = "right-" + std::to_string(n);
@@ -65,7 +65,7 @@
   EXPECT_EQ(can_hold(all(parts), a_universe()), Can::kTooMany);
 }
 
-// The same as trying every request of a small world.
+// A random condition over few attributes, so that every request can be tried.
 Condition gen_condition(int depth) {
   const int kind = *rc::gen::inRange(0, depth > 0 ? 7 : 4);
   if (kind == 0) return is(Subject::kRoute, *rc::gen::element<std::string>("shop", "till"));
@@ -77,7 +77,7 @@
   return kind == 5 ? all(std::move(parts)) : any(std::move(parts));
 }
 
-RC_GTEST_PROP(RuleChecks, TheSearchIsAsGoodAsTryingAll, ()) {
+RC_GTEST_PROP(RuleChecks, SearchAgreesWithTryingEveryRequest, ()) {
   const Condition condition = gen_condition(4);
   bool any = false;
   for (const auto& [route, request_class] : a_universe().routes) {
@@ -93,7 +93,7 @@
 
 struct Refused {
   std::vector<Rule> rules;
-  std::string cause;  // what the one problem begins with or holds; empty = none
+  std::string cause;  // part of the text of the only problem; empty = no problem
   std::size_t rule = 0;
   std::optional<std::size_t> other = std::nullopt;
 };
@@ -103,7 +103,7 @@
   return rule;
 }
 
-TEST(RuleChecks, RefusedWithTheReason) {
+TEST(RuleChecks, ReportsEachProblemWithItsCause) {
   const Rule any_rule = a_rule({});
   const Rule must = changed(any_rule, [](Rule& r) {
     r.must = true;
--- a/tests/affinity/rules_test.cpp
+++ b/tests/affinity/rules_test.cpp
@@ -1,4 +1,4 @@
-// Rules of affinity: which is taken, and by what key. By table.
+// Affinity rules: which one matches a request, and by which key. Table-driven.
 #include "affinity/rules.h"
 
 #include <gtest/gtest.h>
@@ -24,10 +24,10 @@
   Request request;
 };
 
-TEST(Rules, ConditionsHold) {
+TEST(Rules, EvaluatesConditions) {
   const Asked asked({{"x-test", "yes"}, {"x-empty", ""}});
   const Condition yes = is(Subject::kClass, "check");
-  const Condition no = is(Subject::kMethod, "get");  // byte by byte
+  const Condition no = is(Subject::kMethod, "get");  // methods are compared byte by byte
   const std::vector<std::pair<Condition, bool>> table = {
       {{}, true},
       {yes, true},
@@ -48,13 +48,13 @@
   for (std::size_t n = 0; n < table.size(); ++n) {
     EXPECT_EQ(holds(table[n].first, asked.request), table[n].second) << n;
   }
-  // Without any fields none is there.
+  // Without a field look-up no field is present.
   Request bare = asked.request;
   bare.field = nullptr;
   EXPECT_FALSE(holds(field_there("x-test"), bare));
 }
 
-TEST(Rules, KeysAreReadWhereTheyStand) {
+TEST(Rules, ReadsTheKeyFromEachSource) {
   using From = KeySource::From;
   const Asked asked({{"x-basket", "b1"}, {"cookie", "basketx=no; basket=b 9; quoted=\"q\";last=z "}});
   const std::vector<std::pair<KeySource, std::string>> table = {
@@ -78,13 +78,13 @@
   }
 }
 
-TEST(Rules, TheFirstThatMatchesCountsEvenWithoutAKey) {
+TEST(Rules, FirstMatchingRuleCountsEvenWithoutAKey) {
   Rule first;
   first.when = is(Subject::kMethod, "PUT");
   Rule second;
   second.when = is(Subject::kClass, "check");
   second.key = {KeySource::From::kField, "x-basket", 0};
-  Rule third;  // by tenant, which every request here has
+  Rule third;  // keyed by tenant, which every request here has
   const std::vector<Rule> rules = {first, second, third};
   const Asked with(Fields{{"x-basket", "b1"}});
   const auto found = find(rules, with.request);
@@ -100,8 +100,8 @@
   EXPECT_FALSE(find({first}, with.request));
 }
 
-// Two versions of the program side by side have one map: a key's slot never changes.
-TEST(Rules, TheSlotsOfKnownKeysStand) {
+// Two versions of the program side by side share one map, so a key's slot must never change.
+TEST(Rules, SlotsOfKnownKeysNeverChange) {
   struct Known {
     const char* key;
     std::size_t of_1024, of_65536;
@@ -114,7 +114,7 @@
   }
 }
 
-TEST(Rules, DoublingTheSlotsSplitsEach) {
+TEST(Rules, DoublingTheSlotsSplitsEachInTwo) {
   for (std::uint64_t n = 0; n < 2000; ++n) {
     const std::uint64_t key = hash_of(std::to_string(n));
     for (std::size_t slots = 1; slots <= 4096; slots *= 2) {
@@ -124,7 +124,7 @@
   }
 }
 
-TEST(Rules, AnotherKeyIsAnotherMap) {
+TEST(Rules, AnotherKeyOrUnitGivesAnotherMapName) {
   Rule rule;
   rule.name = "baskets";
   Rule other = rule;
--- a/tests/affinity/shaper_test.cpp
+++ b/tests/affinity/shaper_test.cpp
@@ -1,4 +1,4 @@
-// Maps of slots in the plan, from what planners see.
+// Slot maps in the plan, from the backends and records that planners read.
 #include "affinity/shaper.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
   return backends;
 }
 
-// One planner and processes that put each plan in force at once.
+// One planner, and processes that put each plan in force immediately.
 struct Fleet {
   explicit Fleet(Rule r, ShaperOptions options = {}) : rule(std::move(r)), shaper({rule}, options) {}
   Rule rule;
@@ -62,8 +62,9 @@
   }
 };
 
-// Any planner writes the same, whatever the order of its list; and processes that come or go move nothing.
-RC_GTEST_PROP(Shaper, EveryPlannerWritesTheSame, ()) {
+// All planners write the same maps whatever the order of their lists, and joining or leaving processes move
+// nothing.
+RC_GTEST_PROP(Shaper, AllPlannersWriteTheSameMaps, ()) {
   std::vector<BackendSeen> backends = backends_of(*rc::gen::inRange(1, 12));
   for (BackendSeen& backend : backends) backend.weight = *rc::gen::inRange(1, 5);
   Fleet one(a_rule());
@@ -80,9 +81,9 @@
   RC_ASSERT(one.owners() == before);
 }
 
-// When the slots of a backend that is no longer listed begin to move: at once, after the hold, or, where this
-// planner never saw it, once that has lasted.
-TEST(Shaper, SlotsOfABackendThatIsGone) {
+// When the slots of a backend that is no longer listed begin to move: at once, after the hold, or after
+// `unknown_for` if this planner has never seen the backend.
+TEST(Shaper, SlotsOfALostBackendMoveAfterTheirDelay) {
   struct Case {
     OnLoss on_loss;
     bool seen;
@@ -107,7 +108,7 @@
   }
 }
 
-TEST(Shaper, AColdBackendGetsItsSlotsBySteps) {
+TEST(Shaper, ColdBackendGetsItsSlotsInSteps) {
   Fleet fleet(a_rule(), {2000, 8});
   fleet.settle(backends_of(4));
   std::vector<BackendSeen> backends = backends_of(5);
@@ -126,9 +127,9 @@
   }
 }
 
-// A rule whose repeats only the old cell or zone drops: closed for the whole window, and only where it must
-// be.
-TEST(Shaper, AMoveOutlastsTheWindowForRepeats) {
+// A rule whose repeats are dropped only by the old cell or zone: a slot stays closed for the whole
+// deduplication window, and moves only if it has to.
+TEST(Shaper, MovedSlotStaysClosedForTheDeduplicationWindow) {
   Rule rule = a_rule();
   rule.still = 3000;
   Fleet fleet(rule);
@@ -144,10 +145,10 @@
   }
 }
 
-TEST(Shaper, ALostHistoryOpensNothing) {
+TEST(Shaper, EpochOfALostHistoryOpensNothing) {
   Fleet fleet(a_rule());
   fleet.shaper.see(backends_of(3));
-  fleet.records[0].epoch = 50;  // of a plan that the store no longer knows
+  fleet.records[0].epoch = 50;  // of a plan that the store has lost
   for (int n = 0; n < 5; ++n) {
     fleet.plan = fleet.next();
     EXPECT_EQ(fleet.has(""), 256);
@@ -157,7 +158,7 @@
   EXPECT_EQ(fleet.has(""), 0);
 }
 
-TEST(Shaper, AnotherNumberOfSlotsKeepsWhoHasThem) {
+TEST(Shaper, ResizingKeepsTheOwnersOfSlots) {
   Fleet fleet(a_rule());
   fleet.settle(backends_of(4));
   const fleet::SlotMap& map = fleet.plan.affinity.begin()->second;
@@ -172,7 +173,7 @@
   }
 }
 
-TEST(Shaper, AMapOfAnotherVersionOfTheFileStaysForAWhile) {
+TEST(Shaper, MapOfAnotherConfigurationVersionIsKeptForAWhile) {
   Fleet fleet(a_rule(), {2000, 64});
   fleet.settle(backends_of(4));
   Rule other = a_rule();
--- a/tests/affinity/shore_test.cpp
+++ b/tests/affinity/shore_test.cpp
@@ -1,5 +1,5 @@
-// Rules of affinity from the text of a configuration: refused with file, line and reason; what explain and
-// diff say of them.
+// Affinity rules in the text of a configuration: errors with file, line and cause; the output of explain and
+// diff.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -39,7 +39,7 @@
   return "";
 }
 
-TEST(AffinityFile, IsRefusedWithPlaceAndReason) {
+TEST(AffinityFile, ReportsErrorsWithPlaceAndCause) {
   const std::vector<std::pair<std::string, std::string>> table = {
       {"affinity a { key tenant }", ""},
       {"affinity a { when \"class check\"; key tenant }",
@@ -68,13 +68,14 @@
   const Config config = loaded(
       "affinity a { when \"route = desk\"; key tenant; must yes; on_loss refuse; hold 2 min; finish 1 min }");
   EXPECT_EQ(config.shared->affinity[0].still, 60000);
-  // What was sent before a process died may go on for the longest wait that the rule takes.
+  // A request sent before its process died may run until the longest give_up of the classes that the rule
+  // matches.
   EXPECT_EQ(config.shared->sharing.longest, 1000);
   EXPECT_EQ(loaded("affinity a { key tenant }").shared->sharing.longest, 0) << "must alone needs it";
 }
 
-// One key has one backend: a rule's requests lead to one pool, and the planner looks for it among that one's.
-TEST(AffinityFile, ARuleHasOnePool) {
+// One key has one backend, so all requests of a rule must go to one pool, from which the planner selects it.
+TEST(AffinityFile, RuleOverTwoPoolsIsRefused) {
   std::string two = kSite;
   for (const char* const route : {"route shop { ", "route desk { "}) {
     two.insert(two.find(route) + std::string(route).size(), route[6] == 's' ? "pool main; " : "pool two; ");
@@ -100,7 +101,7 @@
   return at == std::string::npos ? "" : all.substr(at);
 }
 
-TEST(AffinityFile, IsExplained) {
+TEST(AffinityFile, ExplainsTheRuleOfARequest) {
   const std::string rules =
       "affinity a { when \"plan = gold and class = check and not header X-Test\"; key parameter id; must yes "
       "}\n"
@@ -118,7 +119,7 @@
   EXPECT_EQ(explained("", "GET h.org/baskets/77", {}), "");
 }
 
-TEST(AffinityFile, DifferencesSayWhoseKeysMove) {
+TEST(AffinityFile, DiffNamesTheChangedPartOfARule) {
   const auto changed = [](const std::string& before, const std::string& after) {
     std::vector<std::string> all;
     for (const ConfigDiff& one : differences(loaded(before), loaded(after))) all.push_back(one.what);
--- a/tests/affinity/slots_test.cpp
+++ b/tests/affinity/slots_test.cpp
@@ -1,4 +1,4 @@
-// The map of slots held by property, from random histories of units that come, go and change their weights.
+// Properties of the slot map over random histories of units that come, go and change their weights.
 #include "affinity/slots.h"
 
 #include <gtest/gtest.h>
@@ -10,10 +10,10 @@
 namespace shorelead::affinity {
 namespace {
 
-// Names in order, so that places hold over to the next list by name.
+// Units are sorted by name, so that an index can be mapped to the next list by name.
 struct World {
   std::map<std::string, double> weights;
-  std::vector<std::string> owners;  // by slot; empty = nobody
+  std::vector<std::string> owners;  // by slot; empty = no owner
   double bound = 1.25;
 
   std::vector<Unit> units() const {
@@ -31,7 +31,7 @@
     for (const std::string& owner : owners) ++all[owner];
     return all;
   }
-  // One assignment; how many slots moved to whom.
+  // Runs one assignment and returns the number of slots that moved to each unit.
   std::map<std::string, int> step(std::size_t most = 1 << 20) {
     const std::vector<Unit> list = units();
     std::vector<int> places;
@@ -78,7 +78,7 @@
   return world;
 }
 
-// Whatever came before: each unit within its bounds, and a second look changes nothing.
+// After any history each unit is within its bounds, and a second assignment changes nothing.
 RC_GTEST_PROP(Slots, EveryUnitStaysWithinItsBounds, ()) {
   World world = gen_world();
   const auto held = world.held();
@@ -91,7 +91,7 @@
   RC_ASSERT(world.step().empty());
 }
 
-RC_GTEST_PROP(Slots, AUnitThatGoesMovesOnlyItsOwn, ()) {
+RC_GTEST_PROP(Slots, RemovedUnitMovesOnlyItsOwnSlots, ()) {
   World world = gen_world();
   const auto gone =
       std::next(world.weights.begin(), *rc::gen::inRange<std::ptrdiff_t>(0, std::ssize(world.weights)));
@@ -105,7 +105,7 @@
   }
 }
 
-RC_GTEST_PROP(Slots, AUnitThatComesTakesItsPartAndNothingElseMoves, ()) {
+RC_GTEST_PROP(Slots, NewUnitTakesItsShareAndNoOtherSlotMoves, ()) {
   World world = gen_world();
   world.weights["box-new"] = gen_weight();
   const double part = world.part("box-new");
@@ -126,8 +126,8 @@
   RC_ASSERT(taken >= std::floor(part * kStarved));
 }
 
-// Also where others' weights change at the same moment.
-RC_GTEST_PROP(Slots, AUnitThatComesTakesNoMoreWhateverElseChanges, ()) {
+// Also if the weights of the other units change at the same time.
+RC_GTEST_PROP(Slots, NewUnitsTakeNoMoreIfOtherWeightsChange, ()) {
   World world = gen_world();
   for (auto& [name, weight] : world.weights) weight = gen_weight();
   for (int n = 0; n < 3; ++n) world.weights["box-new" + std::to_string(n)] = gen_weight();
@@ -138,7 +138,7 @@
   }
 }
 
-RC_GTEST_PROP(Slots, WobblingWeightsMoveNothing, ()) {
+RC_GTEST_PROP(Slots, SmallWeightChangesMoveNothing, ()) {
   World world = gen_fresh();
   const double root = std::sqrt(world.bound);
   const double least = (root - 1) / (root + 1);
@@ -153,11 +153,11 @@
   }
 }
 
-// A held slot stays, and nothing moves for balance beside it.
+// A held slot does not move, and while there is one nothing moves for balance.
 RC_GTEST_PROP(Slots, HeldSlotsStay, ()) {
   World world = gen_world();
   const std::vector<Unit> units = world.units();
-  std::vector<int> owners(world.owners.size(), 0);  // all with one: the others starve
+  std::vector<int> owners(world.owners.size(), 0);  // all slots at one unit: the others are starved
   const std::size_t held = *rc::gen::inRange<std::size_t>(0, owners.size());
   owners[held] = kHeld;
   const auto next = assign(owners, units, {world.bound, 1 << 20, true});
--- a/tests/plans/admission_test.cpp
+++ b/tests/plans/admission_test.cpp
@@ -1,4 +1,5 @@
-// The order of ranks, the coin, and who is turned away: by table, and by property over random cut-offs.
+// The order of ranks, the stable sample, and which requests are rejected: by table, and by property over
+// random cut-offs.
 #include "plans/admission.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +26,7 @@
           {"free", 7, 0.05, {}, false}};
 }
 
-TEST(Order, NumbersPlansThenWorth) {
+TEST(Order, RanksByPlanThenWorth) {
   const Order order(three(), {1, 5, 5, 0.2});
   const struct {
     const char* tenant;
@@ -48,7 +49,7 @@
   EXPECT_EQ(Order({}, {}).rank_of(Order({}, {}).plan_of("x"), 0), 0);
 }
 
-TEST(Order, TellsWhatIsWrong) {
+TEST(Order, ReportsEachFault) {
   EXPECT_TRUE(faults_of(three()).empty());
   auto plans = three();
   plans.push_back({"gold", 0, 1.5, {"acme"}, true});
@@ -57,7 +58,7 @@
   EXPECT_EQ(faults_of(plans).size(), 6U);
 }
 
-// Chi-square over 64 cells, 63 degrees of freedom: over 120 once in some 50,000 fair coins.
+// Chi-square over 64 cells, 63 degrees of freedom: above 120 about once in 50,000 uniform data sets.
 double unevenness(const std::vector<double>& coins) {
   std::vector<double> cells(64, 0);
   for (const double coin : coins) ++cells[static_cast<std::size_t>(coin * 64)];
@@ -71,7 +72,7 @@
   std::vector<double> keys;
   std::vector<double> tenants;
   std::vector<double> hours;
-  std::vector<double> turned;  // how far a key's coin is from its last one, round the circle
+  std::vector<double> turned;  // distance of a key's sample from its previous one, modulo 1
   for (int n = 0; n < 20000; ++n) {
     keys.push_back(coin_of("acme", numbered("user-", n), 0));
     tenants.push_back(coin_of(numbered("t", n), "", 0));
@@ -82,9 +83,9 @@
   EXPECT_NE(coin_of("ab", "c", 0), coin_of("a", "bc", 0));
 }
 
-// Two versions of the program side by side cut the same clients: a client's coin never changes but by the
-// time.
-TEST(Coin, TheCoinsOfKnownClientsStand) {
+// Two versions of the program side by side must reject the same clients, so a client's sample depends on
+// nothing but the time.
+TEST(Coin, SamplesOfKnownClientsNeverChange) {
   EXPECT_EQ(coin_of("acme", "u-1", 1.7e12), 0.70668487052039386);
   EXPECT_EQ(coin_of("acme", "u-1", 1.7e12 + kHour), 0.0080067600416016127);
   EXPECT_EQ(coin_of("acme", "", 1.7e12), 0.60702865070164291);
@@ -106,7 +107,7 @@
   for (const auto& [minute, count] : changed) EXPECT_LT(count, 160) << minute;
 }
 
-TEST(Level, OrdersCutOffs) {
+TEST(Level, OrdersCutOffsTotally) {
   EXPECT_TRUE(rc::check([] {
     const int ranks = *rc::gen::inRange(1, 20);
     const double a = *rc::gen::inRange(0, ranks * 1000 + 1) / 1000.0;
@@ -117,8 +118,8 @@
     const int rank = *rc::gen::inRange(0, ranks);
     const int above = *rc::gen::inRange(0, rank + 1);
     const double coin = *rc::gen::inRange(0, 1000) / 1000.0;
-    // Who is taken under the lower level is under the higher one, and so is everybody above and each larger
-    // coin.
+    // A request admitted under the lower level is admitted under the higher one; so are all requests of
+    // higher ranks, and larger samples.
     if (!is_cut(lower, rank, coin)) {
       RC_ASSERT(!is_cut(higher, rank, coin));
       RC_ASSERT(above == rank || !is_cut(lower, above, 0));
@@ -128,9 +129,9 @@
   }));
 }
 
-// Whatever cut-offs follow one another and whoever comes, in no 2 s is a higher rank turned away and a lower
-// one taken, floors apart.
-TEST(Admission, KeepsTheOrderWhileTheCutOffMoves) {
+// For any sequence of cut-offs and requests, no higher rank is rejected within 2 s of a lower one being
+// admitted, floors apart.
+TEST(Admission, KeepsTheRankOrderWhileTheCutOffMoves) {
   EXPECT_TRUE(rc::check([] {
     const Order order(three(), {1, 5});
     Admission admission(order, {});
@@ -162,8 +163,8 @@
   }));
 }
 
-// And it arrives: under one cut-off for long enough just those are out that it says.
-TEST(Admission, DoesWhatTheCutOffSaysOnceItStands) {
+// After a cut-off has stood for long enough, exactly the requests that it cuts are rejected.
+TEST(Admission, FollowsACutOffThatStands) {
   const Order order({{"a", 1, 0, {}, true}, {"b", 2, 0, {}, false}}, {1, 2});
   Admission admission(order, {});
   Random random(7);
@@ -182,8 +183,8 @@
   }
 }
 
-// All is cut: each plan keeps its floor, of its best class first and with large coins first, be its clients
-// many or one; and no more than that.
+// With everything cut, each plan is admitted exactly its floor, its best class and large samples first,
+// whether it has many clients or one.
 TEST(Admission, KeepsFloors) {
   for (const int keys : {1, 3, 5000}) {
     const Order order({{"a", 1, 0.1, {}, true}, {"b", 2, 0.3, {}, false}, {"c", 3, 0, {}, false}}, {1, 2});
@@ -194,7 +195,8 @@
     std::map<int, double> coins;
     for (int n = 0; n < 60000; ++n) {
       const int plan = static_cast<int>(random.below(3));
-      const int request_class = random.below(5) == 0 ? 1 : 0;  // a fifth is of the better class
+      const int request_class =
+          random.below(5) == 0 ? 1 : 0;  // a fifth of the requests have the better class
       const double coin = coin_of("t", std::to_string(random.below(static_cast<std::size_t>(keys))), 0);
       const Verdict verdict = admission.decide({0, 1}, plan, request_class, coin, n);
       ASSERT_EQ(verdict.taken(), verdict.as == Admitted::kFloor);
@@ -207,16 +209,16 @@
     EXPECT_NEAR(kept[0] / offered[0], 0.1, 0.005) << keys;
     EXPECT_NEAR(kept[1] / offered[1], 0.3, 0.005) << keys;
     EXPECT_EQ(kept[2], 0);
-    EXPECT_GT(kept[11], 0.9 * kept[0]) << keys;            // 10 % owed, 20 % are of the better class
-    EXPECT_GT(kept[21], 0.95 * 0.2 * offered[1]) << keys;  // 30 % owed: all of that class
-    // A half of that class: large coins.
+    EXPECT_GT(kept[11], 0.9 * kept[0]) << keys;            // 10% owed, 20% are of the better class
+    EXPECT_GT(kept[21], 0.95 * 0.2 * offered[1]) << keys;  // 30% owed: all of that class
+    // Half of that class is admitted: the large samples.
     if (keys == 5000) {
       EXPECT_GT(coins[11] / kept[11], 0.65);
     }
   }
 }
 
-TEST(Admission, SpreadsWhenToComeBack) {
+TEST(Admission, SpreadsRetryTimes) {
   const Order order(three(), {1});
   Admission admission(order, {1000, 4000});
   Admission silent(order, {1000, 0});
--- a/tests/plans/cutoff_test.cpp
+++ b/tests/plans/cutoff_test.cpp
@@ -1,5 +1,5 @@
-// When there is a shortage of the fleet, and how the cut-off is moved: by table, by property, and against a
-// plant that can do so much.
+// Detection of a shortage of the fleet and control of the cut-off: by table, by property, and against a
+// simulated plant of limited capacity.
 #include "plans/cutoff.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
 
 std::vector<fleet::Record> records(std::size_t count, const fleet::Record& like) { return {count, like}; }
 
-TEST(Shortage, IsOfTheFleetOnly) {
+TEST(Shortage, IsSeenOnlyForTheWholeFleet) {
   const auto calm = record(100, 0.01, 0.4);
   const auto busy = record(100, 0.02, 0.01);
   const auto broken = record(100, 0.5, 0.4);
@@ -73,9 +73,9 @@
   }
 }
 
-// Whatever one of five or more says, in whatever place: no other verdict, and sums within three of the
-// others.
-TEST(Shortage, NoSingleRecordTurnsIt) {
+// No single record among five or more changes the verdict, and it moves the sums by at most three times what
+// another record does.
+TEST(Shortage, NoSingleRecordChangesTheVerdict) {
   EXPECT_TRUE(rc::check([] {
     const auto honest = *rc::gen::inRange<std::size_t>(4, 30);
     const bool want = *rc::gen::arbitrary<bool>();
@@ -93,7 +93,8 @@
   }));
 }
 
-// A plant that can do `able` a second, asked by six ranks for the same each; looks twice a second.
+// A plant with a capacity of `able` requests per second, offered the same load by each of six ranks and
+// observed twice a second.
 struct Plant {
   std::vector<double> offered = std::vector<double>(kRanks, 100);
   double able = 1000;
@@ -124,7 +125,7 @@
   }
 };
 
-TEST(Controller, CutsAsMuchAsNeededAndLeavesByTrials) {
+TEST(Controller, CutsAsMuchAsNeededAndReopensByTrials) {
   for (const double able : {550.0, 400.0, 300.0, 150.0}) {
     Plant plant;
     Controller controller(kRanks, {}, 1);
@@ -135,7 +136,8 @@
     const double taken = taken_at(plant.offered, controller.level());
     EXPECT_LT(taken, able * 1.2) << able;
     EXPECT_GT(taken, std::min(600.0, able) * 0.9) << able;
-    // For ever so: trials that fail grow rare, a trial and its step back at most once in a minute in the end.
+    // Under a lasting shortage failed trials become rare: in the end at most one trial and its step back a
+    // minute.
     plant.run(controller, 400000);
     plant.moves.clear();
     plant.run(controller, 240000);
@@ -146,7 +148,7 @@
   }
 }
 
-TEST(Controller, IsNotMovedByWhatPasses) {
+TEST(Controller, IgnoresShortStalls) {
   Random random(5);
   Plant plant;
   Controller controller(kRanks, {}, 1);
@@ -157,7 +159,7 @@
     plant.run(controller, 500);
   }
   EXPECT_TRUE(plant.moves.empty());
-  // A pause between looks proves nothing: short before and after it is not short throughout.
+  // Short before and after a gap between observations does not count as short throughout.
   plant.able = 200;
   for (int n = 0; n < 50; ++n) {
     plant.run(controller, 2500);
@@ -166,9 +168,9 @@
   EXPECT_TRUE(plant.moves.empty());
 }
 
-// A planner's own cut-off is written some time later; another planner's is taken over and held; a move is not
-// judged before the records have it.
-TEST(CutOffShaper, WaitsForThePlanAndTakesOverAnothers) {
+// A planner's own cut-off is written with a delay; another planner's is adopted and held; a move is judged
+// only once the records have it.
+TEST(CutOffShaper, WaitsForItsPlanAndAdoptsAnotherPlanners) {
   CutOffShaper shaper(kRanks, {}, 1);
   fleet::Plan standing;
   standing.epoch = 4;
@@ -184,7 +186,7 @@
   }
   EXPECT_GE(now, 3000);
   EXPECT_LE(now, 4000);
-  // Not written yet, asked for all the same; then in the plan, in no record for 4 s.
+  // Requested while it is not written yet; then in the plan, but in no record for 4 s.
   EXPECT_EQ(look(), cut);
   standing.epoch = 5;
   standing.cut_off = cut;
@@ -196,7 +198,7 @@
   // In force after 4 s, two ranks passed in 4 s more, queues drained in 1.5 s, short for 2 s.
   EXPECT_GE(now - since, 11000);
   EXPECT_LE(now - since, 13000);
-  // Another one's: as it is, for a hold at least; it is no trial of ours that could be stepped back.
+  // Another planner's cut-off is held for at least `hold`; it is no trial that could be stepped back.
   standing.epoch = 9;
   standing.cut_off = {2, 0.5};
   all = records(5, record(100, 0, 0.05));
@@ -207,7 +209,7 @@
   EXPECT_LE(now - adopted, 13000);
 }
 
-TEST(LocalShedder, KeepsThePlansCutOffWhileItCountsThenGoesOnFromIt) {
+TEST(LocalShedder, KeepsThePlansCutOffWhileValidThenContinuesFromIt) {
   LocalShedder local(kRanks, {}, 1);
   const auto want = record(100, 0.6, 0).ranks;
   const auto calm = record(100, 0, 0.5).ranks;
--- a/tests/plans/fleet_test.cpp
+++ b/tests/plans/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Whole plays of the simulated fleet (bench/plans): what must hold in each, and beside no plans at all.
+// Whole runs of the simulated fleet (bench/plans): the limits that each scenario must meet, compared with a
+// run without plans.
 #include <gtest/gtest.h>
 
 #include "sim.h"
@@ -9,8 +10,8 @@
 struct Expected {
   const char* scenario;
   bool sheds;
-  double worth;  // of what is served without plans, at least
-  double first;  // of the highest rank's requests, in time
+  double worth;  // at least this multiple of the worth served without plans
+  double first;  // share of the highest rank's requests served in time
 };
 
 class Plays : public testing::TestWithParam<Expected> {};
