--- a/bench/affinity/compare.cpp
+++ b/bench/affinity/compare.cpp
@@ -17,7 +17,7 @@
 using namespace shorelead::affinity;
 
 constexpr int kKeys = 200000;
-using Backends = std::vector<BackendSeen>;
+using Backends = std::vector<BackendStatus>;
 using Homes = std::vector<std::string>;  // by key; empty: its slot is closed
 
 std::uint64_t key(int n) { return hash_of("customer-" + std::to_string(n)); }
@@ -38,7 +38,7 @@
 
 Homes rendezvous(const Backends& backends) {
   std::vector<std::pair<Unit, std::uint64_t>> units;
-  for (const BackendSeen& backend : backends)
+  for (const BackendStatus& backend : backends)
     units.push_back({{backend.name, backend.weight}, hash_of(backend.name)});
   Homes homes;
   for (int n = 0; n < kKeys; ++n) {
@@ -102,9 +102,9 @@
   std::map<std::string, double> load;
   for (const std::string& home : homes) load[home] += 1;
   double weights = 0;
-  for (const BackendSeen& backend : backends) weights += backend.weight;
+  for (const BackendStatus& backend : backends) weights += backend.weight;
   double most = 0;
-  for (const BackendSeen& backend : backends)
+  for (const BackendStatus& backend : backends)
     most = std::max(most, load[backend.name] * weights / backend.weight / kKeys);
   return most;
 }
@@ -123,7 +123,7 @@
   };
   double had = 0;
   double weights = 0;
-  for (const BackendSeen& backend : all) weights += backend.weight;
+  for (const BackendStatus& backend : all) weights += backend.weight;
   for (const int n : {7, 31}) had += all[static_cast<std::size_t>(n)].weight;
   const Homes m50 = modulo(all), m48 = modulo(fewer), r50 = rendezvous(all), r48 = rendezvous(fewer);
   row("modulo", m50, m48, m50, moved(m48, m50));
--- a/bench/affinity/look_up.cpp
+++ b/bench/affinity/look_up.cpp
@@ -61,7 +61,7 @@
 void request_path(benchmark::State& state) {
   const auto slots = static_cast<std::size_t>(state.range(0));
   const std::vector<Rule> rules = rules_of(slots);
-  const Seats seats(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
+  const SlotOwners seats(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
   std::vector<std::string> baskets;
   for (int n = 0; n < 4096; ++n) baskets.push_back("basket-" + std::to_string(1000000 + n));
   // As a parsed head has them: few fields, in a row.
@@ -83,8 +83,8 @@
     head[3].second = baskets[n++ % baskets.size()];
     const Request request = {"shop", "check", "acme", "gold", "GET", "/baskets/7", "/baskets/{id}", &field};
     const auto found = find(rules, request);
-    Ask ask{&rules[found->rule],  found->keyed,     seats.any(), true,
-            seats.at(found->key), Standing::kReady, -1,          0};
+    RoutingQuery ask{&rules[found->rule],  found->keyed,       seats.any(), true,
+                     seats.at(found->key), UnitStatus::kReady, -1,          0};
     benchmark::DoNotOptimize(choose(ask));
   }
   state.counters["allocations"] =
@@ -93,7 +93,7 @@
 
 void seat_alone(benchmark::State& state) {
   const auto slots = static_cast<std::size_t>(state.range(0));
-  const Seats seats(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
+  const SlotOwners seats(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
   std::uint64_t key = 1;
   const std::uint64_t before = allocations;
   for (auto _ : state) {
@@ -117,7 +117,7 @@
   const std::vector<Rule> rules = rules_of(slots);
   Bindings bindings(rules, 1000);
   bindings.take_up(snapshot_of(rules, slots), 0);
-  const Bindings::Look look = [](To, const std::string&) { return std::optional(Standing::kReady); };
+  const Bindings::Look look = [](Scope, const std::string&) { return std::optional(UnitStatus::kReady); };
   std::uint64_t key = 1;
   bindings.over(bindings.arrive(1, {2, true, key}, true, 1000, 0, look).place);
   const std::uint64_t before = allocations;
@@ -139,8 +139,8 @@
   for (auto _ : state) bindings.take_up(snapshot, 0);
 }
 
-std::vector<BackendSeen> backends_of(std::int64_t count) {
-  std::vector<BackendSeen> backends;
+std::vector<BackendStatus> backends_of(std::int64_t count) {
+  std::vector<BackendStatus> backends;
   for (std::int64_t n = 0; n < count; ++n)
     backends.push_back({"box-" + std::to_string(n), "", "", 1, 1, false});
   return backends;
@@ -150,7 +150,7 @@
 void planner(benchmark::State& state) {
   const auto slots = static_cast<std::size_t>(state.range(0));
   const std::int64_t kind = state.range(2);
-  std::vector<BackendSeen> backends = backends_of(state.range(1));
+  std::vector<BackendStatus> backends = backends_of(state.range(1));
   const std::vector<fleet::Record> records(20);
   const std::vector<Rule> rules = {rules_of(slots)[2]};
   Shaper shaper(rules, {});
--- a/src/affinity/bindings.cpp
+++ b/src/affinity/bindings.cpp
@@ -34,14 +34,14 @@
   };
   for (std::size_t n = 0; n < rules_.size(); ++n) {
     const auto map = snapshot.affinity.find(names_[n]);
-    seats_[n] = map == snapshot.affinity.end() ? Seats() : Seats(map->second, index_of);
+    seats_[n] = map == snapshot.affinity.end() ? SlotOwners() : SlotOwners(map->second, index_of);
   }
   closing_ = 0;
   for (Place& place : places_) {
     if (place.state != State::kUnderWay) continue;
     place.unit = index_of(units_[static_cast<std::size_t>(place.unit)]);
-    const Seats& seats = seats_[place.found.rule];
-    const Seat seat = seats.any() ? seats.at(place.found.key) : Seat{};
+    const SlotOwners& seats = seats_[place.found.rule];
+    const SlotOwner seat = seats.any() ? seats.at(place.found.key) : SlotOwner{};
     const bool open = place.incarnation == incarnation_ && seat.open && seat.unit == place.unit;
     // A cancelled request stays closed, also if its slot goes back to its backend.
     if (!open && place.closed_at < 0) place.closed_at = now;
@@ -51,10 +51,10 @@
   units_ = std::move(units);
 }
 
-Bindings::Answer Bindings::ask(const Found& found, bool valid, Millis waited, const Look& look) const {
+Bindings::Answer Bindings::ask(const RuleMatch& found, bool valid, Millis waited, const Look& look) const {
   const Rule& rule = rules_[found.rule];
-  const Seats& seats = seats_[found.rule];
-  Ask one;
+  const SlotOwners& seats = seats_[found.rule];
+  RoutingQuery one;
   one.rule = &rule;
   one.keyed = found.keyed;
   one.mapped = seats.any();
@@ -64,32 +64,34 @@
   one.seat = seats.at(found.key);
   if (one.seat.unit < 0) return {choose(one), nullptr};
   const std::string& unit = units_[static_cast<std::size_t>(one.seat.unit)];
-  const std::optional<Standing> standing = look(rule.to, unit);
+  const std::optional<UnitStatus> standing = look(rule.to, unit);
   if (!standing) one.seat.unit = -1;
-  one.standing = standing.value_or(Standing::kGone);
+  one.standing = standing.value_or(UnitStatus::kGone);
   return {choose(one), &unit};
 }
 
-Bindings::Said Bindings::said(const Found& found, const Answer& answer, int place) {
+Bindings::Said Bindings::said(const RuleMatch& found, const Answer& answer, int place) {
   const Decision& d = answer.decision;
-  if (d.go != Go::kWait) ++counters_[found.rule].by[static_cast<std::size_t>(d.why)];
-  const bool there = d.go == Go::kOnly || d.go == Go::kPrefer;
+  if (d.go != RoutingAction::kWait) ++counters_[found.rule].by[static_cast<std::size_t>(d.why)];
+  const bool there = d.go == RoutingAction::kOnly || d.go == RoutingAction::kPrefer;
   return {d.go, d.why, there ? answer.unit : nullptr, rules_[found.rule].to, place};
 }
 
-Bindings::Said Bindings::arrive(std::uint32_t request, const Found& found, bool valid, Millis until,
+Bindings::Said Bindings::arrive(std::uint32_t request, const RuleMatch& found, bool valid, Millis until,
                                 Millis now, const Look& look) {
   Answer answer = ask(found, valid, 0, look);
   Decision& decision = answer.decision;
   until = waits_until(until, now);
-  if (decision.go == Go::kWait && now >= until) decision.go = Go::kRefuse;
-  if (decision.go == Go::kWait && !room_.enter()) decision = {Go::kRefuse, -1, Why::kQueueFull};
-  if (decision.go != Go::kWait && decision.go != Go::kOnly) return said(found, answer, -1);
+  if (decision.go == RoutingAction::kWait && now >= until) decision.go = RoutingAction::kRefuse;
+  if (decision.go == RoutingAction::kWait && !room_.enter())
+    decision = {RoutingAction::kRefuse, -1, RoutingReason::kQueueFull};
+  if (decision.go != RoutingAction::kWait && decision.go != RoutingAction::kOnly)
+    return said(found, answer, -1);
   const int n = take_place();
   Place& place = at(n);
   place.request = request;
   place.found = found;
-  if (decision.go == Go::kWait) {
+  if (decision.go == RoutingAction::kWait) {
     place.state = State::kWaiting;
     place.since = now;
     place.until = until;
@@ -107,11 +109,11 @@
   Place& place = at(n);
   Answer answer = ask(place.found, valid, now - place.since, look);
   Decision& decision = answer.decision;
-  if (decision.go == Go::kWait && now >= place.until) decision.go = Go::kRefuse;
-  if (decision.go == Go::kWait) return said(place.found, answer, n);
-  const Found found = place.found;
+  if (decision.go == RoutingAction::kWait && now >= place.until) decision.go = RoutingAction::kRefuse;
+  if (decision.go == RoutingAction::kWait) return said(place.found, answer, n);
+  const RuleMatch found = place.found;
   leave(n);
-  if (decision.go != Go::kOnly) return said(found, answer, -1);
+  if (decision.go != RoutingAction::kOnly) return said(found, answer, -1);
   // Takes the entry that leave() has just released.
   const int taken = take_place();
   Place& now_there = at(taken);
@@ -153,7 +155,7 @@
     UnderWay under_way;
     under_way.count = 1;
     under_way.closed_for = place.closed_at < 0 ? 0 : now - place.closed_at;
-    under_way.drains = look(rule.to, units_[static_cast<std::size_t>(place.unit)]) == Standing::kDraining;
+    under_way.drains = look(rule.to, units_[static_cast<std::size_t>(place.unit)]) == UnitStatus::kDraining;
     under_way.valid = its;
     if (closing(rule, under_way) != Closing::kCallOff) continue;
     place.called_off = true;
--- a/src/affinity/bindings.h
+++ b/src/affinity/bindings.h
@@ -25,22 +25,22 @@
 
 namespace shorelead::affinity {
 
-inline constexpr std::size_t kWhys = 11;
+inline constexpr std::size_t kRoutingReasons = 11;
 
 class Bindings {
  public:
   // Returns the host's status of a unit; nullopt: the host knows no unit of that name.
-  using Look = std::function<std::optional<Standing>(To, const std::string& unit)>;
+  using Look = std::function<std::optional<UnitStatus>(Scope, const std::string& unit)>;
 
   struct Said {
-    Go go = Go::kFree;
-    Why why = Why::kNoKey;
+    RoutingAction go = RoutingAction::kFree;
+    RoutingReason why = RoutingReason::kNoKey;
     const std::string* unit = nullptr;  // kOnly, kPrefer: valid until the next take_up()
-    To to = To::kBackend;
+    Scope to = Scope::kBackend;
     int place = -1;  // kOnly: valid until over(); kWait: until again() decides otherwise, or leave()
   };
   struct Counters {
-    std::array<std::uint64_t, kWhys> by{};  // requests by the reason of their decision
+    std::array<std::uint64_t, kRoutingReasons> by{};  // requests by the reason of their decision
     std::uint64_t waited = 0;
     std::uint64_t called_off = 0;
   };
@@ -54,7 +54,7 @@
 
   // `valid`: whether the snapshot is valid now; `until`: the request's deadline. Allocates nothing but
   // entries, which are reused.
-  Said arrive(std::uint32_t request, const Found& found, bool valid, Millis until, Millis now,
+  Said arrive(std::uint32_t request, const RuleMatch& found, bool valid, Millis until, Millis now,
               const Look& look);
   Said again(int place, bool valid, Millis now, const Look& look);
   void leave(int place);  // stops waiting: the client has disconnected
@@ -79,7 +79,7 @@
   struct Place {
     State state = State::kFree;
     std::uint32_t request = 0;
-    Found found;
+    RuleMatch found;
     int unit = -1;  // in flight: its unit
     std::uint64_t incarnation = 0;
     Millis since = 0, until = 0;  // while waiting
@@ -92,17 +92,17 @@
   };
 
   Place& at(int place) { return places_[static_cast<std::size_t>(place)]; }
-  Answer ask(const Found& found, bool valid, Millis waited, const Look& look) const;
+  Answer ask(const RuleMatch& found, bool valid, Millis waited, const Look& look) const;
   Said settle(int place, const Answer& answer, bool in_time, Millis now);
   int take_place();
   void give_place(int place);
-  Said said(const Found& found, const Answer& answer, int place);
+  Said said(const RuleMatch& found, const Answer& answer, int place);
 
   const std::vector<Rule> rules_;
   std::vector<std::string> names_;  // of the maps, by rule
-  WaitingRoom room_;
+  WaitQueue room_;
   std::uint64_t incarnation_ = 0;  // of the maps
-  std::vector<Seats> seats_;       // by rule
+  std::vector<SlotOwners> seats_;  // by rule
   std::vector<std::string> units_;
   std::vector<Place> places_;
   std::vector<int> free_;
--- a/src/affinity/choice.h
+++ b/src/affinity/choice.h
@@ -21,35 +21,35 @@
 namespace shorelead::affinity {
 
 // The owner of a slot as the request path reads it: the unit by the host's own index.
-struct Seat {
+struct SlotOwner {
   int unit = -1;  // -1: a unit that this process does not know
   bool open = false;
 };
 
 // A slot map prepared for look-ups by the control thread; immutable afterwards.
-class Seats {
+class SlotOwners {
  public:
-  Seats() = default;
-  Seats(const fleet::SlotMap& map, const std::function<int(const std::string&)>& index_of);
+  SlotOwners() = default;
+  SlotOwners(const fleet::SlotMap& map, const std::function<int(const std::string&)>& index_of);
 
   bool any() const { return !seats_.empty(); }
   std::size_t size() const { return seats_.size(); }
   // One array access; no allocation, no lock. Requires any().
-  Seat at(std::uint64_t key) const { return seats_[slot_of(key, seats_.size())]; }
+  SlotOwner at(std::uint64_t key) const { return seats_[slot_of(key, seats_.size())]; }
 
  private:
-  std::vector<Seat> seats_;
+  std::vector<SlotOwner> seats_;
 };
 
 // The status of a slot's unit as this process sees it now. A cell or zone is kReady if any backend of it is.
-enum class Standing {
+enum class UnitStatus {
   kReady,
   kFull,      // cold with no slow-start budget left (rule 4), or its queue is over the bound
   kDraining,  // takes no new requests (rule 3)
   kGone,
 };
 
-enum class Go {
+enum class RoutingAction {
   kOnly,    // to this unit or to none
   kPrefer,  // to this unit, unless the policy decides against it
   kFree,    // routed as if there were no rule
@@ -58,7 +58,7 @@
 };
 
 // The reason of a decision; each has a counter of that name.
-enum class Why {
+enum class RoutingReason {
   kKept,       // sent to the unit that owns its key
   kNoKey,      // the rule matches, but the request has no key
   kNoMap,      // no plan has been in force here yet
@@ -72,34 +72,34 @@
   kQueueFull,  // the wait queue is full
 };
 
-struct Ask {
+struct RoutingQuery {
   const Rule* rule = nullptr;
   bool keyed = true;
   bool mapped = false;  // the snapshot in force has a map for the rule
   bool valid = false;   // checked now: fleet::Member::valid_until() is not over
-  Seat seat;
-  Standing standing = Standing::kReady;
+  SlotOwner seat;
+  UnitStatus standing = UnitStatus::kReady;
   int repeat_at =
       -1;  // an earlier attempt may have run and only this unit drops the repeat; -1: none, or all units do
   Millis waited = 0;
 };
 
 struct Decision {
-  Go go = Go::kFree;
+  RoutingAction go = RoutingAction::kFree;
   int unit = -1;  // kOnly, kPrefer
-  Why why = Why::kKept;
+  RoutingReason why = RoutingReason::kKept;
 
   bool operator==(const Decision&) const = default;
 };
 
 // Does not allocate. Returns kWait only for `must`, and only while `waited` is below `Rule::wait`; the caller
-// then needs a place in its WaitingRoom, and refuses with kQueueFull if there is none.
-Decision choose(const Ask& ask);
+// then needs a place in its WaitQueue, and refuses with kQueueFull if there is none.
+Decision choose(const RoutingQuery& ask);
 
 // Limits how many requests of a node wait for slots at a time, over all rules. Not thread-safe.
-class WaitingRoom {
+class WaitQueue {
  public:
-  explicit WaitingRoom(int most) : most_(most) {}
+  explicit WaitQueue(int most) : most_(most) {}
   bool enter() { return inside_ < most_ && ++inside_ > 0; }  // false: full, the request is rejected at once
   void leave() { --inside_; }
   int inside() const { return inside_; }
--- a/src/affinity/rule_checks.cpp
+++ b/src/affinity/rule_checks.cpp
@@ -32,7 +32,7 @@
   for (const auto& [name, one] : universe.classes) {
     if (!one.narrow || one.window <= 0) continue;
     if (worst && universe.classes.at(*worst).window >= one.window) continue;
-    if (can_hold(all({rule.when, is(Subject::kClass, name)}), universe) != Can::kNo) worst = name;
+    if (can_hold(all({rule.when, is(Subject::kClass, name)}), universe) != Satisfiability::kNo) worst = name;
   }
   return worst;
 }
@@ -102,27 +102,29 @@
     const bool any = std::any_of(universe_.paths.begin(), universe_.paths.end(), [&](const auto& route) {
       const std::size_t found = (route.second + "/").find(wanted + "/");
       return found != std::string::npos &&
-             can_hold(all({rule.when, is(Subject::kRoute, route.first)}), universe_) != Can::kNo;
+             can_hold(all({rule.when, is(Subject::kRoute, route.first)}), universe_) != Satisfiability::kNo;
     });
     if (!any) problem("no route that it takes has a parameter {" + rule.key.name + "}");
   }
 
   void reached(const Rule& rule) {
-    const Can alone = can_hold(rule.when, universe_);
-    if (alone == Can::kTooMany) return problem("its condition names too many words to be decided; divide it");
-    if (alone == Can::kNo)
+    const Satisfiability alone = can_hold(rule.when, universe_);
+    if (alone == Satisfiability::kTooMany)
+      return problem("its condition names too many words to be decided; divide it");
+    if (alone == Satisfiability::kNo)
       return problem("it never matches: its condition contradicts itself, or what there is");
     std::vector<Condition> left = {rule.when};
     for (std::size_t n = 0; n < at_; ++n) {
-      if (can_hold(all({rule.when, negated(rules_[n].when)}), universe_) == Can::kNo) {
+      if (can_hold(all({rule.when, negated(rules_[n].when)}), universe_) == Satisfiability::kNo) {
         return problem("it is never reached: \"" + rules_[n].name + "\" before it takes all its requests", n);
       }
       left.push_back(negated(rules_[n].when));
     }
-    const Can together = can_hold(all(std::move(left)), universe_);
-    if (together == Can::kNo)
+    const Satisfiability together = can_hold(all(std::move(left)), universe_);
+    if (together == Satisfiability::kNo)
       return problem("it is never reached: those before it together take all its requests");
-    if (together == Can::kTooMany) problem("whether it is ever reached cannot be decided; make it simpler");
+    if (together == Satisfiability::kTooMany)
+      problem("whether it is ever reached cannot be decided; make it simpler");
   }
 
   void bound(const Rule& rule) {
--- a/src/affinity/rules.cpp
+++ b/src/affinity/rules.cpp
@@ -152,12 +152,12 @@
   return {};
 }
 
-std::optional<Found> find(const std::vector<Rule>& rules, const Request& request) {
+std::optional<RuleMatch> find(const std::vector<Rule>& rules, const Request& request) {
   for (std::size_t n = 0; n < rules.size(); ++n) {
     if (!holds(rules[n].when, request)) continue;
     const std::string_view key = key_of(rules[n].key, request);
-    if (key.empty()) return Found{n, false, 0};
-    return Found{n, true, hash_of(key)};
+    if (key.empty()) return RuleMatch{n, false, 0};
+    return RuleMatch{n, true, hash_of(key)};
   }
   return std::nullopt;
 }
--- a/src/affinity/rules.h
+++ b/src/affinity/rules.h
@@ -47,7 +47,7 @@
   bool operator==(const KeySource&) const = default;
 };
 
-enum class To { kBackend, kCell, kZone };
+enum class Scope { kBackend, kCell, kZone };
 enum class OnDrain { kFinish, kMove };
 enum class OnLoss { kMove, kRefuse };
 
@@ -56,7 +56,7 @@
   std::string place;  // file:line
   Condition when;
   KeySource key;
-  To to = To::kBackend;
+  Scope to = Scope::kBackend;
   bool must = false;  // else `prefer`
   // How long an assignment to a lost backend is kept (OnLoss::kRefuse) before its keys move to another one.
   Millis hold = 0;
@@ -89,14 +89,14 @@
 // Returns the bytes of the key; empty = none. Also used by `config explain` and by tests.
 std::string_view key_of(const KeySource& source, const Request& request);
 
-struct Found {
+struct RuleMatch {
   std::size_t rule = 0;
   bool keyed = false;     // false: the request has no key and is routed as if there were no rule
   std::uint64_t key = 0;  // xxhash (XXH3) of the key's bytes
 };
 
 // Returns the first rule whose condition holds. O(size of the conditions), no allocation.
-std::optional<Found> find(const std::vector<Rule>& rules, const Request& request);
+std::optional<RuleMatch> find(const std::vector<Rule>& rules, const Request& request);
 
 std::uint64_t hash_of(std::string_view text);
 // Returns the slot of a key; `slots` is a power of two. Uses the upper bits, so that doubling the number of
--- a/src/affinity/satisfy.cpp
+++ b/src/affinity/satisfy.cpp
@@ -69,7 +69,7 @@
     }
   }
 
-  Can decide() { return from(0); }
+  Satisfiability decide() { return from(0); }
 
  private:
   // Returns the value itself if the condition names it, else kOther; an empty one stays empty.
@@ -106,16 +106,16 @@
     return pairs(Subject::kTenant, Subject::kPlan, all);
   }
 
-  Can from(std::size_t depth) {
-    if (++steps_ > kMostSteps) return Can::kTooMany;
+  Satisfiability from(std::size_t depth) {
+    if (++steps_ > kMostSteps) return Satisfiability::kTooMany;
     const Truth now = truth(condition_, words_);
-    if (now != Truth::kOpen) return now == Truth::kYes ? Can::kYes : Can::kNo;
-    Can best = Can::kNo;
+    if (now != Truth::kOpen) return now == Truth::kYes ? Satisfiability::kYes : Satisfiability::kNo;
+    Satisfiability best = Satisfiability::kNo;
     for (const Words& choice : choices_[depth]) {
       for (const auto& [word, value] : choice) words_[word] = value;
-      const Can here = from(depth + 1);
-      if (here == Can::kYes || here == Can::kTooMany) best = here;
-      if (best != Can::kNo) break;
+      const Satisfiability here = from(depth + 1);
+      if (here == Satisfiability::kYes || here == Satisfiability::kTooMany) best = here;
+      if (best != Satisfiability::kNo) break;
     }
     for (const auto& [word, value] : choices_[depth].empty() ? Words() : choices_[depth][0])
       words_.erase(word);
@@ -131,7 +131,7 @@
 
 }  // namespace
 
-Can can_hold(const Condition& condition, const Universe& universe) {
+Satisfiability can_hold(const Condition& condition, const Universe& universe) {
   return Search(condition, universe).decide();
 }
 
--- a/src/affinity/shaper.cpp
+++ b/src/affinity/shaper.cpp
@@ -7,8 +7,8 @@
 namespace shorelead::affinity {
 namespace {
 
-const std::string& unit_name(const BackendSeen& backend, To to) {
-  return to == To::kBackend ? backend.name : to == To::kCell ? backend.cell : backend.zone;
+const std::string& unit_name(const BackendStatus& backend, Scope to) {
+  return to == Scope::kBackend ? backend.name : to == Scope::kCell ? backend.cell : backend.zone;
 }
 
 // Returns the unit that has a slot, or the one that a closed slot moves to.
@@ -36,7 +36,7 @@
 Shaper::Units Shaper::units_of(const Rule& rule) const {
   Units units;
   std::map<std::string, double> weights;
-  for (const BackendSeen& backend : backends_) {
+  for (const BackendStatus& backend : backends_) {
     const bool its = rule.pool.empty() || backend.pool.empty() || rule.pool == backend.pool;
     const std::string& name = unit_name(backend, rule.to);
     if (name.empty() || !its) continue;  // a backend without a cell or zone belongs to none
@@ -81,7 +81,7 @@
     counters_.held += it->second == kHeld;
     closed += !slot.open;
   }
-  Moves moves;
+  SlotMoves moves;
   moves.bound = rule.bound;
   moves.most = options_.most_moves - std::min(options_.most_moves, closed);
   // A slot that has to stay closed for a deduplication window is not moved for balance.
@@ -145,7 +145,7 @@
       if (it != standing->affinity.end()) old = &it->second;
     }
     maps[name] = shaped(rule, old, next.epoch, records, standing_epoch, now);
-    for (const BackendSeen& backend : backends_) known_.emplace(rule.to, unit_name(backend, rule.to));
+    for (const BackendStatus& backend : backends_) known_.emplace(rule.to, unit_name(backend, rule.to));
   }
   // Keeps maps of another version of the configuration file, which other processes may still use.
   if (standing != nullptr) {
@@ -160,9 +160,10 @@
 
 // Drops state of backends and maps that are gone, so that it does not grow without bound.
 void Shaper::forget(const std::map<std::string, fleet::SlotMap>& maps) {
-  std::set<std::pair<To, std::string>> listed;
-  for (const BackendSeen& backend : backends_) {
-    for (const To to : {To::kBackend, To::kCell, To::kZone}) listed.emplace(to, unit_name(backend, to));
+  std::set<std::pair<Scope, std::string>> listed;
+  for (const BackendStatus& backend : backends_) {
+    for (const Scope to : {Scope::kBackend, Scope::kCell, Scope::kZone})
+      listed.emplace(to, unit_name(backend, to));
   }
   std::erase_if(missing_, [this](const auto& one) { return met_.count(one.first) == 0; });
   std::erase_if(known_, [&](const auto& one) { return listed.count(one) == 0 && met_.count(one) == 0; });
--- a/src/affinity/shaper.h
+++ b/src/affinity/shaper.h
@@ -33,7 +33,7 @@
 namespace shorelead::affinity {
 
 // A backend in the planner's list, including those that drain.
-struct BackendSeen {
+struct BackendStatus {
   std::string name, cell, zone;
   double weight = 1;  // its ALBL share, in any unit; 0 or less: no slots
   double warm = 1;    // the share of its capacity that it has now, 0 to 1
@@ -60,7 +60,7 @@
       : rules_(std::move(rules)), options_(options) {}
 
   void set(std::vector<Rule> rules) { rules_ = std::move(rules); }  // after a reload
-  void see(std::vector<BackendSeen> backends) { backends_ = std::move(backends); }
+  void see(std::vector<BackendStatus> backends) { backends_ = std::move(backends); }
 
   // `next.epoch` is the epoch that the plan will be written with. If no slot moves, `next.affinity` equals
   // the standing plan's. O(rules x slots) if nothing moves.
@@ -79,10 +79,11 @@
 
   std::vector<Rule> rules_;
   ShaperOptions options_;
-  std::vector<BackendSeen> backends_;
-  std::set<std::pair<To, std::string>> known_;            // units that this process has seen in the list
-  std::map<std::pair<To, std::string>, Millis> missing_;  // since when a unit that owns slots is not listed
-  std::set<std::pair<To, std::string>> met_;              // units of `missing_` found in this round
+  std::vector<BackendStatus> backends_;
+  std::set<std::pair<Scope, std::string>> known_;  // units that this process has seen in the list
+  std::map<std::pair<Scope, std::string>, Millis>
+      missing_;                                  // since when a unit that owns slots is not listed
+  std::set<std::pair<Scope, std::string>> met_;  // units of `missing_` found in this round
   std::map<std::pair<std::string, std::size_t>, Millis> quiet_;  // closed and acknowledged since (`still`)
   std::map<std::string, Millis>
       unused_;  // since when a map of the plan belongs to none of this process's rules
--- a/src/affinity/slots.cpp
+++ b/src/affinity/slots.cpp
@@ -15,7 +15,7 @@
 
 class Assignment {
  public:
-  Assignment(const std::vector<int>& owners, const std::vector<Unit>& units, const Moves& moves)
+  Assignment(const std::vector<int>& owners, const std::vector<Unit>& units, const SlotMoves& moves)
       : owners_(owners), units_(units), moves_(moves), held_(units.size(), 0), part_(units.size(), 0) {
     double weights = 0;
     for (const Unit& unit : units) {
@@ -151,7 +151,7 @@
 
   std::vector<int> owners_;
   const std::vector<Unit>& units_;
-  const Moves& moves_;
+  const SlotMoves& moves_;
   std::vector<std::uint64_t> hashes_;
   std::vector<int> held_;
   std::vector<double> part_;
@@ -167,7 +167,8 @@
   return -unit.weight / std::log(u);
 }
 
-std::vector<int> assign(const std::vector<int>& owners, const std::vector<Unit>& units, const Moves& moves) {
+std::vector<int> assign(const std::vector<int>& owners, const std::vector<Unit>& units,
+                        const SlotMoves& moves) {
   return units.empty() ? owners : Assignment(owners, units, moves).moved();
 }
 
--- a/src/affinity/slots.h
+++ b/src/affinity/slots.h
@@ -42,7 +42,7 @@
   double weight = 1;  // > 0, in any measure
 };
 
-struct Moves {
+struct SlotMoves {
   double bound = 1.25;    // B, at least 1
   std::size_t most = 64;  // slots moved for balance; slots of units that have gone are not limited
   bool balance = true;    // false: only slots without an owner move
@@ -51,7 +51,8 @@
 // Returns the next owner of each slot, as an index into `units` (sorted by name, each once). `owners` are the
 // present ones, kNobody or kHeld. While any slot is held, nothing moves for balance; without units nothing
 // moves at all. O(slots without a unit x units + slots of units above their shares x units below theirs).
-std::vector<int> assign(const std::vector<int>& owners, const std::vector<Unit>& units, const Moves& moves);
+std::vector<int> assign(const std::vector<int>& owners, const std::vector<Unit>& units,
+                        const SlotMoves& moves);
 
 // Returns a unit's score for a slot; the unit with the highest score ranks first.
 double score(std::size_t slot, const Unit& unit, std::uint64_t unit_hash);
--- a/src/node/affinity_binding.cpp
+++ b/src/node/affinity_binding.cpp
@@ -41,7 +41,9 @@
   rule.place = section.place.file + ":" + std::to_string(section.place.line);
   rule.key = key_of(section.words.at("key"));
   const std::string to = section.word("to");
-  rule.to = to == "cell" ? affinity::To::kCell : to == "zone" ? affinity::To::kZone : affinity::To::kBackend;
+  rule.to = to == "cell"   ? affinity::Scope::kCell
+            : to == "zone" ? affinity::Scope::kZone
+                           : affinity::Scope::kBackend;
   rule.must = section.number("must").value_or(0) > 0;
   rule.hold = section.number("hold").value_or(rule.hold);
   if (section.word("on_drain") == "move") rule.on_drain = affinity::OnDrain::kMove;
@@ -61,7 +63,7 @@
 bool can_match(const affinity::Rule& rule, affinity::Subject subject, const std::string& value,
                const affinity::Universe& universe) {
   return affinity::can_hold(affinity::all({affinity::is(subject, value), rule.when}), universe) !=
-         affinity::Can::kNo;
+         affinity::Satisfiability::kNo;
 }
 
 // Returns the indices of the pools that requests of a rule can be routed to; fallbacks are not counted.
--- a/src/node/affinity_planner.h
+++ b/src/node/affinity_planner.h
@@ -22,7 +22,7 @@
       : shaper_(std::move(rules), affinity::ShaperOptions()) {}
 
   // On the traffic thread.
-  void put(std::vector<affinity::BackendSeen> backends) { backends_.put(std::move(backends)); }
+  void put(std::vector<affinity::BackendStatus> backends) { backends_.put(std::move(backends)); }
   const AffinityPlannerCells& cells() const { return cells_; }
 
   // On the control thread.
@@ -40,7 +40,7 @@
   }
 
  private:
-  fleet::Mailbox<std::vector<affinity::BackendSeen>> backends_;
+  fleet::Mailbox<std::vector<affinity::BackendStatus>> backends_;
   affinity::Shaper shaper_;
   AffinityPlannerCells cells_;
 };
--- a/src/node/affinity_router.cpp
+++ b/src/node/affinity_router.cpp
@@ -11,25 +11,27 @@
 namespace shorelead::node {
 namespace {
 
-using affinity::Go;
-using affinity::Standing;
-using affinity::To;
-using affinity::Why;
+using affinity::RoutingAction;
+using affinity::RoutingReason;
+using affinity::Scope;
+using affinity::UnitStatus;
 
 constexpr int kMaxWaiting = 1000;               // requests of this process that wait for slots
 constexpr Millis kCheckInterval = 10;           // of requests that wait, or that may have to be cancelled
 constexpr double kFirstPlanLeases = 2;          // leases that a new process waits for its first plan
 constexpr Millis kListCheckInterval = 50;       // for changes of the endpoint lists
 constexpr Millis kWarmthUpdateInterval = 1000;  // warmth changes without a change of the list
-constexpr std::array kWhyNames = {"kept",     "no_key", "no_map", "not_valid", "closed",    "unknown",
-                                  "draining", "gone",   "full",   "repeat",    "queue_full"};
-static_assert(kWhyNames.size() == affinity::kWhys);
+constexpr std::array kReasonNames = {"kept",     "no_key", "no_map", "not_valid", "closed",    "unknown",
+                                     "draining", "gone",   "full",   "repeat",    "queue_full"};
+static_assert(kReasonNames.size() == affinity::kRoutingReasons);
 
-Unit::Kind kind_of(To to) {
-  return to == To::kBackend ? Unit::Kind::kBackend : to == To::kCell ? Unit::Kind::kCell : Unit::Kind::kZone;
+Unit::Kind kind_of(Scope to) {
+  return to == Scope::kBackend ? Unit::Kind::kBackend
+         : to == Scope::kCell  ? Unit::Kind::kCell
+                               : Unit::Kind::kZone;
 }
 
-std::optional<Standing> standing(Pool& pool, To to, const std::string& unit) {
+std::optional<UnitStatus> standing(Pool& pool, Scope to, const std::string& unit) {
   const std::optional<UnitState> seen = pool.find_unit(kind_of(to), unit);
   return seen ? std::optional(seen->standing) : std::nullopt;
 }
@@ -40,16 +42,16 @@
   return settings.cold_share + (1 - settings.cold_share) * std::max(0.0, now - born) / settings.warm_up;
 }
 
-bool same(const affinity::BackendSeen& a, const affinity::BackendSeen& b) {
+bool same(const affinity::BackendStatus& a, const affinity::BackendStatus& b) {
   return a.name == b.name && a.cell == b.cell && a.zone == b.zone && a.weight == b.weight &&
          a.warm == b.warm && a.draining == b.draining;
 }
 
 }  // namespace
 
-const char* cause_of(Why why) {
-  return why == Why::kQueueFull ? "too many wait for their boxes, trying again is harmless"
-                                : "its box cannot be told now, trying again is harmless";
+const char* cause_of(RoutingReason why) {
+  return why == RoutingReason::kQueueFull ? "too many wait for their boxes, trying again is harmless"
+                                          : "its box cannot be told now, trying again is harmless";
 }
 
 AffinityRouter::AffinityRouter(Loop& loop, const FleetConfig& fleet, fleet::Port& port,
@@ -87,11 +89,11 @@
   if (changes == list_changes_ && loop_.now() - sent_at_ < kWarmthUpdateInterval) return;
   list_changes_ = changes;
   sent_at_ = loop_.now();
-  std::vector<affinity::BackendSeen> backends;
+  std::vector<affinity::BackendStatus> backends;
   for (const auto& watched : pools_) {
     const std::shared_ptr<Pool> pool = watched.lock();
     for (const ListedBackend& one : pool->listed_backends()) {
-      affinity::BackendSeen backend;
+      affinity::BackendStatus backend;
       backend.name = one.host;
       backend.zone = one.site;
       backend.cell = cell_name(one.site, one.cell);
@@ -116,9 +118,9 @@
   Decision decision{said.go, said.why, {}, said.place};
   if (said.unit != nullptr) {
     // The unit is known: it was looked up a moment ago, on this thread.
-    const To to = said.to;
+    const Scope to = said.to;
     decision.home = pool->find_unit(kind_of(to), *said.unit)->unit;
-    decision.home.required = said.go == Go::kOnly;
+    decision.home.required = said.go == RoutingAction::kOnly;
   }
   if (said.place >= 0) {
     const auto n = static_cast<std::size_t>(said.place);
@@ -129,10 +131,10 @@
   return decision;
 }
 
-AffinityRouter::Decision AffinityRouter::route(RequestId request, const affinity::Found& found,
+AffinityRouter::Decision AffinityRouter::route(RequestId request, const affinity::RuleMatch& found,
                                                const std::shared_ptr<Pool>& pool, Millis due) {
   const Millis now = fleet::boot_now();
-  const affinity::Bindings::Look find_standing = [&pool](To to, const std::string& unit) {
+  const affinity::Bindings::Look find_standing = [&pool](Scope to, const std::string& unit) {
     return standing(*pool, to, unit);
   };
   return decision_of(
@@ -142,7 +144,7 @@
 AffinityRouter::Decision AffinityRouter::reconsider(int place) {
   const Millis now = fleet::boot_now();
   const std::shared_ptr<Pool> pool = places_[static_cast<std::size_t>(place)].lock();
-  const affinity::Bindings::Look find_standing = [&pool](To to, const std::string& unit) {
+  const affinity::Bindings::Look find_standing = [&pool](Scope to, const std::string& unit) {
     return standing(*pool, to, unit);
   };
   return decision_of(bindings_.again(place, valid(now), now, find_standing), pool);
@@ -179,8 +181,8 @@
 void AffinityRouter::check_places() {
   check_timer_ = bindings_.busy() ? loop_.after(kCheckInterval, [this] { check_places(); }) : 0;
   const Millis now = fleet::boot_now();
-  const auto anywhere = [this](To to, const std::string& unit) {
-    std::optional<Standing> found;
+  const auto anywhere = [this](Scope to, const std::string& unit) {
+    std::optional<UnitStatus> found;
     for (const auto& watched : pools_) {
       const std::shared_ptr<Pool> pool = watched.lock();
       if (pool && !found) found = standing(*pool, to, unit);
@@ -200,7 +202,7 @@
     const affinity::Bindings::Counters& c = bindings_.counters(n);
     std::string by;
     for (std::size_t why = 0; why < c.by.size(); ++why) {
-      by.append(" ").append(kWhyNames[why]).append("=").append(std::to_string(c.by[why]));
+      by.append(" ").append(kReasonNames[why]).append("=").append(std::to_string(c.by[why]));
     }
     spdlog::info("counters: affinity {}{} waited={} called_off={}", bindings_.rules()[n].name, by, c.waited,
                  c.called_off);
--- a/src/node/affinity_router.h
+++ b/src/node/affinity_router.h
@@ -37,18 +37,18 @@
   void watch(const std::vector<std::shared_ptr<Pool>>& pools);
 
   struct Decision {
-    affinity::Go go = affinity::Go::kFree;
-    affinity::Why why = affinity::Why::kNoKey;
+    affinity::RoutingAction go = affinity::RoutingAction::kFree;
+    affinity::RoutingReason why = affinity::RoutingReason::kNoKey;
     Unit home{};     // kOnly, kPrefer
     int place = -1;  // kOnly, kWait
   };
-  std::optional<affinity::Found> find(const affinity::Request& request) const {
+  std::optional<affinity::RuleMatch> find(const affinity::Request& request) const {
     return affinity::find(bindings_.rules(), request);
   }
   // Whether a request of this rule may go to no other unit.
-  bool must(const affinity::Found& found) const { return bindings_.rules()[found.rule].must; }
+  bool must(const affinity::RuleMatch& found) const { return bindings_.rules()[found.rule].must; }
   // `due`: the request's deadline on the loop's clock.
-  Decision route(RequestId request, const affinity::Found& found, const std::shared_ptr<Pool>& pool,
+  Decision route(RequestId request, const affinity::RuleMatch& found, const std::shared_ptr<Pool>& pool,
                  Millis due);
   Decision reconsider(int place);  // decides again for a request that waits
   void leave(int place);           // a waiting request has ended
@@ -78,7 +78,7 @@
   const std::shared_ptr<AffinityPlanner> planner_;
   std::vector<std::weak_ptr<Pool>> pools_;   // watched
   std::vector<std::weak_ptr<Pool>> places_;  // the pool of each place
-  std::vector<affinity::BackendSeen> sent_to_planner_;
+  std::vector<affinity::BackendStatus> sent_to_planner_;
   bool ever_sent_ = false;
   std::uint64_t list_changes_ = 0;  // of all pools, when the list was last sent
   Millis sent_at_ = 0;
@@ -87,6 +87,6 @@
 };
 
 // The body text of a refusal by an affinity rule.
-const char* cause_of(affinity::Why why);
+const char* cause_of(affinity::RoutingReason why);
 
 }  // namespace shorelead::node
--- a/src/node/endpoint_list.cpp
+++ b/src/node/endpoint_list.cpp
@@ -151,11 +151,11 @@
   const auto it = numbers_.find(name);
   if (it == numbers_.end()) return std::nullopt;
   const Endpoint& endpoint = backends_[it->second];
-  using affinity::Standing;
+  using affinity::UnitStatus;
   return UnitState{{kind, it->second},
-                   endpoint.gone    ? Standing::kGone
-                   : endpoint.ready ? Standing::kReady
-                                    : Standing::kDraining};
+                   endpoint.gone    ? UnitStatus::kGone
+                   : endpoint.ready ? UnitStatus::kReady
+                                    : UnitStatus::kDraining};
 }
 
 // Returns whether it was ready before.
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -6,8 +6,9 @@
 namespace shorelead::node {
 namespace {
 
-std::optional<affinity::Found> rule_of(const FleetAdmission& admission, const AffinityRouter& affinity_router,
-                                       const RequestRoute& request_route, const Message& message) {
+std::optional<affinity::RuleMatch> rule_of(const FleetAdmission& admission,
+                                           const AffinityRouter& affinity_router,
+                                           const RequestRoute& request_route, const Message& message) {
   const Head& head = message.head();
   const std::function<std::string_view(std::string_view)> field = [&message](std::string_view name) {
     return message.value(name);
@@ -72,25 +73,25 @@
                          std::shared_ptr<const Message> message) {
   Entry& entry = entries_.at(request);
   switch (decision.go) {
-    case affinity::Go::kWait:
+    case affinity::RoutingAction::kWait:
       if (!entry.waiting) entry.waiting = std::make_unique<Waiting>();
       *entry.waiting = {std::move(info), std::move(message), decision.place};
       return;
-    case affinity::Go::kRefuse: {
+    case affinity::RoutingAction::kRefuse: {
       const Millis retry_after = entry.pool->max_wait_advice();
       close(request, FleetAdmission::End::kFailed);
       return refuse_(request, {503, cause_of(decision.why), kProxyStatusAffinity, retry_after});
     }
-    case affinity::Go::kOnly:
+    case affinity::RoutingAction::kOnly:
       // The hold keeps the fleet admission, which owns the router, alive until the last attempt has ended.
       info.affinity_hold = {
           std::shared_ptr<AffinityPlaces>(entry.admission, entry.admission->affinity_router()),
           decision.place};
       [[fallthrough]];
-    case affinity::Go::kPrefer:
+    case affinity::RoutingAction::kPrefer:
       info.home = decision.home;
       [[fallthrough]];
-    case affinity::Go::kFree:
+    case affinity::RoutingAction::kFree:
       break;
   }
   entry.waiting.reset();
@@ -104,7 +105,7 @@
   Waiting& waiting = *it->second.waiting;
   const AffinityRouter::Decision decision =
       it->second.admission->affinity_router()->reconsider(waiting.place);
-  if (decision.go == affinity::Go::kWait) return;
+  if (decision.go == affinity::RoutingAction::kWait) return;
   waiting.place = -1;
   apply(request, decision, std::move(waiting.info), std::move(waiting.message));
 }
--- a/src/node/units.cpp
+++ b/src/node/units.cpp
@@ -2,7 +2,7 @@
 
 namespace shorelead::node {
 
-using affinity::Standing;
+using affinity::UnitStatus;
 
 void Units::clear() {
   cells_.clear();
@@ -11,7 +11,8 @@
 
 void Units::merge(UnitState& state, const Unit& unit, bool ready) {
   state.unit = unit;
-  if (state.standing != Standing::kReady) state.standing = ready ? Standing::kReady : Standing::kDraining;
+  if (state.standing != UnitStatus::kReady)
+    state.standing = ready ? UnitStatus::kReady : UnitStatus::kDraining;
 }
 
 void Units::put(const std::string& zone_name, int zone, int cell, bool ready) {
--- a/tests/affinity/bindings_test.cpp
+++ b/tests/affinity/bindings_test.cpp
@@ -44,9 +44,9 @@
     return slots()[slot].open && slots()[slot].backend == backend;
   }
   Bindings::Look look() {
-    return [this](To, const std::string& backend) -> std::optional<Standing> {
+    return [this](Scope, const std::string& backend) -> std::optional<UnitStatus> {
       if (unknown.count(backend) > 0) return std::nullopt;
-      return draining.count(backend) > 0 ? Standing::kDraining : Standing::kReady;
+      return draining.count(backend) > 0 ? UnitStatus::kDraining : UnitStatus::kReady;
     };
   }
 
@@ -57,13 +57,13 @@
     Millis closed_at;
   };
   void told(std::size_t slot, const Bindings::Said& said) {
-    if (said.go == Go::kOnly) {
+    if (said.go == RoutingAction::kOnly) {
       RC_ASSERT(valid);
       RC_ASSERT(open(slot, *said.unit));
       RC_ASSERT(draining.count(*said.unit) == 0U && unknown.count(*said.unit) == 0U);
       RC_ASSERT(sent.emplace(said.place, Sent{slot, *said.unit, snapshot.incarnation, -1}).second);
     } else {
-      RC_ASSERT(said.go == Go::kRefuse);
+      RC_ASSERT(said.go == RoutingAction::kRefuse);
       RC_ASSERT(said.unit == nullptr);
     }
   }
@@ -71,8 +71,8 @@
     const std::size_t slot = random.below(kSlots);
     ++came;
     const auto said = bindings.arrive(came, {0, true, key(slot)}, valid, now + 50, now, look());
-    RC_ASSERT(said.why != Why::kQueueFull || waiting.size() == std::size_t{kMost});
-    if (said.go != Go::kWait) return told(slot, said);
+    RC_ASSERT(said.why != RoutingReason::kQueueFull || waiting.size() == std::size_t{kMost});
+    if (said.go != RoutingAction::kWait) return told(slot, said);
     RC_ASSERT(waiting.size() < std::size_t{kMost});
     waiting[said.place] = {slot, now};
   }
@@ -82,7 +82,7 @@
     for (const int place : all) {
       const auto [slot, since] = waiting.at(place);
       const auto said = bindings.again(place, valid, now, look());
-      if (said.go == Go::kWait) {
+      if (said.go == RoutingAction::kWait) {
         RC_ASSERT(now - since < 50);  // the client's deadline comes before the rule's wait time
         continue;
       }
@@ -210,12 +210,12 @@
   snapshot.incarnation = 1;
   snapshot.affinity[map_name(rule)].slots.assign(kSlots, {"a", false, "b", 1});
   bindings.take_up(snapshot, 0);
-  const Bindings::Look look = [](To, const std::string&) { return Standing::kReady; };
+  const Bindings::Look look = [](Scope, const std::string&) { return UnitStatus::kReady; };
   for (const auto& [left, refused_at] : std::map<Millis, Millis>{{1000, 900}, {100, 75}}) {
     const auto said = bindings.arrive(1, {0, true, 0}, true, left, 0, look);
-    ASSERT_EQ(said.go, Go::kWait);
-    EXPECT_EQ(bindings.again(said.place, true, refused_at - 1, look).go, Go::kWait);
-    EXPECT_EQ(bindings.again(said.place, true, refused_at, look).go, Go::kRefuse);
+    ASSERT_EQ(said.go, RoutingAction::kWait);
+    EXPECT_EQ(bindings.again(said.place, true, refused_at - 1, look).go, RoutingAction::kWait);
+    EXPECT_EQ(bindings.again(said.place, true, refused_at, look).go, RoutingAction::kRefuse);
   }
 }
 
--- a/tests/affinity/choice_test.cpp
+++ b/tests/affinity/choice_test.cpp
@@ -10,40 +10,58 @@
   Rule rule;
   rule.must = true;
   const auto ask = [&rule](auto change) {
-    Ask one{&rule, true, true, true, {7, true}, Standing::kReady, -1, 0};
+    RoutingQuery one{&rule, true, true, true, {7, true}, UnitStatus::kReady, -1, 0};
     change(one);
     return choose(one);
   };
   struct Case {
-    std::function<void(Ask&)> change;
+    std::function<void(RoutingQuery&)> change;
     Decision must, prefer;
   };
   const auto late = [&rule](auto change) {
-    return [&rule, change](Ask& a) {
+    return [&rule, change](RoutingQuery& a) {
       change(a);
       a.waited = rule.wait;
     };
   };
-  const auto closed = [](Ask& a) { a.seat.open = false; };
+  const auto closed = [](RoutingQuery& a) { a.seat.open = false; };
   const std::vector<Case> table = {
-      {[](Ask&) {}, {Go::kOnly, 7, Why::kKept}, {Go::kPrefer, 7, Why::kKept}},
-      {[](Ask& a) { a.keyed = false; }, {Go::kFree, -1, Why::kNoKey}, {Go::kFree, -1, Why::kNoKey}},
-      {[](Ask& a) { a.mapped = false; }, {Go::kRefuse, -1, Why::kNoMap}, {Go::kFree, -1, Why::kNoMap}},
-      {[](Ask& a) { a.valid = false; }, {Go::kRefuse, -1, Why::kNotValid}, {Go::kFree, -1, Why::kNotValid}},
-      {closed, {Go::kWait, -1, Why::kClosed}, {Go::kFree, -1, Why::kClosed}},
-      {late(closed), {Go::kRefuse, -1, Why::kClosed}, {Go::kFree, -1, Why::kClosed}},
-      {[](Ask& a) { a.seat.unit = -1; }, {Go::kWait, -1, Why::kUnknown}, {Go::kFree, -1, Why::kUnknown}},
-      {[](Ask& a) { a.repeat_at = 3; }, {Go::kRefuse, -1, Why::kRepeat}, {Go::kFree, -1, Why::kRepeat}},
-      {[](Ask& a) { a.repeat_at = 7; }, {Go::kOnly, 7, Why::kKept}, {Go::kPrefer, 7, Why::kKept}},
-      {[](Ask& a) { a.standing = Standing::kDraining; },
-       {Go::kWait, -1, Why::kDraining},
-       {Go::kFree, -1, Why::kDraining}},
-      {[](Ask& a) { a.standing = Standing::kFull; },
-       {Go::kWait, -1, Why::kFull},
-       {Go::kFree, -1, Why::kFull}},
-      {[](Ask& a) { a.standing = Standing::kGone; },
-       {Go::kWait, -1, Why::kGone},
-       {Go::kFree, -1, Why::kGone}},
+      {[](RoutingQuery&) {},
+       {RoutingAction::kOnly, 7, RoutingReason::kKept},
+       {RoutingAction::kPrefer, 7, RoutingReason::kKept}},
+      {[](RoutingQuery& a) { a.keyed = false; },
+       {RoutingAction::kFree, -1, RoutingReason::kNoKey},
+       {RoutingAction::kFree, -1, RoutingReason::kNoKey}},
+      {[](RoutingQuery& a) { a.mapped = false; },
+       {RoutingAction::kRefuse, -1, RoutingReason::kNoMap},
+       {RoutingAction::kFree, -1, RoutingReason::kNoMap}},
+      {[](RoutingQuery& a) { a.valid = false; },
+       {RoutingAction::kRefuse, -1, RoutingReason::kNotValid},
+       {RoutingAction::kFree, -1, RoutingReason::kNotValid}},
+      {closed,
+       {RoutingAction::kWait, -1, RoutingReason::kClosed},
+       {RoutingAction::kFree, -1, RoutingReason::kClosed}},
+      {late(closed),
+       {RoutingAction::kRefuse, -1, RoutingReason::kClosed},
+       {RoutingAction::kFree, -1, RoutingReason::kClosed}},
+      {[](RoutingQuery& a) { a.seat.unit = -1; },
+       {RoutingAction::kWait, -1, RoutingReason::kUnknown},
+       {RoutingAction::kFree, -1, RoutingReason::kUnknown}},
+      {[](RoutingQuery& a) { a.repeat_at = 3; },
+       {RoutingAction::kRefuse, -1, RoutingReason::kRepeat},
+       {RoutingAction::kFree, -1, RoutingReason::kRepeat}},
+      {[](RoutingQuery& a) { a.repeat_at = 7; },
+       {RoutingAction::kOnly, 7, RoutingReason::kKept},
+       {RoutingAction::kPrefer, 7, RoutingReason::kKept}},
+      {[](RoutingQuery& a) { a.standing = UnitStatus::kDraining; },
+       {RoutingAction::kWait, -1, RoutingReason::kDraining},
+       {RoutingAction::kFree, -1, RoutingReason::kDraining}},
+      {[](RoutingQuery& a) { a.standing = UnitStatus::kFull; },
+       {RoutingAction::kWait, -1, RoutingReason::kFull},
+       {RoutingAction::kFree, -1, RoutingReason::kFull}},
+      {[](RoutingQuery& a) { a.standing = UnitStatus::kGone; },
+       {RoutingAction::kWait, -1, RoutingReason::kGone},
+       {RoutingAction::kFree, -1, RoutingReason::kGone}},
   };
   for (std::size_t n = 0; n < table.size(); ++n) {
     rule.must = true;
@@ -53,8 +71,9 @@
   }
   rule.must = true;
   rule.on_loss = OnLoss::kRefuse;
-  EXPECT_EQ(ask([](Ask& a) { a.standing = Standing::kGone; }), (Decision{Go::kRefuse, -1, Why::kGone}));
-  WaitingRoom room(1);
+  EXPECT_EQ(ask([](RoutingQuery& a) { a.standing = UnitStatus::kGone; }),
+            (Decision{RoutingAction::kRefuse, -1, RoutingReason::kGone}));
+  WaitQueue room(1);
   EXPECT_TRUE(room.enter());
   EXPECT_FALSE(room.enter());
   room.leave();
--- a/tests/affinity/model.cpp
+++ b/tests/affinity/model.cpp
@@ -46,7 +46,7 @@
   at(now_ + late(), [=, this] {
     fleet::Plan next = standing;
     ++next.epoch;
-    std::vector<BackendSeen> seen = backends_;
+    std::vector<BackendStatus> seen = backends_;
     // Planners may have different lists, in another order.
     if (!calm_ && random_.unit() < 0.1) seen.pop_back();
     if (random_.unit() < 0.5) std::reverse(seen.begin(), seen.end());
@@ -68,7 +68,7 @@
 
 void Model::fault() {
   Process& p = processes_[random_.below(processes_.size())];
-  BackendSeen& backend = backends_[random_.below(backends_.size())];
+  BackendStatus& backend = backends_[random_.below(backends_.size())];
   switch (random_.below(7)) {
     case 0:  // killed and restarted
       p = Process{p.name, p.life + 1};
--- a/tests/affinity/model.h
+++ b/tests/affinity/model.h
@@ -121,7 +121,7 @@
   std::map<std::string, Stored> records_;
   std::vector<Process> processes_;
   std::vector<Shaper> shapers_;
-  std::vector<BackendSeen> backends_;
+  std::vector<BackendStatus> backends_;
   Rule rule_;
   std::map<std::size_t, std::pair<std::uint64_t, std::string>> last_;  // by slot: opening epoch, backend
   ModelResult result_;
--- a/tests/affinity/model_process.cpp
+++ b/tests/affinity/model_process.cpp
@@ -20,7 +20,7 @@
 constexpr int kSlotBits = 4;
 static_assert(kSlots == std::size_t{1} << kSlotBits);
 
-std::optional<Standing> ready(To, const std::string&) { return Standing::kReady; }
+std::optional<UnitStatus> ready(Scope, const std::string&) { return UnitStatus::kReady; }
 
 }  // namespace
 
@@ -145,13 +145,13 @@
     sent(p, p.keys->again(place, valid, now_, ready), slot);
   }
   const std::size_t slot = random_.below(kSlots);
-  const Found found{0, true, std::uint64_t{slot} << (64 - kSlotBits)};
+  const RuleMatch found{0, true, std::uint64_t{slot} << (64 - kSlotBits)};
   sent(p, p.keys->arrive(static_cast<std::uint32_t>(slot), found, valid, now_ + 40, now_, ready), slot);
 }
 
 void Model::sent(Process& p, const Bindings::Said& said, std::size_t slot) {
-  result_.refused += said.go == Go::kRefuse;
-  if (said.go != Go::kOnly) return;
+  result_.refused += said.go == RoutingAction::kRefuse;
+  if (said.go != RoutingAction::kOnly) return;
   const fleet::Slot& seat = p.open.slots[slot];
   if (*said.unit != seat.backend || !seat.open) broke(p.name + " sends where no slot is open");
   auto& [token, backend] = last_[slot];
--- a/tests/affinity/rule_checks_test.cpp
+++ b/tests/affinity/rule_checks_test.cpp
@@ -34,22 +34,22 @@
 const Condition kYes = field_is("x", "yes");
 
 TEST(RuleChecks, DecidesWhetherAConditionCanHold) {
-  const std::vector<std::pair<Condition, Can>> table = {
-      {{}, Can::kYes},
-      {all({kGet, kPut}), Can::kNo},
-      {any({kGet, kPut}), Can::kYes},
-      {negated(any({kGet, negated(kGet)})), Can::kNo},
-      {all({kShop, kCheck}), Can::kYes},
-      {all({kShop, negated(kCheck)}), Can::kNo},  // a route has one class
-      {is(Subject::kClass, "chekc"), Can::kNo},
-      {negated(any({kCheck, is(Subject::kClass, "pay"), is(Subject::kClass, "post")})), Can::kNo},
-      {all({is(Subject::kTenant, "acme"), is(Subject::kPlan, "silver")}), Can::kNo},
-      {all({is(Subject::kTenant, "new"), is(Subject::kPlan, "free")}), Can::kYes},
-      {all({is(Subject::kTenant, "new"), is(Subject::kPlan, "gold")}), Can::kNo},
-      {all({kYes, field_is("x", "no")}), Can::kNo},
-      {all({kYes, negated(field_there("x"))}), Can::kNo},
-      {all({field_there("x"), negated(kYes), negated(field_is("x", "no"))}), Can::kYes},
-      {all({negated(field_there("x")), field_is("y", "yes")}), Can::kYes},
+  const std::vector<std::pair<Condition, Satisfiability>> table = {
+      {{}, Satisfiability::kYes},
+      {all({kGet, kPut}), Satisfiability::kNo},
+      {any({kGet, kPut}), Satisfiability::kYes},
+      {negated(any({kGet, negated(kGet)})), Satisfiability::kNo},
+      {all({kShop, kCheck}), Satisfiability::kYes},
+      {all({kShop, negated(kCheck)}), Satisfiability::kNo},  // a route has one class
+      {is(Subject::kClass, "chekc"), Satisfiability::kNo},
+      {negated(any({kCheck, is(Subject::kClass, "pay"), is(Subject::kClass, "post")})), Satisfiability::kNo},
+      {all({is(Subject::kTenant, "acme"), is(Subject::kPlan, "silver")}), Satisfiability::kNo},
+      {all({is(Subject::kTenant, "new"), is(Subject::kPlan, "free")}), Satisfiability::kYes},
+      {all({is(Subject::kTenant, "new"), is(Subject::kPlan, "gold")}), Satisfiability::kNo},
+      {all({kYes, field_is("x", "no")}), Satisfiability::kNo},
+      {all({kYes, negated(field_there("x"))}), Satisfiability::kNo},
+      {all({field_there("x"), negated(kYes), negated(field_is("x", "no"))}), Satisfiability::kYes},
+      {all({negated(field_there("x")), field_is("y", "yes")}), Satisfiability::kYes},
   };
   for (std::size_t n = 0; n < table.size(); ++n) {
     EXPECT_EQ(can_hold(table[n].first, a_universe()), table[n].second) << n;
@@ -62,7 +62,7 @@
         {all({field_there(a), negated(field_there(b))}), all({field_there(b), negated(field_there(a))})}));
   }
   parts.push_back(all({field_there("z"), negated(field_there("z"))}));
-  EXPECT_EQ(can_hold(all(parts), a_universe()), Can::kTooMany);
+  EXPECT_EQ(can_hold(all(parts), a_universe()), Satisfiability::kTooMany);
 }
 
 // A random condition over few attributes, so that every request can be tried.
@@ -88,7 +88,7 @@
       any = any || holds(condition, {route, request_class, "", "free", "GET", "/", "/", &field});
     }
   }
-  RC_ASSERT(can_hold(condition, a_universe()) == (any ? Can::kYes : Can::kNo));
+  RC_ASSERT(can_hold(condition, a_universe()) == (any ? Satisfiability::kYes : Satisfiability::kNo));
 }
 
 struct Refused {
--- a/tests/affinity/rules_test.cpp
+++ b/tests/affinity/rules_test.cpp
@@ -130,7 +130,7 @@
   Rule other = rule;
   other.bound = 2;
   EXPECT_EQ(map_name(rule), map_name(other));
-  other.to = To::kZone;
+  other.to = Scope::kZone;
   EXPECT_NE(map_name(rule), map_name(other));
   other = rule;
   other.key.part = 2;
--- a/tests/affinity/shaper_test.cpp
+++ b/tests/affinity/shaper_test.cpp
@@ -17,8 +17,8 @@
   return rule;
 }
 
-std::vector<BackendSeen> backends_of(int count) {
-  std::vector<BackendSeen> backends;
+std::vector<BackendStatus> backends_of(int count) {
+  std::vector<BackendStatus> backends;
   for (int n = 0; n < count; ++n) backends.push_back({"box-" + std::to_string(n), "", "", 1, 1, false});
   return backends;
 }
@@ -45,7 +45,7 @@
     for (fleet::Record& record : records) record.epoch = plan.epoch;
     return true;
   }
-  void settle(const std::vector<BackendSeen>& backends) {
+  void settle(const std::vector<BackendStatus>& backends) {
     shaper.see(backends);
     for (int n = 0; n < 100 && step(); ++n) {
     }
@@ -65,8 +65,8 @@
 // All planners write the same maps whatever the order of their lists, and joining or leaving processes move
 // nothing.
 RC_GTEST_PROP(Shaper, AllPlannersWriteTheSameMaps, ()) {
-  std::vector<BackendSeen> backends = backends_of(*rc::gen::inRange(1, 12));
-  for (BackendSeen& backend : backends) backend.weight = *rc::gen::inRange(1, 5);
+  std::vector<BackendStatus> backends = backends_of(*rc::gen::inRange(1, 12));
+  for (BackendStatus& backend : backends) backend.weight = *rc::gen::inRange(1, 5);
   Fleet one(a_rule());
   one.settle(backends);
   const auto before = one.owners();
@@ -111,7 +111,7 @@
 TEST(Shaper, ColdBackendGetsItsSlotsInSteps) {
   Fleet fleet(a_rule(), {2000, 8});
   fleet.settle(backends_of(4));
-  std::vector<BackendSeen> backends = backends_of(5);
+  std::vector<BackendStatus> backends = backends_of(5);
   int before = 0;
   for (const double warm : {0.05, 0.3, 0.6, 1.0}) {
     backends[4].warm = warm;
@@ -134,7 +134,7 @@
   rule.still = 3000;
   Fleet fleet(rule);
   fleet.settle(backends_of(4));
-  std::vector<BackendSeen> backends = backends_of(5);
+  std::vector<BackendStatus> backends = backends_of(5);
   fleet.settle(backends);
   EXPECT_EQ(fleet.has("box-4") + fleet.has(""), 0);
   backends[0].draining = true;
