--- a/bench/affinity/look_up.cpp
+++ b/bench/affinity/look_up.cpp
@@ -116,16 +116,18 @@
   const auto slots = static_cast<std::size_t>(state.range(0));
   const std::vector<Rule> rules = rules_of(slots);
   Bindings bindings(rules, 1000);
-  bindings.take_up(snapshot_of(rules, slots), 0);
-  const Bindings::Look look = [](Scope, const std::string&) { return std::optional(UnitStatus::kReady); };
+  bindings.apply_snapshot(snapshot_of(rules, slots), 0);
+  const Bindings::StatusLookup lookup = [](Scope, const std::string&) {
+    return std::optional(UnitStatus::kReady);
+  };
   std::uint64_t key = 1;
-  bindings.over(bindings.arrive(1, {2, true, key}, true, 1000, 0, look).place);
+  bindings.release(bindings.arrive(1, {2, true, key}, true, 1000, 0, lookup).place);
   const std::uint64_t before = allocations;
   for (auto _ : state) {
     key = key * 6364136223846793005ULL + 1442695040888963407ULL;
-    const Bindings::Said said = bindings.arrive(1, {2, true, key}, true, 1000, 0, look);
-    benchmark::DoNotOptimize(bindings.may_send(said.place, true));
-    bindings.over(said.place);
+    const Bindings::RoutingResult result = bindings.arrive(1, {2, true, key}, true, 1000, 0, lookup);
+    benchmark::DoNotOptimize(bindings.may_send(result.place, true));
+    bindings.release(result.place);
   }
   state.counters["allocations"] =
       static_cast<double>(allocations - before) / static_cast<double>(state.iterations());
@@ -136,7 +138,7 @@
   const std::vector<Rule> rules = {rules_of(slots)[2]};
   Bindings bindings(rules, 1000);
   const fleet::Snapshot snapshot = snapshot_of(rules, slots);
-  for (auto _ : state) bindings.take_up(snapshot, 0);
+  for (auto _ : state) bindings.apply_snapshot(snapshot, 0);
 }
 
 std::vector<BackendStatus> backends_of(std::int64_t count) {
--- a/src/affinity/bindings.cpp
+++ b/src/affinity/bindings.cpp
@@ -17,12 +17,12 @@
 
 }  // namespace
 
-Bindings::Bindings(std::vector<Rule> rules, int most_waiting)
-    : rules_(std::move(rules)), room_(most_waiting), seats_(rules_.size()), counters_(rules_.size()) {
+Bindings::Bindings(std::vector<Rule> rules, int max_waiting)
+    : rules_(std::move(rules)), wait_queue_(max_waiting), owners_(rules_.size()), counters_(rules_.size()) {
   for (const Rule& rule : rules_) names_.push_back(map_name(rule));
 }
 
-void Bindings::take_up(const fleet::Snapshot& snapshot, Millis now) {
+void Bindings::apply_snapshot(const fleet::Snapshot& snapshot, Millis now) {
   incarnation_ = snapshot.incarnation;
   std::vector<std::string> units;
   std::unordered_map<std::string, int> known;
@@ -34,135 +34,138 @@
   };
   for (std::size_t n = 0; n < rules_.size(); ++n) {
     const auto map = snapshot.affinity.find(names_[n]);
-    seats_[n] = map == snapshot.affinity.end() ? SlotOwners() : SlotOwners(map->second, index_of);
+    owners_[n] = map == snapshot.affinity.end() ? SlotOwners() : SlotOwners(map->second, index_of);
   }
   closing_ = 0;
   for (Place& place : places_) {
     if (place.state != State::kUnderWay) continue;
     place.unit = index_of(units_[static_cast<std::size_t>(place.unit)]);
-    const SlotOwners& seats = seats_[place.found.rule];
-    const SlotOwner seat = seats.any() ? seats.at(place.found.key) : SlotOwner{};
+    const SlotOwners& owners = owners_[place.match.rule];
+    const SlotOwner seat = owners.any() ? owners.at(place.match.key) : SlotOwner{};
     const bool open = place.incarnation == incarnation_ && seat.open && seat.unit == place.unit;
     // A cancelled request stays closed, also if its slot goes back to its backend.
     if (!open && place.closed_at < 0) place.closed_at = now;
-    if (open && !place.called_off) place.closed_at = -1;
+    if (open && !place.cancelled) place.closed_at = -1;
     closing_ += place.closed_at >= 0;
   }
   units_ = std::move(units);
 }
 
-Bindings::Answer Bindings::ask(const RuleMatch& found, bool valid, Millis waited, const Look& look) const {
-  const Rule& rule = rules_[found.rule];
-  const SlotOwners& seats = seats_[found.rule];
+Bindings::Evaluation Bindings::evaluate(const RuleMatch& match, bool valid, Millis waited,
+                                        const StatusLookup& status_of) const {
+  const Rule& rule = rules_[match.rule];
+  const SlotOwners& owners = owners_[match.rule];
   RoutingQuery one;
   one.rule = &rule;
-  one.keyed = found.keyed;
-  one.mapped = seats.any();
+  one.keyed = match.keyed;
+  one.mapped = owners.any();
   one.valid = valid && incarnation_ != 0;
   one.waited = waited;
   if (!one.keyed || !one.mapped) return {choose(one), nullptr};
-  one.seat = seats.at(found.key);
+  one.seat = owners.at(match.key);
   if (one.seat.unit < 0) return {choose(one), nullptr};
   const std::string& unit = units_[static_cast<std::size_t>(one.seat.unit)];
-  const std::optional<UnitStatus> standing = look(rule.to, unit);
+  const std::optional<UnitStatus> standing = status_of(rule.to, unit);
   if (!standing) one.seat.unit = -1;
   one.standing = standing.value_or(UnitStatus::kGone);
   return {choose(one), &unit};
 }
 
-Bindings::Said Bindings::said(const RuleMatch& found, const Answer& answer, int place) {
-  const Decision& d = answer.decision;
-  if (d.go != RoutingAction::kWait) ++counters_[found.rule].by[static_cast<std::size_t>(d.why)];
+Bindings::RoutingResult Bindings::routing_result(const RuleMatch& match, const Evaluation& evaluation,
+                                                 int place) {
+  const Decision& d = evaluation.decision;
+  if (d.go != RoutingAction::kWait) ++counters_[match.rule].by[static_cast<std::size_t>(d.why)];
   const bool there = d.go == RoutingAction::kOnly || d.go == RoutingAction::kPrefer;
-  return {d.go, d.why, there ? answer.unit : nullptr, rules_[found.rule].to, place};
+  return {d.go, d.why, there ? evaluation.unit : nullptr, rules_[match.rule].to, place};
 }
 
-Bindings::Said Bindings::arrive(std::uint32_t request, const RuleMatch& found, bool valid, Millis until,
-                                Millis now, const Look& look) {
-  Answer answer = ask(found, valid, 0, look);
-  Decision& decision = answer.decision;
+Bindings::RoutingResult Bindings::arrive(std::uint32_t request, const RuleMatch& match, bool valid,
+                                         Millis until, Millis now, const StatusLookup& status_of) {
+  Evaluation evaluation = evaluate(match, valid, 0, status_of);
+  Decision& decision = evaluation.decision;
   until = waits_until(until, now);
   if (decision.go == RoutingAction::kWait && now >= until) decision.go = RoutingAction::kRefuse;
-  if (decision.go == RoutingAction::kWait && !room_.enter())
+  if (decision.go == RoutingAction::kWait && !wait_queue_.enter())
     decision = {RoutingAction::kRefuse, -1, RoutingReason::kQueueFull};
   if (decision.go != RoutingAction::kWait && decision.go != RoutingAction::kOnly)
-    return said(found, answer, -1);
+    return routing_result(match, evaluation, -1);
   const int n = take_place();
   Place& place = at(n);
   place.request = request;
-  place.found = found;
+  place.match = match;
   if (decision.go == RoutingAction::kWait) {
     place.state = State::kWaiting;
     place.since = now;
     place.until = until;
     waiting_.push_back(n);
-    ++counters_[found.rule].waited;
+    ++counters_[match.rule].waited;
   } else {
     place.state = State::kUnderWay;
     place.unit = decision.unit;
     place.incarnation = incarnation_;
   }
-  return said(found, answer, n);
+  return routing_result(match, evaluation, n);
 }
 
-Bindings::Said Bindings::again(int n, bool valid, Millis now, const Look& look) {
+Bindings::RoutingResult Bindings::reconsider(int n, bool valid, Millis now, const StatusLookup& status_of) {
   Place& place = at(n);
-  Answer answer = ask(place.found, valid, now - place.since, look);
-  Decision& decision = answer.decision;
+  Evaluation evaluation = evaluate(place.match, valid, now - place.since, status_of);
+  Decision& decision = evaluation.decision;
   if (decision.go == RoutingAction::kWait && now >= place.until) decision.go = RoutingAction::kRefuse;
-  if (decision.go == RoutingAction::kWait) return said(place.found, answer, n);
-  const RuleMatch found = place.found;
+  if (decision.go == RoutingAction::kWait) return routing_result(place.match, evaluation, n);
+  const RuleMatch match = place.match;
   leave(n);
-  if (decision.go != RoutingAction::kOnly) return said(found, answer, -1);
+  if (decision.go != RoutingAction::kOnly) return routing_result(match, evaluation, -1);
   // Takes the entry that leave() has just released.
   const int taken = take_place();
   Place& now_there = at(taken);
   now_there.state = State::kUnderWay;
   now_there.request = place.request;
-  now_there.found = found;
+  now_there.match = match;
   now_there.unit = decision.unit;
   now_there.incarnation = incarnation_;
-  return said(found, answer, taken);
+  return routing_result(match, evaluation, taken);
 }
 
 void Bindings::leave(int n) {
   if (at(n).state != State::kWaiting) return;
   std::erase(waiting_, n);
-  room_.leave();
+  wait_queue_.leave();
   give_place(n);
 }
 
 bool Bindings::may_send(int n, bool valid) const {
   const Place& place = places_[static_cast<std::size_t>(n)];
   return place.state == State::kUnderWay && valid && place.incarnation == incarnation_ &&
-         place.closed_at < 0 && !place.called_off;
+         place.closed_at < 0 && !place.cancelled;
 }
 
-void Bindings::over(int n) {
+void Bindings::release(int n) {
   if (at(n).state != State::kUnderWay) return;
   closing_ -= at(n).closed_at >= 0;
   give_place(n);
 }
 
-std::vector<int> Bindings::call_off(bool valid, Millis now, const Look& look) {
-  std::vector<int> now_over;
+std::vector<int> Bindings::cancel_due(bool valid, Millis now, const StatusLookup& status_of) {
+  std::vector<int> due;
   for (std::size_t n = 0; n < places_.size(); ++n) {
     Place& place = places_[n];
-    if (place.state != State::kUnderWay || place.called_off) continue;
+    if (place.state != State::kUnderWay || place.cancelled) continue;
     const bool its = valid && place.incarnation == incarnation_;
     if (its && place.closed_at < 0) continue;
-    const Rule& rule = rules_[place.found.rule];
+    const Rule& rule = rules_[place.match.rule];
     UnderWay under_way;
     under_way.count = 1;
     under_way.closed_for = place.closed_at < 0 ? 0 : now - place.closed_at;
-    under_way.drains = look(rule.to, units_[static_cast<std::size_t>(place.unit)]) == UnitStatus::kDraining;
+    under_way.drains =
+        status_of(rule.to, units_[static_cast<std::size_t>(place.unit)]) == UnitStatus::kDraining;
     under_way.valid = its;
     if (closing(rule, under_way) != Closing::kCallOff) continue;
-    place.called_off = true;
-    ++counters_[place.found.rule].called_off;
-    now_over.push_back(static_cast<int>(n));
+    place.cancelled = true;
+    ++counters_[place.match.rule].cancelled;
+    due.push_back(static_cast<int>(n));
   }
-  return now_over;
+  return due;
 }
 
 int Bindings::take_place() {
--- a/src/affinity/bindings.h
+++ b/src/affinity/bindings.h
@@ -30,38 +30,38 @@
 class Bindings {
  public:
   // Returns the host's status of a unit; nullopt: the host knows no unit of that name.
-  using Look = std::function<std::optional<UnitStatus>(Scope, const std::string& unit)>;
+  using StatusLookup = std::function<std::optional<UnitStatus>(Scope, const std::string& unit)>;
 
-  struct Said {
+  struct RoutingResult {
     RoutingAction go = RoutingAction::kFree;
     RoutingReason why = RoutingReason::kNoKey;
-    const std::string* unit = nullptr;  // kOnly, kPrefer: valid until the next take_up()
+    const std::string* unit = nullptr;  // kOnly, kPrefer: valid until the next apply_snapshot()
     Scope to = Scope::kBackend;
-    int place = -1;  // kOnly: valid until over(); kWait: until again() decides otherwise, or leave()
+    int place = -1;  // kOnly: valid until release(); kWait: until reconsider() decides otherwise, or leave()
   };
   struct Counters {
     std::array<std::uint64_t, kRoutingReasons> by{};  // requests by the reason of their decision
     std::uint64_t waited = 0;
-    std::uint64_t called_off = 0;
+    std::uint64_t cancelled = 0;
   };
 
-  Bindings(std::vector<Rule> rules, int most_waiting);
+  Bindings(std::vector<Rule> rules, int max_waiting);
 
   const std::vector<Rule>& rules() const { return rules_; }
 
   // Applies the maps of a snapshot that is in force. Not for the request path: it iterates over all slots.
-  void take_up(const fleet::Snapshot& snapshot, Millis now);
+  void apply_snapshot(const fleet::Snapshot& snapshot, Millis now);
 
   // `valid`: whether the snapshot is valid now; `until`: the request's deadline. Allocates nothing but
   // entries, which are reused.
-  Said arrive(std::uint32_t request, const RuleMatch& found, bool valid, Millis until, Millis now,
-              const Look& look);
-  Said again(int place, bool valid, Millis now, const Look& look);
+  RoutingResult arrive(std::uint32_t request, const RuleMatch& match, bool valid, Millis until, Millis now,
+                       const StatusLookup& status_of);
+  RoutingResult reconsider(int place, bool valid, Millis now, const StatusLookup& status_of);
   void leave(int place);  // stops waiting: the client has disconnected
 
   // Whether a request in flight may still be sent to its unit.
   bool may_send(int place, bool valid) const;
-  void over(int place);
+  void release(int place);
 
   // Nothing is in flight for a slot at a backend that it is closed for.
   bool quiet() const { return closing_ == 0; }
@@ -70,7 +70,7 @@
   const std::vector<int>& waiting() const { return waiting_; }
   std::uint32_t request_of(int place) const { return places_[static_cast<std::size_t>(place)].request; }
   // Returns the requests to cancel, each once.
-  std::vector<int> call_off(bool valid, Millis now, const Look& look);
+  std::vector<int> cancel_due(bool valid, Millis now, const StatusLookup& status_of);
 
   const Counters& counters(std::size_t rule) const { return counters_[rule]; }
 
@@ -79,30 +79,30 @@
   struct Place {
     State state = State::kFree;
     std::uint32_t request = 0;
-    RuleMatch found;
+    RuleMatch match;
     int unit = -1;  // in flight: its unit
     std::uint64_t incarnation = 0;
     Millis since = 0, until = 0;  // while waiting
     Millis closed_at = -1;        // in flight; -1: its slot is open there
-    bool called_off = false;
+    bool cancelled = false;
   };
-  struct Answer {
+  struct Evaluation {
     Decision decision;
     const std::string* unit;
   };
 
   Place& at(int place) { return places_[static_cast<std::size_t>(place)]; }
-  Answer ask(const RuleMatch& found, bool valid, Millis waited, const Look& look) const;
-  Said settle(int place, const Answer& answer, bool in_time, Millis now);
+  Evaluation evaluate(const RuleMatch& match, bool valid, Millis waited, const StatusLookup& status_of) const;
+  RoutingResult settle(int place, const Evaluation& evaluation, bool in_time, Millis now);
   int take_place();
   void give_place(int place);
-  Said said(const RuleMatch& found, const Answer& answer, int place);
+  RoutingResult routing_result(const RuleMatch& match, const Evaluation& evaluation, int place);
 
   const std::vector<Rule> rules_;
   std::vector<std::string> names_;  // of the maps, by rule
-  WaitQueue room_;
-  std::uint64_t incarnation_ = 0;  // of the maps
-  std::vector<SlotOwners> seats_;  // by rule
+  WaitQueue wait_queue_;
+  std::uint64_t incarnation_ = 0;   // of the maps
+  std::vector<SlotOwners> owners_;  // by rule
   std::vector<std::string> units_;
   std::vector<Place> places_;
   std::vector<int> free_;
--- a/src/node/affinity_router.cpp
+++ b/src/node/affinity_router.cpp
@@ -113,17 +113,17 @@
   planner_->put(std::move(backends));
 }
 
-AffinityRouter::Decision AffinityRouter::decision_of(const affinity::Bindings::Said& said,
+AffinityRouter::Decision AffinityRouter::decision_of(const affinity::Bindings::RoutingResult& result,
                                                      const std::shared_ptr<Pool>& pool) {
-  Decision decision{said.go, said.why, {}, said.place};
-  if (said.unit != nullptr) {
+  Decision decision{result.go, result.why, {}, result.place};
+  if (result.unit != nullptr) {
     // The unit is known: it was looked up a moment ago, on this thread.
-    const Scope to = said.to;
-    decision.home = pool->find_unit(kind_of(to), *said.unit)->unit;
-    decision.home.required = said.go == RoutingAction::kOnly;
+    const Scope to = result.to;
+    decision.home = pool->find_unit(kind_of(to), *result.unit)->unit;
+    decision.home.required = result.go == RoutingAction::kOnly;
   }
-  if (said.place >= 0) {
-    const auto n = static_cast<std::size_t>(said.place);
+  if (result.place >= 0) {
+    const auto n = static_cast<std::size_t>(result.place);
     if (places_.size() <= n) places_.resize(n + 1);
     places_[n] = pool;
     if (check_timer_ == 0) check_timer_ = loop_.after(kCheckInterval, [this] { check_places(); });
@@ -134,7 +134,7 @@
 AffinityRouter::Decision AffinityRouter::route(RequestId request, const affinity::RuleMatch& found,
                                                const std::shared_ptr<Pool>& pool, Millis due) {
   const Millis now = fleet::boot_now();
-  const affinity::Bindings::Look find_standing = [&pool](Scope to, const std::string& unit) {
+  const affinity::Bindings::StatusLookup find_standing = [&pool](Scope to, const std::string& unit) {
     return standing(*pool, to, unit);
   };
   return decision_of(
@@ -144,10 +144,10 @@
 AffinityRouter::Decision AffinityRouter::reconsider(int place) {
   const Millis now = fleet::boot_now();
   const std::shared_ptr<Pool> pool = places_[static_cast<std::size_t>(place)].lock();
-  const affinity::Bindings::Look find_standing = [&pool](Scope to, const std::string& unit) {
+  const affinity::Bindings::StatusLookup find_standing = [&pool](Scope to, const std::string& unit) {
     return standing(*pool, to, unit);
   };
-  return decision_of(bindings_.again(place, valid(now), now, find_standing), pool);
+  return decision_of(bindings_.reconsider(place, valid(now), now, find_standing), pool);
 }
 
 void AffinityRouter::leave(int place) {
@@ -161,7 +161,7 @@
 
 void AffinityRouter::release(int place) {
   places_[static_cast<std::size_t>(place)].reset();
-  bindings_.over(place);
+  bindings_.release(place);
   report_quiet_slots();
 }
 
@@ -170,7 +170,7 @@
 }
 
 void AffinityRouter::apply_snapshot() {
-  bindings_.take_up(*port_.last(), fleet::boot_now());
+  bindings_.apply_snapshot(*port_.last(), fleet::boot_now());
   report_quiet_slots();
   if (!bindings_.busy()) return;
   // Deferred, as this may run within a request's handler.
@@ -189,7 +189,7 @@
     }
     return found;
   };
-  for (const int place : bindings_.call_off(valid(now), now, anywhere)) {
+  for (const int place : bindings_.cancel_due(valid(now), now, anywhere)) {
     const std::shared_ptr<Pool> pool = places_[static_cast<std::size_t>(place)].lock();
     if (pool) pool->cancel(bindings_.request_of(place));
   }
@@ -205,7 +205,7 @@
       by.append(" ").append(kReasonNames[why]).append("=").append(std::to_string(c.by[why]));
     }
     spdlog::info("counters: affinity {}{} waited={} called_off={}", bindings_.rules()[n].name, by, c.waited,
-                 c.called_off);
+                 c.cancelled);
   }
   const AffinityPlannerCells& p = planner_->cells();
   spdlog::info("counters: affinity planner closed={} opened={} returned={} held={} waiting={}",
--- a/src/node/affinity_router.h
+++ b/src/node/affinity_router.h
@@ -65,7 +65,7 @@
 
  private:
   bool valid(Millis now) const { return port_.valid(now) != nullptr; }
-  Decision decision_of(const affinity::Bindings::Said& said, const std::shared_ptr<Pool>& pool);
+  Decision decision_of(const affinity::Bindings::RoutingResult& result, const std::shared_ptr<Pool>& pool);
   void check_places();
   void update_planner();
   void report_quiet_slots();
--- a/tests/affinity/bindings_test.cpp
+++ b/tests/affinity/bindings_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t kSlots = 4;
-constexpr int kMost = 3;
+constexpr int kMaxWaiting = 3;
 constexpr Millis kFinish = 100;
 constexpr Millis kWait = 60;
 
@@ -31,11 +31,11 @@
 
 // The host of one process, with a reference model that each decision is checked against.
 struct World {
-  explicit World(std::uint64_t seed) : random(seed), bindings({a_rule()}, kMost) {
+  explicit World(std::uint64_t seed) : random(seed), bindings({a_rule()}, kMaxWaiting) {
     snapshot.incarnation = 1;
     fleet::SlotMap& map = snapshot.affinity[map_name(a_rule())];
     for (std::size_t n = 0; n < kSlots; ++n) map.slots.push_back({n % 2 == 0 ? "a" : "b", true, "", 1});
-    bindings.take_up(snapshot, now);
+    bindings.apply_snapshot(snapshot, now);
   }
 
   std::vector<fleet::Slot>& slots() { return snapshot.affinity.begin()->second.slots; }
@@ -43,7 +43,7 @@
   bool open(std::size_t slot, const std::string& backend) {
     return slots()[slot].open && slots()[slot].backend == backend;
   }
-  Bindings::Look look() {
+  Bindings::StatusLookup lookup() {
     return [this](Scope, const std::string& backend) -> std::optional<UnitStatus> {
       if (unknown.count(backend) > 0) return std::nullopt;
       return draining.count(backend) > 0 ? UnitStatus::kDraining : UnitStatus::kReady;
@@ -56,68 +56,69 @@
     std::uint64_t incarnation;
     Millis closed_at;
   };
-  void told(std::size_t slot, const Bindings::Said& said) {
-    if (said.go == RoutingAction::kOnly) {
+  void check_result(std::size_t slot, const Bindings::RoutingResult& result) {
+    if (result.go == RoutingAction::kOnly) {
       RC_ASSERT(valid);
-      RC_ASSERT(open(slot, *said.unit));
-      RC_ASSERT(draining.count(*said.unit) == 0U && unknown.count(*said.unit) == 0U);
-      RC_ASSERT(sent.emplace(said.place, Sent{slot, *said.unit, snapshot.incarnation, -1}).second);
+      RC_ASSERT(open(slot, *result.unit));
+      RC_ASSERT(draining.count(*result.unit) == 0U && unknown.count(*result.unit) == 0U);
+      RC_ASSERT(sent.emplace(result.place, Sent{slot, *result.unit, snapshot.incarnation, -1}).second);
     } else {
-      RC_ASSERT(said.go == RoutingAction::kRefuse);
-      RC_ASSERT(said.unit == nullptr);
+      RC_ASSERT(result.go == RoutingAction::kRefuse);
+      RC_ASSERT(result.unit == nullptr);
     }
   }
   void arrive() {
     const std::size_t slot = random.below(kSlots);
-    ++came;
-    const auto said = bindings.arrive(came, {0, true, key(slot)}, valid, now + 50, now, look());
-    RC_ASSERT(said.why != RoutingReason::kQueueFull || waiting.size() == std::size_t{kMost});
-    if (said.go != RoutingAction::kWait) return told(slot, said);
-    RC_ASSERT(waiting.size() < std::size_t{kMost});
-    waiting[said.place] = {slot, now};
+    ++arrived;
+    const auto result = bindings.arrive(arrived, {0, true, key(slot)}, valid, now + 50, now, lookup());
+    RC_ASSERT(result.why != RoutingReason::kQueueFull || waiting.size() == std::size_t{kMaxWaiting});
+    if (result.go != RoutingAction::kWait) return check_result(slot, result);
+    RC_ASSERT(waiting.size() < std::size_t{kMaxWaiting});
+    waiting[result.place] = {slot, now};
   }
-  void ask_again() {
+  void reconsider_waiting() {
     const std::vector<int> all = bindings.waiting();
     RC_ASSERT(all.size() == waiting.size());
     for (const int place : all) {
       const auto [slot, since] = waiting.at(place);
-      const auto said = bindings.again(place, valid, now, look());
-      if (said.go == RoutingAction::kWait) {
+      const auto result = bindings.reconsider(place, valid, now, lookup());
+      if (result.go == RoutingAction::kWait) {
         RC_ASSERT(now - since < 50);  // the client's deadline comes before the rule's wait time
         continue;
       }
       waiting.erase(place);
-      told(slot, said);
+      check_result(slot, result);
     }
   }
-  void take_up() {
+  void apply_snapshot() {
     for (auto& [place, one] : sent) {
       if (one.incarnation == snapshot.incarnation && open(one.slot, one.backend)) {
-        if (off.count(place) == 0) one.closed_at = -1;
+        if (cancelled.count(place) == 0) one.closed_at = -1;
       } else if (one.closed_at < 0) {
         one.closed_at = now;
       }
     }
-    bindings.take_up(snapshot, now);
+    bindings.apply_snapshot(snapshot, now);
   }
-  void call_off() {
-    for (const int place : bindings.call_off(valid, now, look())) {
+  void cancel_due() {
+    for (const int place : bindings.cancel_due(valid, now, lookup())) {
       const Sent& one = sent.at(place);
-      RC_ASSERT(off.insert(place).second);
+      RC_ASSERT(cancelled.insert(place).second);
       const bool lost = !valid || one.incarnation != snapshot.incarnation;
       RC_ASSERT(lost || (one.closed_at >= 0 && now - one.closed_at >= kFinish));
     }
     for (const auto& [place, one] : sent) {
       const bool lost = !valid || one.incarnation != snapshot.incarnation;
-      if (lost || (one.closed_at >= 0 && now - one.closed_at >= kFinish)) RC_ASSERT(off.count(place) == 1U);
+      if (lost || (one.closed_at >= 0 && now - one.closed_at >= kFinish))
+        RC_ASSERT(cancelled.count(place) == 1U);
     }
   }
   void end_one() {
     if (sent.empty()) return;
     auto it = sent.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(random.below(sent.size())));
-    off.erase(it->first);
-    bindings.over(it->first);
+    cancelled.erase(it->first);
+    bindings.release(it->first);
     sent.erase(it);
   }
   void check() {
@@ -125,7 +126,7 @@
     for (const auto& [place, one] : sent) {
       const bool its = one.incarnation == snapshot.incarnation && open(one.slot, one.backend);
       quiet = quiet && its && one.closed_at < 0;
-      RC_ASSERT(bindings.may_send(place, valid) == (valid && its && off.count(place) == 0));
+      RC_ASSERT(bindings.may_send(place, valid) == (valid && its && cancelled.count(place) == 0));
     }
     RC_ASSERT(bindings.quiet() == quiet);
     RC_ASSERT(bindings.busy() == !(sent.empty() && waiting.empty()));
@@ -139,7 +140,7 @@
       slot = {random.below(2) == 0 ? "a" : "b", true, "", 1};
     }
     if (random.below(8) == 0) ++snapshot.incarnation;
-    take_up();
+    apply_snapshot();
   }
   void step() {
     now += static_cast<Millis>(random.below(20));
@@ -161,10 +162,10 @@
         end_one();
         break;
       case 5:
-        ask_again();
+        reconsider_waiting();
         break;
       case 6:
-        call_off();
+        cancel_due();
         break;
       default:
         arrive();
@@ -179,9 +180,9 @@
   std::set<std::string> draining, unknown;
   bool valid = true;
   Millis now = 1000;
-  std::uint32_t came = 0;
+  std::uint32_t arrived = 0;
   std::map<int, Sent> sent;
-  std::set<int> off;
+  std::set<int> cancelled;
   std::map<int, std::pair<std::size_t, Millis>> waiting;
 };
 
@@ -191,13 +192,13 @@
   // All requests end, and each is counted once.
   while (!world.sent.empty()) world.end_one();
   world.now += kWait;
-  world.ask_again();
+  world.reconsider_waiting();
   while (!world.sent.empty()) world.end_one();
   world.check();
   RC_ASSERT(world.bindings.quiet());
   std::uint64_t sum = 0;
   for (const std::uint64_t count : world.bindings.counters(0).by) sum += count;
-  RC_ASSERT(sum == world.came);
+  RC_ASSERT(sum == world.arrived);
 }
 
 // A waiting request is refused while the rejection can still reach its client: 100 ms before the deadline, or
@@ -205,17 +206,17 @@
 TEST(Bindings, WaitingRequestIsRefusedBeforeItsDeadline) {
   Rule rule = a_rule();
   rule.wait = 10000;
-  Bindings bindings({rule}, kMost);
+  Bindings bindings({rule}, kMaxWaiting);
   fleet::Snapshot snapshot;
   snapshot.incarnation = 1;
   snapshot.affinity[map_name(rule)].slots.assign(kSlots, {"a", false, "b", 1});
-  bindings.take_up(snapshot, 0);
-  const Bindings::Look look = [](Scope, const std::string&) { return UnitStatus::kReady; };
+  bindings.apply_snapshot(snapshot, 0);
+  const Bindings::StatusLookup lookup = [](Scope, const std::string&) { return UnitStatus::kReady; };
   for (const auto& [left, refused_at] : std::map<Millis, Millis>{{1000, 900}, {100, 75}}) {
-    const auto said = bindings.arrive(1, {0, true, 0}, true, left, 0, look);
-    ASSERT_EQ(said.go, RoutingAction::kWait);
-    EXPECT_EQ(bindings.again(said.place, true, refused_at - 1, look).go, RoutingAction::kWait);
-    EXPECT_EQ(bindings.again(said.place, true, refused_at, look).go, RoutingAction::kRefuse);
+    const auto result = bindings.arrive(1, {0, true, 0}, true, left, 0, lookup);
+    ASSERT_EQ(result.go, RoutingAction::kWait);
+    EXPECT_EQ(bindings.reconsider(result.place, true, refused_at - 1, lookup).go, RoutingAction::kWait);
+    EXPECT_EQ(bindings.reconsider(result.place, true, refused_at, lookup).go, RoutingAction::kRefuse);
   }
 }
 
--- a/tests/affinity/model.h
+++ b/tests/affinity/model.h
@@ -94,9 +94,9 @@
   void renew(std::size_t process);
   void put_record(std::size_t process, std::uint64_t epoch);
   void see(Process& p, const fleet::Plan& plan, std::uint64_t modified);
-  void take_up(Process& p);  // on the request path
+  void apply_snapshot(Process& p);  // on the request path
   void look_after(Process& p);
-  void sent(Process& p, const Bindings::Said& said, std::size_t slot);
+  void sent(Process& p, const Bindings::RoutingResult& result, std::size_t slot);
   void follow(std::size_t process);
   void send(std::size_t process);
   void plan(std::size_t planner);
--- a/tests/affinity/model_process.cpp
+++ b/tests/affinity/model_process.cpp
@@ -31,23 +31,23 @@
   p.in_force = {};
   p.open = {};
   p.incarnation = 0;
-  take_up(p);
+  apply_snapshot(p);
 }
 
-void Model::take_up(Process& p) {
+void Model::apply_snapshot(Process& p) {
   if (!p.keys) p.keys = std::make_shared<Bindings>(std::vector{rule_}, 8);
   fleet::Snapshot snapshot;
   snapshot.incarnation = p.incarnation;
   if (!p.open.slots.empty()) snapshot.affinity[map_name(rule_)] = p.open;
-  p.keys->take_up(snapshot, now_);
+  p.keys->apply_snapshot(snapshot, now_);
 }
 
 // Every few milliseconds and before each decision: ends finished requests and cancels those that are due.
 void Model::look_after(Process& p) {
-  if (!p.keys) take_up(p);
-  const auto over = [&p](const Work& work) { return p.keys->over(work.place), true; };
+  if (!p.keys) apply_snapshot(p);
+  const auto over = [&p](const Work& work) { return p.keys->release(work.place), true; };
   std::erase_if(p.work, [&](const Work& work) { return work.ends <= now_ && over(work); });
-  for (const int place : p.keys->call_off(now_ < p.valid_until, now_, ready)) {
+  for (const int place : p.keys->cancel_due(now_ < p.valid_until, now_, ready)) {
     std::erase_if(p.work, [&](const Work& work) { return work.place == place && over(work); });
   }
 }
@@ -108,7 +108,7 @@
         // Slots that a newer plan seen meanwhile has closed stay closed.
         const fleet::SlotMap& map = plan.affinity.at(map_name(rule_));
         q.open = q.seen.epoch > epoch ? common(map, q.seen.affinity.at(map_name(rule_))) : map;
-        take_up(q);
+        apply_snapshot(q);
       }
     });
   });
@@ -124,7 +124,7 @@
   } else if (flaw_ != Flaw::kKeepsStale) {
     p.open = common(p.open, map);
   }
-  take_up(p);
+  apply_snapshot(p);
 }
 
 void Model::follow(std::size_t n) {
@@ -142,18 +142,18 @@
   const std::vector<int> waiting = p.keys->waiting();
   for (const int place : waiting) {
     const std::size_t slot = p.keys->request_of(place);
-    sent(p, p.keys->again(place, valid, now_, ready), slot);
+    sent(p, p.keys->reconsider(place, valid, now_, ready), slot);
   }
   const std::size_t slot = random_.below(kSlots);
   const RuleMatch found{0, true, std::uint64_t{slot} << (64 - kSlotBits)};
   sent(p, p.keys->arrive(static_cast<std::uint32_t>(slot), found, valid, now_ + 40, now_, ready), slot);
 }
 
-void Model::sent(Process& p, const Bindings::Said& said, std::size_t slot) {
-  result_.refused += said.go == RoutingAction::kRefuse;
-  if (said.go != RoutingAction::kOnly) return;
+void Model::sent(Process& p, const Bindings::RoutingResult& result, std::size_t slot) {
+  result_.refused += result.go == RoutingAction::kRefuse;
+  if (result.go != RoutingAction::kOnly) return;
   const fleet::Slot& seat = p.open.slots[slot];
-  if (*said.unit != seat.backend || !seat.open) broke(p.name + " sends where no slot is open");
+  if (*result.unit != seat.backend || !seat.open) broke(p.name + " sends where no slot is open");
   auto& [token, backend] = last_[slot];
   if (seat.since < token && seat.backend != backend) broke(p.name + " sends by an older opening");
   result_.moves += token > 0 && seat.backend != backend;
@@ -165,7 +165,7 @@
         broke("two boxes work for a slot");
     }
   }
-  p.work.push_back({slot, seat.backend, now_ + kLongest * random_.unit(), said.place});
+  p.work.push_back({slot, seat.backend, now_ + kLongest * random_.unit(), result.place});
   ++result_.sends;
 }
 
