--- a/bench/affinity/look_up.cpp
+++ b/bench/affinity/look_up.cpp
@@ -61,7 +61,7 @@
 void request_path(benchmark::State& state) {
   const auto slots = static_cast<std::size_t>(state.range(0));
   const std::vector<Rule> rules = rules_of(slots);
-  const SlotOwners seats(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
+  const SlotOwners owners(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
   std::vector<std::string> baskets;
   for (int n = 0; n < 4096; ++n) baskets.push_back("basket-" + std::to_string(1000000 + n));
   // As a parsed head has them: few fields, in a row.
@@ -83,9 +83,9 @@
     head[3].second = baskets[n++ % baskets.size()];
     const Request request = {"shop", "check", "acme", "gold", "GET", "/baskets/7", "/baskets/{id}", &field};
     const auto found = find(rules, request);
-    RoutingQuery ask{&rules[found->rule],  found->keyed,       seats.any(), true,
-                     seats.at(found->key), UnitStatus::kReady, -1,          0};
-    benchmark::DoNotOptimize(choose(ask));
+    RoutingQuery query{&rules[found->rule],   found->keyed,       owners.any(), true,
+                       owners.at(found->key), UnitStatus::kReady, -1,           0};
+    benchmark::DoNotOptimize(choose(query));
   }
   state.counters["allocations"] =
       static_cast<double>(allocations - before) / static_cast<double>(state.iterations());
@@ -93,12 +93,12 @@
 
 void seat_alone(benchmark::State& state) {
   const auto slots = static_cast<std::size_t>(state.range(0));
-  const SlotOwners seats(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
+  const SlotOwners owners(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
   std::uint64_t key = 1;
   const std::uint64_t before = allocations;
   for (auto _ : state) {
     key = key * 6364136223846793005ULL + 1442695040888963407ULL;
-    benchmark::DoNotOptimize(seats.at(key));
+    benchmark::DoNotOptimize(owners.at(key));
   }
   state.counters["allocations"] =
       static_cast<double>(allocations - before) / static_cast<double>(state.iterations());
--- a/bench/fleet_port/admission.cpp
+++ b/bench/fleet_port/admission.cpp
@@ -65,7 +65,7 @@
     port.take_up();
     fleet::SlotMap map;
     for (std::size_t n = 0; n < 4096; ++n) map.slots.push_back({std::to_string(n * 7919 % 50), true, "", 1});
-    seats = affinity::SlotOwners(map, [](const std::string& name) { return std::stoi(name); });
+    owners = affinity::SlotOwners(map, [](const std::string& name) { return std::stoi(name); });
     for (std::size_t n = 0; n < kMany; ++n) {
       clients.push_back("client-" + std::to_string(1000000 + n));
       baskets.push_back("basket-" + std::to_string(1000000 + n));
@@ -106,7 +106,7 @@
   plans::Admission admission{order, plans::AdmissionSettings()};
   fleet::CutOff cut{0, 0.5};
   const std::vector<affinity::Rule> rules = three_rules();
-  affinity::SlotOwners seats;
+  affinity::SlotOwners owners;
   std::vector<std::string> clients, baskets;
   // As a parsed head has them: few fields, in a row.
   std::array<std::pair<std::string_view, std::string_view>, 6> head = {{{"host", "shop.example.org"},
@@ -145,13 +145,13 @@
     const affinity::Request asked = {"shop", "check",      "acme",          "gold",
                                      "GET",  "/baskets/7", "/baskets/{id}", &gate.field};
     const auto found = affinity::find(gate.rules, asked);
-    affinity::RoutingQuery ask;
-    ask.rule = &gate.rules[found->rule];
-    ask.keyed = found->keyed;
-    ask.mapped = gate.seats.any();
-    ask.valid = gate.port.valid(now) != nullptr;
-    ask.seat = gate.seats.at(found->key);
-    benchmark::DoNotOptimize(affinity::choose(ask));
+    affinity::RoutingQuery query;
+    query.rule = &gate.rules[found->rule];
+    query.keyed = found->keyed;
+    query.mapped = gate.owners.any();
+    query.valid = gate.port.valid(now) != nullptr;
+    query.owner = gate.owners.at(found->key);
+    benchmark::DoNotOptimize(affinity::choose(query));
   }
   return in;
 }
--- a/src/affinity/bindings.cpp
+++ b/src/affinity/bindings.cpp
@@ -38,11 +38,11 @@
   }
   closing_ = 0;
   for (Place& place : places_) {
-    if (place.state != State::kUnderWay) continue;
+    if (place.state != State::kInFlight) continue;
     place.unit = index_of(units_[static_cast<std::size_t>(place.unit)]);
     const SlotOwners& owners = owners_[place.match.rule];
-    const SlotOwner seat = owners.any() ? owners.at(place.match.key) : SlotOwner{};
-    const bool open = place.incarnation == incarnation_ && seat.open && seat.unit == place.unit;
+    const SlotOwner owner = owners.any() ? owners.at(place.match.key) : SlotOwner{};
+    const bool open = place.incarnation == incarnation_ && owner.open && owner.unit == place.unit;
     // A cancelled request stays closed, also if its slot goes back to its backend.
     if (!open && place.closed_at < 0) place.closed_at = now;
     if (open && !place.cancelled) place.closed_at = -1;
@@ -62,21 +62,21 @@
   one.valid = valid && incarnation_ != 0;
   one.waited = waited;
   if (!one.keyed || !one.mapped) return {choose(one), nullptr};
-  one.seat = owners.at(match.key);
-  if (one.seat.unit < 0) return {choose(one), nullptr};
-  const std::string& unit = units_[static_cast<std::size_t>(one.seat.unit)];
-  const std::optional<UnitStatus> standing = status_of(rule.to, unit);
-  if (!standing) one.seat.unit = -1;
-  one.standing = standing.value_or(UnitStatus::kGone);
+  one.owner = owners.at(match.key);
+  if (one.owner.unit < 0) return {choose(one), nullptr};
+  const std::string& unit = units_[static_cast<std::size_t>(one.owner.unit)];
+  const std::optional<UnitStatus> status = status_of(rule.to, unit);
+  if (!status) one.owner.unit = -1;
+  one.status = status.value_or(UnitStatus::kGone);
   return {choose(one), &unit};
 }
 
 Bindings::RoutingResult Bindings::routing_result(const RuleMatch& match, const Evaluation& evaluation,
                                                  int place) {
   const Decision& d = evaluation.decision;
-  if (d.go != RoutingAction::kWait) ++counters_[match.rule].by[static_cast<std::size_t>(d.why)];
-  const bool there = d.go == RoutingAction::kOnly || d.go == RoutingAction::kPrefer;
-  return {d.go, d.why, there ? evaluation.unit : nullptr, rules_[match.rule].to, place};
+  if (d.action != RoutingAction::kWait) ++counters_[match.rule].by[static_cast<std::size_t>(d.reason)];
+  const bool there = d.action == RoutingAction::kOnly || d.action == RoutingAction::kPrefer;
+  return {d.action, d.reason, there ? evaluation.unit : nullptr, rules_[match.rule].to, place};
 }
 
 Bindings::RoutingResult Bindings::arrive(std::uint32_t request, const RuleMatch& match, bool valid,
@@ -84,23 +84,23 @@
   Evaluation evaluation = evaluate(match, valid, 0, status_of);
   Decision& decision = evaluation.decision;
   until = waits_until(until, now);
-  if (decision.go == RoutingAction::kWait && now >= until) decision.go = RoutingAction::kRefuse;
-  if (decision.go == RoutingAction::kWait && !wait_queue_.enter())
+  if (decision.action == RoutingAction::kWait && now >= until) decision.action = RoutingAction::kRefuse;
+  if (decision.action == RoutingAction::kWait && !wait_queue_.enter())
     decision = {RoutingAction::kRefuse, -1, RoutingReason::kQueueFull};
-  if (decision.go != RoutingAction::kWait && decision.go != RoutingAction::kOnly)
+  if (decision.action != RoutingAction::kWait && decision.action != RoutingAction::kOnly)
     return routing_result(match, evaluation, -1);
   const int n = take_place();
   Place& place = at(n);
   place.request = request;
   place.match = match;
-  if (decision.go == RoutingAction::kWait) {
+  if (decision.action == RoutingAction::kWait) {
     place.state = State::kWaiting;
     place.since = now;
     place.until = until;
     waiting_.push_back(n);
     ++counters_[match.rule].waited;
   } else {
-    place.state = State::kUnderWay;
+    place.state = State::kInFlight;
     place.unit = decision.unit;
     place.incarnation = incarnation_;
   }
@@ -111,15 +111,15 @@
   Place& place = at(n);
   Evaluation evaluation = evaluate(place.match, valid, now - place.since, status_of);
   Decision& decision = evaluation.decision;
-  if (decision.go == RoutingAction::kWait && now >= place.until) decision.go = RoutingAction::kRefuse;
-  if (decision.go == RoutingAction::kWait) return routing_result(place.match, evaluation, n);
+  if (decision.action == RoutingAction::kWait && now >= place.until) decision.action = RoutingAction::kRefuse;
+  if (decision.action == RoutingAction::kWait) return routing_result(place.match, evaluation, n);
   const RuleMatch match = place.match;
   leave(n);
-  if (decision.go != RoutingAction::kOnly) return routing_result(match, evaluation, -1);
+  if (decision.action != RoutingAction::kOnly) return routing_result(match, evaluation, -1);
   // Takes the entry that leave() has just released.
   const int taken = take_place();
   Place& now_there = at(taken);
-  now_there.state = State::kUnderWay;
+  now_there.state = State::kInFlight;
   now_there.request = place.request;
   now_there.match = match;
   now_there.unit = decision.unit;
@@ -136,12 +136,12 @@
 
 bool Bindings::may_send(int n, bool valid) const {
   const Place& place = places_[static_cast<std::size_t>(n)];
-  return place.state == State::kUnderWay && valid && place.incarnation == incarnation_ &&
+  return place.state == State::kInFlight && valid && place.incarnation == incarnation_ &&
          place.closed_at < 0 && !place.cancelled;
 }
 
 void Bindings::release(int n) {
-  if (at(n).state != State::kUnderWay) return;
+  if (at(n).state != State::kInFlight) return;
   closing_ -= at(n).closed_at >= 0;
   give_place(n);
 }
@@ -150,17 +150,17 @@
   std::vector<int> due;
   for (std::size_t n = 0; n < places_.size(); ++n) {
     Place& place = places_[n];
-    if (place.state != State::kUnderWay || place.cancelled) continue;
+    if (place.state != State::kInFlight || place.cancelled) continue;
     const bool its = valid && place.incarnation == incarnation_;
     if (its && place.closed_at < 0) continue;
     const Rule& rule = rules_[place.match.rule];
-    UnderWay under_way;
-    under_way.count = 1;
-    under_way.closed_for = place.closed_at < 0 ? 0 : now - place.closed_at;
-    under_way.drains =
+    InFlight in_flight;
+    in_flight.count = 1;
+    in_flight.closed_for = place.closed_at < 0 ? 0 : now - place.closed_at;
+    in_flight.drains =
         status_of(rule.to, units_[static_cast<std::size_t>(place.unit)]) == UnitStatus::kDraining;
-    under_way.valid = its;
-    if (closing(rule, under_way) != Closing::kCallOff) continue;
+    in_flight.valid = its;
+    if (closing(rule, in_flight) != Closing::kCancel) continue;
     place.cancelled = true;
     ++counters_[place.match.rule].cancelled;
     due.push_back(static_cast<int>(n));
--- a/src/affinity/bindings.h
+++ b/src/affinity/bindings.h
@@ -33,8 +33,8 @@
   using StatusLookup = std::function<std::optional<UnitStatus>(Scope, const std::string& unit)>;
 
   struct RoutingResult {
-    RoutingAction go = RoutingAction::kFree;
-    RoutingReason why = RoutingReason::kNoKey;
+    RoutingAction action = RoutingAction::kFree;
+    RoutingReason reason = RoutingReason::kNoKey;
     const std::string* unit = nullptr;  // kOnly, kPrefer: valid until the next apply_snapshot()
     Scope to = Scope::kBackend;
     int place = -1;  // kOnly: valid until release(); kWait: until reconsider() decides otherwise, or leave()
@@ -75,7 +75,7 @@
   const Counters& counters(std::size_t rule) const { return counters_[rule]; }
 
  private:
-  enum class State { kFree, kWaiting, kUnderWay };
+  enum class State { kFree, kWaiting, kInFlight };
   struct Place {
     State state = State::kFree;
     std::uint32_t request = 0;
--- a/src/affinity/choice.h
+++ b/src/affinity/choice.h
@@ -32,13 +32,13 @@
   SlotOwners() = default;
   SlotOwners(const fleet::SlotMap& map, const std::function<int(const std::string&)>& index_of);
 
-  bool any() const { return !seats_.empty(); }
-  std::size_t size() const { return seats_.size(); }
+  bool any() const { return !owners_.empty(); }
+  std::size_t size() const { return owners_.size(); }
   // One array access; no allocation, no lock. Requires any().
-  SlotOwner at(std::uint64_t key) const { return seats_[slot_of(key, seats_.size())]; }
+  SlotOwner at(std::uint64_t key) const { return owners_[slot_of(key, owners_.size())]; }
 
  private:
-  std::vector<SlotOwner> seats_;
+  std::vector<SlotOwner> owners_;
 };
 
 // The status of a slot's unit as this process sees it now. A cell or zone is kReady if any backend of it is.
@@ -77,40 +77,40 @@
   bool keyed = true;
   bool mapped = false;  // the snapshot in force has a map for the rule
   bool valid = false;   // checked now: fleet::Member::valid_until() is not over
-  SlotOwner seat;
-  UnitStatus standing = UnitStatus::kReady;
+  SlotOwner owner;
+  UnitStatus status = UnitStatus::kReady;
   int repeat_at =
       -1;  // an earlier attempt may have run and only this unit drops the repeat; -1: none, or all units do
   Millis waited = 0;
 };
 
 struct Decision {
-  RoutingAction go = RoutingAction::kFree;
+  RoutingAction action = RoutingAction::kFree;
   int unit = -1;  // kOnly, kPrefer
-  RoutingReason why = RoutingReason::kKept;
+  RoutingReason reason = RoutingReason::kKept;
 
   bool operator==(const Decision&) const = default;
 };
 
 // Does not allocate. Returns kWait only for `must`, and only while `waited` is below `Rule::wait`; the caller
 // then needs a place in its WaitQueue, and refuses with kQueueFull if there is none.
-Decision choose(const RoutingQuery& ask);
+Decision choose(const RoutingQuery& query);
 
 // Limits how many requests of a node wait for slots at a time, over all rules. Not thread-safe.
 class WaitQueue {
  public:
-  explicit WaitQueue(int most) : most_(most) {}
-  bool enter() { return inside_ < most_ && ++inside_ > 0; }  // false: full, the request is rejected at once
+  explicit WaitQueue(int limit) : limit_(limit) {}
+  bool enter() { return inside_ < limit_ && ++inside_ > 0; }  // false: full, the request is rejected at once
   void leave() { --inside_; }
   int inside() const { return inside_; }
 
  private:
-  const int most_;
+  const int limit_;
   int inside_ = 0;
 };
 
 // The requests in flight for a slot that the snapshot in force has closed, or whose snapshot expired.
-struct UnderWay {
+struct InFlight {
   int count = 0;
   Millis closed_for = 0;  // time since the slot was closed here
   bool drains = false;    // its backend is draining
@@ -119,7 +119,7 @@
 // A process may acknowledge the epoch that closed a slot only once nothing is in flight for it. A cancelled
 // request may have run (rule 2), and its backend may go on with it: nothing fences a backend. A `finish`
 // longer than any request avoids that.
-enum class Closing { kQuiet, kUnderWay, kCallOff };
-Closing closing(const Rule& rule, const UnderWay& under_way);
+enum class Closing { kQuiet, kInFlight, kCancel };
+Closing closing(const Rule& rule, const InFlight& in_flight);
 
 }  // namespace shorelead::affinity
--- a/src/node/affinity_router.cpp
+++ b/src/node/affinity_router.cpp
@@ -31,9 +31,9 @@
                                : Unit::Kind::kZone;
 }
 
-std::optional<UnitStatus> standing(Pool& pool, Scope to, const std::string& unit) {
+std::optional<UnitStatus> status_of(Pool& pool, Scope to, const std::string& unit) {
   const std::optional<UnitState> seen = pool.find_unit(kind_of(to), unit);
-  return seen ? std::optional(seen->standing) : std::nullopt;
+  return seen ? std::optional(seen->status) : std::nullopt;
 }
 
 // The same ramp as the decision module's (estimate/load.h): linear from the cold share up to 1.
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-const char* cause_of(RoutingReason why) {
-  return why == RoutingReason::kQueueFull ? "too many wait for their boxes, trying again is harmless"
-                                          : "its box cannot be told now, trying again is harmless";
+const char* cause_of(RoutingReason reason) {
+  return reason == RoutingReason::kQueueFull ? "too many wait for their boxes, trying again is harmless"
+                                             : "its box cannot be told now, trying again is harmless";
 }
 
 AffinityRouter::AffinityRouter(Loop& loop, const FleetConfig& fleet, fleet::Port& port,
@@ -115,12 +115,12 @@
 
 AffinityRouter::Decision AffinityRouter::decision_of(const affinity::Bindings::RoutingResult& result,
                                                      const std::shared_ptr<Pool>& pool) {
-  Decision decision{result.go, result.why, {}, result.place};
+  Decision decision{result.action, result.reason, {}, result.place};
   if (result.unit != nullptr) {
     // The unit is known: it was looked up a moment ago, on this thread.
     const Scope to = result.to;
     decision.home = pool->find_unit(kind_of(to), *result.unit)->unit;
-    decision.home.required = result.go == RoutingAction::kOnly;
+    decision.home.required = result.action == RoutingAction::kOnly;
   }
   if (result.place >= 0) {
     const auto n = static_cast<std::size_t>(result.place);
@@ -134,20 +134,20 @@
 AffinityRouter::Decision AffinityRouter::route(RequestId request, const affinity::RuleMatch& found,
                                                const std::shared_ptr<Pool>& pool, Millis due) {
   const Millis now = fleet::boot_now();
-  const affinity::Bindings::StatusLookup find_standing = [&pool](Scope to, const std::string& unit) {
-    return standing(*pool, to, unit);
+  const affinity::Bindings::StatusLookup find_status = [&pool](Scope to, const std::string& unit) {
+    return status_of(*pool, to, unit);
   };
   return decision_of(
-      bindings_.arrive(request, found, valid(now), now + (due - loop_.now()), now, find_standing), pool);
+      bindings_.arrive(request, found, valid(now), now + (due - loop_.now()), now, find_status), pool);
 }
 
 AffinityRouter::Decision AffinityRouter::reconsider(int place) {
   const Millis now = fleet::boot_now();
   const std::shared_ptr<Pool> pool = places_[static_cast<std::size_t>(place)].lock();
-  const affinity::Bindings::StatusLookup find_standing = [&pool](Scope to, const std::string& unit) {
-    return standing(*pool, to, unit);
+  const affinity::Bindings::StatusLookup find_status = [&pool](Scope to, const std::string& unit) {
+    return status_of(*pool, to, unit);
   };
-  return decision_of(bindings_.reconsider(place, valid(now), now, find_standing), pool);
+  return decision_of(bindings_.reconsider(place, valid(now), now, find_status), pool);
 }
 
 void AffinityRouter::leave(int place) {
@@ -185,7 +185,7 @@
     std::optional<UnitStatus> found;
     for (const auto& watched : pools_) {
       const std::shared_ptr<Pool> pool = watched.lock();
-      if (pool && !found) found = standing(*pool, to, unit);
+      if (pool && !found) found = status_of(*pool, to, unit);
     }
     return found;
   };
@@ -201,8 +201,8 @@
   for (std::size_t n = 0; n < bindings_.rules().size(); ++n) {
     const affinity::Bindings::Counters& c = bindings_.counters(n);
     std::string by;
-    for (std::size_t why = 0; why < c.by.size(); ++why) {
-      by.append(" ").append(kReasonNames[why]).append("=").append(std::to_string(c.by[why]));
+    for (std::size_t reason = 0; reason < c.by.size(); ++reason) {
+      by.append(" ").append(kReasonNames[reason]).append("=").append(std::to_string(c.by[reason]));
     }
     spdlog::info("counters: affinity {}{} waited={} called_off={}", bindings_.rules()[n].name, by, c.waited,
                  c.cancelled);
--- a/src/node/affinity_router.h
+++ b/src/node/affinity_router.h
@@ -37,8 +37,8 @@
   void watch(const std::vector<std::shared_ptr<Pool>>& pools);
 
   struct Decision {
-    affinity::RoutingAction go = affinity::RoutingAction::kFree;
-    affinity::RoutingReason why = affinity::RoutingReason::kNoKey;
+    affinity::RoutingAction action = affinity::RoutingAction::kFree;
+    affinity::RoutingReason reason = affinity::RoutingReason::kNoKey;
     Unit home{};     // kOnly, kPrefer
     int place = -1;  // kOnly, kWait
   };
@@ -87,6 +87,6 @@
 };
 
 // The body text of a refusal by an affinity rule.
-const char* cause_of(affinity::RoutingReason why);
+const char* cause_of(affinity::RoutingReason reason);
 
 }  // namespace shorelead::node
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -72,7 +72,7 @@
 void RequestTable::apply(RequestId request, const AffinityRouter::Decision& decision, RequestInfo info,
                          std::shared_ptr<const Message> message) {
   Entry& entry = entries_.at(request);
-  switch (decision.go) {
+  switch (decision.action) {
     case affinity::RoutingAction::kWait:
       if (!entry.waiting) entry.waiting = std::make_unique<Waiting>();
       *entry.waiting = {std::move(info), std::move(message), decision.place};
@@ -80,7 +80,7 @@
     case affinity::RoutingAction::kRefuse: {
       const Millis retry_after = entry.pool->max_wait_advice();
       close(request, FleetAdmission::End::kFailed);
-      return refuse_(request, {503, cause_of(decision.why), kProxyStatusAffinity, retry_after});
+      return refuse_(request, {503, cause_of(decision.reason), kProxyStatusAffinity, retry_after});
     }
     case affinity::RoutingAction::kOnly:
       // The hold keeps the fleet admission, which owns the router, alive until the last attempt has ended.
@@ -105,7 +105,7 @@
   Waiting& waiting = *it->second.waiting;
   const AffinityRouter::Decision decision =
       it->second.admission->affinity_router()->reconsider(waiting.place);
-  if (decision.go == affinity::RoutingAction::kWait) return;
+  if (decision.action == affinity::RoutingAction::kWait) return;
   waiting.place = -1;
   apply(request, decision, std::move(waiting.info), std::move(waiting.message));
 }
--- a/src/node/units.cpp
+++ b/src/node/units.cpp
@@ -11,8 +11,7 @@
 
 void Units::merge(UnitState& state, const Unit& unit, bool ready) {
   state.unit = unit;
-  if (state.standing != UnitStatus::kReady)
-    state.standing = ready ? UnitStatus::kReady : UnitStatus::kDraining;
+  if (state.status != UnitStatus::kReady) state.status = ready ? UnitStatus::kReady : UnitStatus::kDraining;
 }
 
 void Units::put(const std::string& zone_name, int zone, int cell, bool ready) {
--- a/src/node/units.h
+++ b/src/node/units.h
@@ -14,7 +14,7 @@
 // A backend, cell or zone: its number in the decision module, and its standing in this process's list.
 struct UnitState {
   Unit unit;
-  affinity::UnitStatus standing = affinity::UnitStatus::kGone;
+  affinity::UnitStatus status = affinity::UnitStatus::kGone;
 };
 
 // The same in all processes.
--- a/tests/affinity/bindings_test.cpp
+++ b/tests/affinity/bindings_test.cpp
@@ -57,13 +57,13 @@
     Millis closed_at;
   };
   void check_result(std::size_t slot, const Bindings::RoutingResult& result) {
-    if (result.go == RoutingAction::kOnly) {
+    if (result.action == RoutingAction::kOnly) {
       RC_ASSERT(valid);
       RC_ASSERT(open(slot, *result.unit));
       RC_ASSERT(draining.count(*result.unit) == 0U && unknown.count(*result.unit) == 0U);
       RC_ASSERT(sent.emplace(result.place, Sent{slot, *result.unit, snapshot.incarnation, -1}).second);
     } else {
-      RC_ASSERT(result.go == RoutingAction::kRefuse);
+      RC_ASSERT(result.action == RoutingAction::kRefuse);
       RC_ASSERT(result.unit == nullptr);
     }
   }
@@ -71,8 +71,8 @@
     const std::size_t slot = random.below(kSlots);
     ++arrived;
     const auto result = bindings.arrive(arrived, {0, true, key(slot)}, valid, now + 50, now, lookup());
-    RC_ASSERT(result.why != RoutingReason::kQueueFull || waiting.size() == std::size_t{kMaxWaiting});
-    if (result.go != RoutingAction::kWait) return check_result(slot, result);
+    RC_ASSERT(result.reason != RoutingReason::kQueueFull || waiting.size() == std::size_t{kMaxWaiting});
+    if (result.action != RoutingAction::kWait) return check_result(slot, result);
     RC_ASSERT(waiting.size() < std::size_t{kMaxWaiting});
     waiting[result.place] = {slot, now};
   }
@@ -82,7 +82,7 @@
     for (const int place : all) {
       const auto [slot, since] = waiting.at(place);
       const auto result = bindings.reconsider(place, valid, now, lookup());
-      if (result.go == RoutingAction::kWait) {
+      if (result.action == RoutingAction::kWait) {
         RC_ASSERT(now - since < 50);  // the client's deadline comes before the rule's wait time
         continue;
       }
@@ -214,9 +214,9 @@
   const Bindings::StatusLookup lookup = [](Scope, const std::string&) { return UnitStatus::kReady; };
   for (const auto& [left, refused_at] : std::map<Millis, Millis>{{1000, 900}, {100, 75}}) {
     const auto result = bindings.arrive(1, {0, true, 0}, true, left, 0, lookup);
-    ASSERT_EQ(result.go, RoutingAction::kWait);
-    EXPECT_EQ(bindings.reconsider(result.place, true, refused_at - 1, lookup).go, RoutingAction::kWait);
-    EXPECT_EQ(bindings.reconsider(result.place, true, refused_at, lookup).go, RoutingAction::kRefuse);
+    ASSERT_EQ(result.action, RoutingAction::kWait);
+    EXPECT_EQ(bindings.reconsider(result.place, true, refused_at - 1, lookup).action, RoutingAction::kWait);
+    EXPECT_EQ(bindings.reconsider(result.place, true, refused_at, lookup).action, RoutingAction::kRefuse);
   }
 }
 
--- a/tests/affinity/choice_test.cpp
+++ b/tests/affinity/choice_test.cpp
@@ -9,7 +9,7 @@
 TEST(Choice, DecidesByPrecedence) {
   Rule rule;
   rule.must = true;
-  const auto ask = [&rule](auto change) {
+  const auto decide = [&rule](auto change) {
     RoutingQuery one{&rule, true, true, true, {7, true}, UnitStatus::kReady, -1, 0};
     change(one);
     return choose(one);
@@ -24,7 +24,7 @@
       a.waited = rule.wait;
     };
   };
-  const auto closed = [](RoutingQuery& a) { a.seat.open = false; };
+  const auto closed = [](RoutingQuery& a) { a.owner.open = false; };
   const std::vector<Case> table = {
       {[](RoutingQuery&) {},
        {RoutingAction::kOnly, 7, RoutingReason::kKept},
@@ -44,7 +44,7 @@
       {late(closed),
        {RoutingAction::kRefuse, -1, RoutingReason::kClosed},
        {RoutingAction::kFree, -1, RoutingReason::kClosed}},
-      {[](RoutingQuery& a) { a.seat.unit = -1; },
+      {[](RoutingQuery& a) { a.owner.unit = -1; },
        {RoutingAction::kWait, -1, RoutingReason::kUnknown},
        {RoutingAction::kFree, -1, RoutingReason::kUnknown}},
       {[](RoutingQuery& a) { a.repeat_at = 3; },
@@ -53,31 +53,31 @@
       {[](RoutingQuery& a) { a.repeat_at = 7; },
        {RoutingAction::kOnly, 7, RoutingReason::kKept},
        {RoutingAction::kPrefer, 7, RoutingReason::kKept}},
-      {[](RoutingQuery& a) { a.standing = UnitStatus::kDraining; },
+      {[](RoutingQuery& a) { a.status = UnitStatus::kDraining; },
        {RoutingAction::kWait, -1, RoutingReason::kDraining},
        {RoutingAction::kFree, -1, RoutingReason::kDraining}},
-      {[](RoutingQuery& a) { a.standing = UnitStatus::kFull; },
+      {[](RoutingQuery& a) { a.status = UnitStatus::kFull; },
        {RoutingAction::kWait, -1, RoutingReason::kFull},
        {RoutingAction::kFree, -1, RoutingReason::kFull}},
-      {[](RoutingQuery& a) { a.standing = UnitStatus::kGone; },
+      {[](RoutingQuery& a) { a.status = UnitStatus::kGone; },
        {RoutingAction::kWait, -1, RoutingReason::kGone},
        {RoutingAction::kFree, -1, RoutingReason::kGone}},
   };
   for (std::size_t n = 0; n < table.size(); ++n) {
     rule.must = true;
-    EXPECT_EQ(ask(table[n].change), table[n].must) << n;
+    EXPECT_EQ(decide(table[n].change), table[n].must) << n;
     rule.must = false;
-    EXPECT_EQ(ask(table[n].change), table[n].prefer) << n;
+    EXPECT_EQ(decide(table[n].change), table[n].prefer) << n;
   }
   rule.must = true;
   rule.on_loss = OnLoss::kRefuse;
-  EXPECT_EQ(ask([](RoutingQuery& a) { a.standing = UnitStatus::kGone; }),
+  EXPECT_EQ(decide([](RoutingQuery& a) { a.status = UnitStatus::kGone; }),
             (Decision{RoutingAction::kRefuse, -1, RoutingReason::kGone}));
-  WaitQueue room(1);
-  EXPECT_TRUE(room.enter());
-  EXPECT_FALSE(room.enter());
-  room.leave();
-  EXPECT_TRUE(room.enter());
+  WaitQueue queue(1);
+  EXPECT_TRUE(queue.enter());
+  EXPECT_FALSE(queue.enter());
+  queue.leave();
+  EXPECT_TRUE(queue.enter());
 }
 
 TEST(Choice, CancelsRequestsOfClosedSlots) {
@@ -85,12 +85,12 @@
   rule.must = true;
   rule.finish = 100;
   EXPECT_EQ(closing(rule, {0, 0, false, true}), Closing::kQuiet);
-  EXPECT_EQ(closing(rule, {1, 99, true, true}), Closing::kUnderWay);
-  EXPECT_EQ(closing(rule, {1, 100, true, true}), Closing::kCallOff);
-  EXPECT_EQ(closing(rule, {1, 0, false, false}), Closing::kCallOff);
+  EXPECT_EQ(closing(rule, {1, 99, true, true}), Closing::kInFlight);
+  EXPECT_EQ(closing(rule, {1, 100, true, true}), Closing::kCancel);
+  EXPECT_EQ(closing(rule, {1, 0, false, false}), Closing::kCancel);
   rule.on_drain = OnDrain::kMove;
-  EXPECT_EQ(closing(rule, {1, 0, true, true}), Closing::kCallOff);
-  EXPECT_EQ(closing(rule, {1, 0, false, true}), Closing::kUnderWay);
+  EXPECT_EQ(closing(rule, {1, 0, true, true}), Closing::kCancel);
+  EXPECT_EQ(closing(rule, {1, 0, false, true}), Closing::kInFlight);
   rule.must = false;
   EXPECT_EQ(closing(rule, {1, 100, true, true}), Closing::kQuiet);
 }
--- a/tests/affinity/model_process.cpp
+++ b/tests/affinity/model_process.cpp
@@ -150,8 +150,8 @@
 }
 
 void Model::sent(Process& p, const Bindings::RoutingResult& result, std::size_t slot) {
-  result_.refused += result.go == RoutingAction::kRefuse;
-  if (result.go != RoutingAction::kOnly) return;
+  result_.refused += result.action == RoutingAction::kRefuse;
+  if (result.action != RoutingAction::kOnly) return;
   const fleet::Slot& seat = p.open.slots[slot];
   if (*result.unit != seat.backend || !seat.open) broke(p.name + " sends where no slot is open");
   auto& [token, backend] = last_[slot];
--- a/tests/home_test.cpp
+++ b/tests/home_test.cpp
@@ -98,7 +98,7 @@
     // A draining unit gets no new requests, and no other unit gets them in its place.
     for (const std::string& backend : row.all) c.health(backend, "draining");
     EXPECT_TRUE(c.tries(c.unit(row.kind, row.name, true)).empty());
-    EXPECT_EQ(c.policy_host->find_unit(row.kind, row.name)->standing, affinity::UnitStatus::kDraining);
+    EXPECT_EQ(c.policy_host->find_unit(row.kind, row.name)->status, affinity::UnitStatus::kDraining);
   }
 }
 
