--- a/src/affinity/condition.cpp
+++ b/src/affinity/condition.cpp
@@ -50,38 +50,38 @@
 struct whole : pegtl::seq<gap, pegtl::must<any_of>, pegtl::must<pegtl::eof>> {};
 
 // The error message for each grammar rule that has to match and does not.
-struct told {
+struct messages {
   template <typename>
   static constexpr const char* message = "this is no condition";
   template <typename>
   static constexpr bool raise_on_failure = false;  // errors are raised only by must<>
 };
-constexpr const char* kWordDue =
+constexpr const char* kConditionExpected =
     "a condition is due here: route, class, tenant, plan or method with a value, a header, \"not\" or \"(\"";
 template <>
-constexpr const char* told::message<any_of> = kWordDue;
+constexpr const char* messages::message<any_of> = kConditionExpected;
 template <>
-constexpr const char* told::message<all_of> = kWordDue;
+constexpr const char* messages::message<all_of> = kConditionExpected;
 template <>
-constexpr const char* told::message<one> = kWordDue;
+constexpr const char* messages::message<one> = kConditionExpected;
 template <>
-constexpr const char* told::message<relation> = "\"=\" or \"!=\" is due here";
+constexpr const char* messages::message<relation> = "\"=\" or \"!=\" is due here";
 template <>
-constexpr const char* told::message<value> =
+constexpr const char* messages::message<value> =
     "a value is due here; others than plain words stand between two of '";
 template <>
-constexpr const char* told::message<quoted_text> =
+constexpr const char* messages::message<quoted_text> =
     "a value is not empty; a header that is not there is: not header NAME";
 template <>
-constexpr const char* told::message<pegtl::one<'\''>> = "this value is not closed: put a ' where it ends";
+constexpr const char* messages::message<pegtl::one<'\''>> = "this value is not closed: put a ' where it ends";
 template <>
-constexpr const char* told::message<field_name> = "a header's name is due here";
+constexpr const char* messages::message<field_name> = "a header's name is due here";
 template <>
-constexpr const char* told::message<closing> = "\")\" is due here, or \"and\" or \"or\"";
+constexpr const char* messages::message<closing> = "\")\" is due here, or \"and\" or \"or\"";
 template <>
-constexpr const char* told::message<pegtl::eof> = "\"and\" or \"or\" is due here, or the end";
+constexpr const char* messages::message<pegtl::eof> = "\"and\" or \"or\" is due here, or the end";
 template <typename Rule>
-using control = pegtl::must_if<told>::control<Rule>;
+using control = pegtl::must_if<messages>::control<Rule>;
 
 template <typename Rule>
 using selector = pegtl::parse_tree::selector<
@@ -123,7 +123,7 @@
   return node.is_type<all_of>() ? all(std::move(parts)) : any(std::move(parts));
 }
 
-std::string shown(const std::string& text) {
+std::string quoted_if_needed(const std::string& text) {
   const bool plain = std::all_of(text.begin(), text.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
            std::string_view("_./:*+-@~%").find(c) != std::string_view::npos;
@@ -134,7 +134,7 @@
 }  // namespace
 
 Parsed parse_condition(std::string_view text) {
-  if (text.size() > kMostText) return {{}, "a condition has 1,024 bytes at most", kMostText + 1};
+  if (text.size() > kMaxTextBytes) return {{}, "a condition has 1,024 bytes at most", kMaxTextBytes + 1};
   pegtl::memory_input in(text.data(), text.size(), "");
   try {
     const auto root = pegtl::parse_tree::parse<whole, selector, pegtl::nothing, control>(in);
@@ -149,8 +149,9 @@
     case Condition::Op::kAlways:
       return "";
     case Condition::Op::kIs:
-      if (c.subject == Subject::kField) return "header " + c.name + " = " + shown(c.value);
-      return std::string(kSubjects[static_cast<std::size_t>(c.subject)].first) + " = " + shown(c.value);
+      if (c.subject == Subject::kField) return "header " + c.name + " = " + quoted_if_needed(c.value);
+      return std::string(kSubjects[static_cast<std::size_t>(c.subject)].first) + " = " +
+             quoted_if_needed(c.value);
     case Condition::Op::kPresent:
       return "header " + c.name;
     case Condition::Op::kNot:
--- a/src/affinity/condition.h
+++ b/src/affinity/condition.h
@@ -20,7 +20,7 @@
 
 namespace shorelead::affinity {
 
-inline constexpr std::size_t kMostText = 1024;  // bytes; limits the depth of a condition
+inline constexpr std::size_t kMaxTextBytes = 1024;  // bytes; limits the depth of a condition
 
 struct Parsed {
   Condition condition;
--- a/src/affinity/rule_checks.cpp
+++ b/src/affinity/rule_checks.cpp
@@ -10,8 +10,8 @@
 
 // A `must` rule keeps its bound only by moving slots, and each moved slot is closed for a while. Weights vary
 // by a few percent, and below this bound that variation alone would move slots without end (slots.h).
-constexpr double kLeastMustBound = 1.1;
-constexpr std::size_t kMostSlots = 65536;  // of one rule; the plan is stored as one document
+constexpr double kMinMustBound = 1.1;
+constexpr std::size_t kMaxSlots = 65536;  // of one rule; the plan is stored as one document
 
 std::string seconds(Millis span) {
   std::ostringstream out;
@@ -44,10 +44,10 @@
   std::vector<Problem> check() {
     for (at_ = 0; at_ < rules_.size(); ++at_) {
       const Rule& rule = rules_[at_];
-      figures(rule);
+      check_limits(rule);
       names(rule);
       key(rule);
-      reached(rule);
+      check_reachable(rule);
       bound(rule);
       repeats(rule);
     }
@@ -59,14 +59,14 @@
     problems_.push_back({at_, rules_[at_].place, std::move(cause), other});
   }
 
-  void figures(const Rule& rule) {
+  void check_limits(const Rule& rule) {
     for (std::size_t n = 0; n < at_; ++n) {
       if (rules_[n].name != rule.name) continue;
       problem("another rule is called \"" + rule.name + "\": maps go by the rule's name", n);
       break;
     }
-    if (!std::has_single_bit(rule.slots) || rule.slots > kMostSlots) {
-      problem("the number of slots is a power of two, at most " + std::to_string(kMostSlots));
+    if (!std::has_single_bit(rule.slots) || rule.slots > kMaxSlots) {
+      problem("the number of slots is a power of two, at most " + std::to_string(kMaxSlots));
     }
     if (rule.hold > universe_.keeps) {
       problem("it holds an assignment for " + seconds(rule.hold) + ", but what was lost is known for " +
@@ -107,7 +107,7 @@
     if (!any) problem("no route that it takes has a parameter {" + rule.key.name + "}");
   }
 
-  void reached(const Rule& rule) {
+  void check_reachable(const Rule& rule) {
     const Satisfiability alone = can_hold(rule.when, universe_);
     if (alone == Satisfiability::kTooMany)
       return problem("its condition names too many words to be decided; divide it");
@@ -131,7 +131,7 @@
     if (rule.bound < 1) return problem("a bound on load over the mean is at least 100 %");
     if (!rule.must) return;
     const double grain = static_cast<double>(universe_.units) / static_cast<double>(rule.slots);
-    const double least = std::max(kLeastMustBound, 1 + grain);
+    const double least = std::max(kMinMustBound, 1 + grain);
     if (rule.bound >= least) return;
     problem("\"must\" cannot hold a bound of " + percent(rule.bound) +
             ": it never sends a key elsewhere, so only whole slots that move hold it, which takes " +
--- a/src/affinity/rule_checks.h
+++ b/src/affinity/rule_checks.h
@@ -46,8 +46,8 @@
 // Whether any request can satisfy a condition. All values that a condition does not name are equivalent, so
 // there are finitely many kinds of requests. The search assigns one attribute after another and stops a
 // branch as soon as the attributes assigned so far decide the condition (three-valued logic).
-enum class Satisfiability { kYes, kNo, kTooMany };  // kTooMany: undecided after `kMostSteps` steps
-inline constexpr int kMostSteps = 200000;
+enum class Satisfiability { kYes, kNo, kTooMany };  // kTooMany: undecided after `kMaxSteps` steps
+inline constexpr int kMaxSteps = 200000;
 Satisfiability can_hold(const Condition& condition, const Universe& universe);
 
 }  // namespace shorelead::affinity
--- a/src/affinity/satisfy.cpp
+++ b/src/affinity/satisfy.cpp
@@ -107,7 +107,7 @@
   }
 
   Satisfiability from(std::size_t depth) {
-    if (++steps_ > kMostSteps) return Satisfiability::kTooMany;
+    if (++steps_ > kMaxSteps) return Satisfiability::kTooMany;
     const Truth now = truth(condition_, words_);
     if (now != Truth::kOpen) return now == Truth::kYes ? Satisfiability::kYes : Satisfiability::kNo;
     Satisfiability best = Satisfiability::kNo;
--- a/src/affinity/shaper.cpp
+++ b/src/affinity/shaper.cpp
@@ -72,10 +72,10 @@
   }
   const Units units = units_of(rule);
   std::vector<int> owners;
-  std::map<std::string, int> place = units.place;  // and kHeld or kNobody for units that are not ready
+  std::map<std::string, int> place = units.place;  // and kHeld or kNoOwner for units that are not ready
   std::size_t closed = 0;
   for (const fleet::Slot& slot : map.slots) {
-    const auto [it, fresh] = place.try_emplace(owner_of(slot), kNobody);
+    const auto [it, fresh] = place.try_emplace(owner_of(slot), kNoOwner);
     if (fresh && stays(rule, it->first, units, now)) it->second = kHeld;
     owners.push_back(it->second);
     counters_.held += it->second == kHeld;
@@ -83,9 +83,9 @@
   }
   SlotMoves moves;
   moves.bound = rule.bound;
-  moves.most = options_.most_moves - std::min(options_.most_moves, closed);
+  moves.max_moves = options_.max_moves - std::min(options_.max_moves, closed);
   // A slot that has to stay closed for a deduplication window is not moved for balance.
-  moves.balance = rule.still <= 0 && moves.most > 0;
+  moves.balance = rule.still <= 0 && moves.max_moves > 0;
   const std::vector<int> next = assign(owners, units.ready, moves);
 
   const std::string name = map_name(rule);
@@ -154,12 +154,12 @@
       if (now - unused_.try_emplace(name, now).first->second < options_.unknown_for) maps[name] = map;
     }
   }
-  forget(maps);
+  prune(maps);
   next.affinity = std::move(maps);
 }
 
 // Drops state of backends and maps that are gone, so that it does not grow without bound.
-void Shaper::forget(const std::map<std::string, fleet::SlotMap>& maps) {
+void Shaper::prune(const std::map<std::string, fleet::SlotMap>& maps) {
   std::set<std::pair<Scope, std::string>> listed;
   for (const BackendStatus& backend : backends_) {
     for (const Scope to : {Scope::kBackend, Scope::kCell, Scope::kZone})
--- a/src/affinity/shaper.h
+++ b/src/affinity/shaper.h
@@ -42,8 +42,8 @@
 };
 
 struct ShaperOptions {
-  Millis unknown_for = 30000;   // how long slots of backends that this process has never seen stay
-  std::size_t most_moves = 64;  // most slots of one rule that are closed for balance at a time
+  Millis unknown_for = 30000;  // how long slots of backends that this process has never seen stay
+  std::size_t max_moves = 64;  // most slots of one rule that are closed for balance at a time
 };
 
 struct ShaperCounters {
@@ -73,7 +73,7 @@
   struct Units;
   Units units_of(const Rule& rule) const;
   bool stays(const Rule& rule, const std::string& unit, const Units& units, Millis now);
-  void forget(const std::map<std::string, fleet::SlotMap>& maps);
+  void prune(const std::map<std::string, fleet::SlotMap>& maps);
   fleet::SlotMap shaped(const Rule& rule, const fleet::SlotMap* standing, std::uint64_t epoch,
                         const std::vector<fleet::Record>& records, std::uint64_t standing_epoch, Millis now);
 
--- a/src/affinity/slots.h
+++ b/src/affinity/slots.h
@@ -15,8 +15,9 @@
 //     the one that went, which had at least that (rounding apart: `kFill` is the margin for it).
 //   - A unit above B x its share gives up the excess, no more. A unit below L x its share (a new one has no
 //     slots) takes slots from units above theirs, up to its share. The excess caused by new units is never
-//     more than their shares: it fits with them, within `kMostTaken` x their share. (Where `Moves::most`
-//     spreads it over several plans, the last of it may go to others below their shares.)
+//     more than their shares: it fits with them, within `kMaxTaken` x their share. (Where
+//     `SlotMoves::max_moves` spreads it over several plans, the last of it may go to others below their
+//     shares.)
 //   - In between nothing moves: weights that vary by less than (sqrt(B) - 1) / (sqrt(B) + 1), 5.5% with
 //     B = 1.25, move nothing in a new map; in another they move each slot once at most.
 // So a map depends on its history, which the plan keeps: it is the same after a restart of all processes.
@@ -32,10 +33,10 @@
 
 inline constexpr double kFill = 0.8;
 inline constexpr double kStarved = 2.0 / 3;
-inline constexpr double kMostTaken = 1.3;
+inline constexpr double kMaxTaken = 1.3;
 
-inline constexpr int kNobody = -1;  // the slot's unit has gone or drains: the slot gets another one
-inline constexpr int kHeld = -2;    // the slot is not moved
+inline constexpr int kNoOwner = -1;  // the slot's unit has gone or drains: the slot gets another one
+inline constexpr int kHeld = -2;     // the slot is not moved
 
 struct Unit {
   std::string name;
@@ -43,13 +44,13 @@
 };
 
 struct SlotMoves {
-  double bound = 1.25;    // B, at least 1
-  std::size_t most = 64;  // slots moved for balance; slots of units that have gone are not limited
-  bool balance = true;    // false: only slots without an owner move
+  double bound = 1.25;         // B, at least 1
+  std::size_t max_moves = 64;  // slots moved for balance; slots of units that have gone are not limited
+  bool balance = true;         // false: only slots without an owner move
 };
 
 // Returns the next owner of each slot, as an index into `units` (sorted by name, each once). `owners` are the
-// present ones, kNobody or kHeld. While any slot is held, nothing moves for balance; without units nothing
+// present ones, kNoOwner or kHeld. While any slot is held, nothing moves for balance; without units nothing
 // moves at all. O(slots without a unit x units + slots of units above their shares x units below theirs).
 std::vector<int> assign(const std::vector<int>& owners, const std::vector<Unit>& units,
                         const SlotMoves& moves);
--- a/src/plans/admission.cpp
+++ b/src/plans/admission.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr Millis kNever = -std::numeric_limits<Millis>::infinity();
-constexpr Millis kOrderHolds = 2000;  // the order holds within any window of this length
+constexpr Millis kOrderWindow = 2000;  // the order holds within any window of this length
 // Additional debt, in requests, required for a class one step lower, or for a sample of 0 in place of 1:
 // several times the random variation of the debt (about one), and few enough to be owed within seconds.
-constexpr double kSpread = 8;
+constexpr double kFloorDebtStep = 8;
 
-bool within(Millis then, Millis now) { return now - then <= kOrderHolds; }
+bool within(Millis then, Millis now) { return now - then <= kOrderWindow; }
 
 }  // namespace
 
@@ -59,9 +59,9 @@
   const double floor = order_.plans()[static_cast<std::size_t>(plan)].floor;
   if (!(floor > 0)) return false;
   double& debt = owed_[static_cast<std::size_t>(plan)];
-  debt = std::min(debt + std::min(floor, 1.0), 1 + kSpread * order_.classes());
+  debt = std::min(debt + std::min(floor, 1.0), 1 + kFloorDebtStep * order_.classes());
   if (floor >= 1) return true;
-  return debt >= 1 + kSpread * (order_.step_of(plan, request_class) + 1 - coin);
+  return debt >= 1 + kFloorDebtStep * (order_.step_of(plan, request_class) + 1 - coin);
 }
 
 Millis Admission::wait(const fleet::CutOff& cut, int rank, double coin) const {
--- a/src/plans/controller.cpp
+++ b/src/plans/controller.cpp
@@ -6,15 +6,18 @@
 namespace shorelead::plans {
 namespace {
 
-constexpr Millis kForgets = 120000;  // time constant with which the peak load answered in time decays
-constexpr Millis kGap = 5000;        // observations further apart than this prove nothing of the time between
-constexpr Millis kLate = 5000;  // a move counts as in force after this, even if not all have acknowledged it
-constexpr Millis kDrains = 1500;      // time for queues to drain and the next report to arrive
-constexpr Millis kPassesRank = 2000;  // admission.cpp: kOrderHolds
-constexpr double kNearBest = 0.95;    // target, as a share of the peak load answered in time
-constexpr double kOfMissed = 0.75;    // share of the missed requests that is cut if the peak gives no target
+constexpr Millis kCapacityDecay = 120000;  // time constant with which the peak load answered in time decays
+constexpr Millis kMaxObservationGap =
+    5000;  // observations further apart than this prove nothing of the time between
+constexpr Millis kMaxPropagation =
+    5000;  // a move counts as in force after this, even if not all have acknowledged it
+constexpr Millis kDrainTime = 1500;     // time for queues to drain and the next report to arrive
+constexpr Millis kRankPassTime = 2000;  // admission.cpp: kOrderWindow
+constexpr double kPeakTarget = 0.95;    // target, as a share of the peak load answered in time
+constexpr double kMissedCutShare =
+    0.75;  // share of the missed requests that is cut if the peak gives no target
 constexpr double kSomeRoom = 0.08;
-constexpr double kAmple = 0.25;
+constexpr double kAmpleRoom = 0.25;
 constexpr double kJitter =
     0.2;  // of a hold, so that processes without a plan do not start trials at the same time
 
@@ -52,15 +55,15 @@
   rise_ = settings_.least_step;
   moved_at_ = now;
   in_force_at_ = settled_at_ = short_since_ = -1;
-  settle_ = kDrains;
+  settle_ = kDrainTime;
   ++counters_.adopted;
 }
 
 double Controller::see(const FleetView& view, bool in_force, Millis now) {
   const Millis since = seen_at_ < 0 ? 0 : now - seen_at_;
   seen_at_ = now;
-  best_ = std::max(view.in_time, best_ * std::exp(-since / kForgets));
-  if (since > kGap) short_since_ = -1, in_force_at_ = settled_at_ = -1;
+  best_ = std::max(view.in_time, best_ * std::exp(-since / kCapacityDecay));
+  if (since > kMaxObservationGap) short_since_ = -1, in_force_at_ = settled_at_ = -1;
   if (moved_at_ >= 0 && !settled(in_force, now)) return level_;
   if (!view.is_short) short_since_ = -1;
   if (view.is_short && short_since_ < 0) short_since_ = now;
@@ -85,14 +88,14 @@
   if (open || trial_ || view.is_short) return level_;
   // A failed trial has shown that a little room is not enough.
   const bool failed = hold_ > settings_.hold * (1 + kJitter);
-  const bool ample = view.room > (failed ? kAmple : kSomeRoom);
+  const bool ample = view.room > (failed ? kAmpleRoom : kSomeRoom);
   if (now - moved_at_ >= (ample ? std::min(hold_, settings_.brief_hold) : hold_)) loosen(view, now);
   return level_;
 }
 
 bool Controller::settled(bool in_force, Millis now) {
   if (settled_at_ >= 0) return true;
-  if (in_force_at_ < 0 && (in_force || now - moved_at_ >= kLate)) in_force_at_ = now;
+  if (in_force_at_ < 0 && (in_force || now - moved_at_ >= kMaxPropagation)) in_force_at_ = now;
   if (in_force_at_ < 0 || now - in_force_at_ < settle_) return false;
   settled_at_ = now;
   return true;
@@ -106,7 +109,7 @@
   for (int rank = static_cast<int>(from) + 1; rank < to; ++rank) {
     if (view.offered[static_cast<std::size_t>(rank)] > 0) ++passed;
   }
-  settle_ = kDrains + passed * kPassesRank;
+  settle_ = kDrainTime + passed * kRankPassTime;
   level_ = level;
   trial_ = false;
   moved_at_ = now;
@@ -119,8 +122,8 @@
   // The recent peak is the target if it is below the admitted load. If not, the fleet's capacity has fallen,
   // and only the misses tell by how much.
   double fall = settings_.least_step;
-  if (best_ > 0 && best_ < view.taken) fall = 1 - kNearBest * best_ / view.taken;
-  if (fall < 2 * settings_.least_step) fall = kOfMissed * view.missed;
+  if (best_ > 0 && best_ < view.taken) fall = 1 - kPeakTarget * best_ / view.taken;
+  if (fall < 2 * settings_.least_step) fall = kMissedCutShare * view.missed;
   fall = std::clamp(fall, settings_.least_step, settings_.most_fall);
   best_ = std::min(best_, view.taken * (1 - fall));  // still short: the peak was too high
   const double aim = std::max(taken * (1 - fall), settings_.least_taken * offered);
--- a/src/plans/cutoff.cpp
+++ b/src/plans/cutoff.cpp
@@ -5,8 +5,8 @@
 namespace shorelead::plans {
 namespace {
 
-constexpr double kMostHaveIt = 0.8;  // share of the processes; a few stragglers do not delay a move
-constexpr Millis kWritten = 5000;    // a plan not written within this time is taken as lost
+constexpr double kMinAppliedShare = 0.8;  // share of the processes; a few stragglers do not delay a move
+constexpr Millis kWriteTimeout = 5000;    // a plan not written within this time is taken as lost
 
 }  // namespace
 
@@ -17,7 +17,7 @@
                          const std::vector<fleet::Record>& records, Millis now) {
   if (standing) {
     const bool ours = standing->cut_off == asked_;
-    const bool on_its_way = standing->cut_off == before_ && epoch_ == 0 && now - asked_at_ < kWritten;
+    const bool on_its_way = standing->cut_off == before_ && epoch_ == 0 && now - asked_at_ < kWriteTimeout;
     if (ours && epoch_ == 0) epoch_ = standing->epoch;
     if (!ours && !on_its_way) {
       asked_ = before_ = standing->cut_off;
@@ -40,7 +40,7 @@
   if (epoch_ == 0) return false;
   std::size_t have = 0;
   for (const fleet::Record& record : records) have += record.epoch >= epoch_ ? 1 : 0;
-  return static_cast<double>(have) >= kMostHaveIt * static_cast<double>(records.size());
+  return static_cast<double>(have) >= kMinAppliedShare * static_cast<double>(records.size());
 }
 
 LocalShedder::LocalShedder(int ranks, const CutOffSettings& settings, std::uint64_t seed)
--- a/src/plans/shortage.cpp
+++ b/src/plans/shortage.cpp
@@ -7,8 +7,8 @@
 namespace shorelead::plans {
 namespace {
 
-constexpr double kMostWeight = 3;    // multiple of the median
-constexpr double kLeastOffered = 1;  // requests per second; a record with less has no vote
+constexpr double kMaxWeight = 3;   // multiple of the median
+constexpr double kMinOffered = 1;  // requests per second; a record with less has no vote
 
 struct Voter {
   const fleet::Record* record = nullptr;
@@ -19,15 +19,15 @@
   bool sees = false;
 };
 
-double figure(double value) { return std::isfinite(value) ? std::max(0.0, value) : 0; }
+double finite_or_zero(double value) { return std::isfinite(value) ? std::max(0.0, value) : 0; }
 
 // Clamps a reported load: no more admitted than offered, no more answered than admitted.
 fleet::RankLoad bounded(const fleet::RankLoad& load) {
   fleet::RankLoad out;
-  out.offered = figure(load.offered);
-  out.taken = std::min(out.offered, figure(load.taken));
-  out.in_time = std::min(out.taken, figure(load.in_time));
-  out.failed = std::min(out.taken, figure(load.failed));
+  out.offered = finite_or_zero(load.offered);
+  out.taken = std::min(out.offered, finite_or_zero(load.taken));
+  out.in_time = std::min(out.taken, finite_or_zero(load.in_time));
+  out.failed = std::min(out.taken, finite_or_zero(load.failed));
   return out;
 }
 
@@ -55,29 +55,29 @@
   return *middle;
 }
 
-bool most_see(const std::vector<Voter>& voters, const ShortageSettings& settings) {
+bool majority_sees_shortage(const std::vector<Voter>& voters, const ShortageSettings& settings) {
   struct Zone {
     double weight = 0;
     double sees = 0;
-    int heads = 0;
+    int processes = 0;
   };
   std::map<std::string, Zone> zones;
   double total = 0;
-  std::size_t heads = 0;
+  std::size_t votes = 0;
   for (const Voter& voter : voters) {
     Zone& zone = zones[voter.record->zone];
     zone.weight += voter.weight;
-    ++zone.heads;
+    ++zone.processes;
     if (voter.sees) zone.sees += voter.weight;
-    heads += voter.sees ? 1 : 0;
+    votes += voter.sees ? 1 : 0;
     total += voter.weight;
   }
-  if (heads * 2 <= voters.size()) return false;
+  if (votes * 2 <= voters.size()) return false;
   double weight = 0;
   int large = 0;
   int see = 0;
   for (const auto& [name, zone] : zones) {
-    const bool counts = zone.heads >= 2 && zone.weight >= settings.small_zone * total;
+    const bool counts = zone.processes >= 2 && zone.weight >= settings.small_zone * total;
     const bool sees = zone.sees * 2 > zone.weight;
     large += counts ? 1 : 0;
     see += counts && sees ? 1 : 0;
@@ -95,11 +95,11 @@
   std::vector<double> offered;
   for (const fleet::Record& record : records) {
     const Voter voter = voter_of(record, settings);
-    if (voter.offered < kLeastOffered) continue;
+    if (voter.offered < kMinOffered) continue;
     voters.push_back(voter);
     offered.push_back(voter.offered);
   }
-  const double most = kMostWeight * median(offered);
+  const double most = kMaxWeight * median(offered);
   std::vector<double> rooms;
   std::vector<double> missed;
   std::vector<double> missed_by_all;
@@ -118,7 +118,7 @@
   }
   if (voters.empty()) return view;
   view.room = median(std::move(rooms));
-  view.is_short = most_see(voters, settings);
+  view.is_short = majority_sees_shortage(voters, settings);
   view.missed = median(view.is_short ? std::move(missed) : std::move(missed_by_all));
   return view;
 }
--- a/tests/affinity/condition_test.cpp
+++ b/tests/affinity/condition_test.cpp
@@ -81,7 +81,7 @@
 RC_GTEST_PROP(ConditionText, RoundTrips, ()) {
   const Condition condition = gen(4);
   const std::string text = text_of(condition);
-  if (text.size() > kMostText) return;
+  if (text.size() > kMaxTextBytes) return;
   const Parsed parsed = parse_condition(text);
   RC_ASSERT(parsed.cause == "");
   RC_ASSERT(parsed.condition == condition);
--- a/tests/affinity/shaper_test.cpp
+++ b/tests/affinity/shaper_test.cpp
@@ -121,7 +121,7 @@
       EXPECT_LE(std::count(all.begin(), all.end(), ""), 8);
     }
     const double part = 256 * warm_step(warm) / (4 + warm_step(warm));
-    EXPECT_LE(fleet.has("box-4"), kMostTaken * part) << warm;
+    EXPECT_LE(fleet.has("box-4"), kMaxTaken * part) << warm;
     EXPECT_GT(fleet.has("box-4"), before) << warm;
     before = fleet.has("box-4");
   }
--- a/tests/affinity/slots_test.cpp
+++ b/tests/affinity/slots_test.cpp
@@ -37,7 +37,7 @@
     std::vector<int> places;
     for (const std::string& owner : owners) {
       const auto it = weights.find(owner);
-      places.push_back(it == weights.end() ? kNobody : static_cast<int>(std::distance(weights.begin(), it)));
+      places.push_back(it == weights.end() ? kNoOwner : static_cast<int>(std::distance(weights.begin(), it)));
     }
     const std::vector<int> next = assign(places, list, {bound, most, true});
     std::map<std::string, int> to;
@@ -122,7 +122,7 @@
     }
     RC_ASSERT(moved <= most);
   }
-  RC_ASSERT(taken <= kMostTaken * part);
+  RC_ASSERT(taken <= kMaxTaken * part);
   RC_ASSERT(taken >= std::floor(part * kStarved));
 }
 
@@ -134,7 +134,7 @@
   auto to = world.step();
   for (int n = 0; n < 3; ++n) {
     const std::string name = "box-new" + std::to_string(n);
-    RC_ASSERT(to[name] <= kMostTaken * world.part(name));
+    RC_ASSERT(to[name] <= kMaxTaken * world.part(name));
   }
 }
 
@@ -162,8 +162,8 @@
   owners[held] = kHeld;
   const auto next = assign(owners, units, {world.bound, 1 << 20, true});
   RC_ASSERT(next == owners);
-  owners[held] = kNobody;
-  RC_ASSERT(assign(owners, units, {world.bound, 1 << 20, false})[held] != kNobody);
+  owners[held] = kNoOwner;
+  RC_ASSERT(assign(owners, units, {world.bound, 1 << 20, false})[held] != kNoOwner);
   RC_ASSERT(assign(owners, {}, {world.bound, 1 << 20, true}) == owners);
 }
 
