--- a/bench/fleet_port/admission.cpp
+++ b/bench/fleet_port/admission.cpp
@@ -21,7 +21,7 @@
 #include "affinity/choice.h"
 #include "affinity/rules.h"
 #include "fleet/port.h"
-#include "plans/coin.h"
+#include "plans/stable_sample.h"
 
 namespace {
 
@@ -130,9 +130,9 @@
   const Millis now = (parts & kClock) != 0 ? fleet::boot_now() : gate.began + static_cast<double>(n) * 1e-3;
   const std::string& client = gate.clients[n % kMany];
   bool in = true;
-  if ((parts & kCoin) != 0) benchmark::DoNotOptimize(plans::coin_of("acme", client, kWall));
+  if ((parts & kCoin) != 0) benchmark::DoNotOptimize(plans::stable_sample("acme", client, kWall));
   if ((parts & kPlan) != 0) {
-    const plans::Coin coin("acme", client, kWall);
+    const plans::StableSample coin("acme", client, kWall);
     const int plan = gate.order.plan_of("acme");
     fleet::RankCells& cells = *gate.port.rank(gate.order.rank_of(plan, 0));
     cells.offered.add(1);
--- a/bench/plans/plans_bench.cpp
+++ b/bench/plans/plans_bench.cpp
@@ -8,9 +8,9 @@
 #include <string>
 
 #include "plans/admission.h"
-#include "plans/coin.h"
 #include "plans/cutoff.h"
 #include "plans/level.h"
+#include "plans/stable_sample.h"
 
 namespace {
 std::atomic<std::uint64_t> allocations{0};
@@ -62,7 +62,7 @@
   const std::uint64_t before = allocations;
   for (auto _ : state) {
     ++n;
-    benchmark::DoNotOptimize(coin_of(clients.tenants[n % 64], clients.keys[n % 61], 1.7e12));
+    benchmark::DoNotOptimize(stable_sample(clients.tenants[n % 64], clients.keys[n % 61], 1.7e12));
   }
   count(state, before);
 }
@@ -81,7 +81,7 @@
     ++n;
     const std::string& tenant = clients.tenants[n % 64];
     const int plan = order.plan_of(tenant);
-    const double c = coin_of(tenant, clients.keys[n % 61], 1.7e12);
+    const double c = stable_sample(tenant, clients.keys[n % 61], 1.7e12);
     const fleet::CutOff& cut = cuts[moves ? n / moves % 2 : 0];
     benchmark::DoNotOptimize(
         admission.decide(cut, plan, static_cast<int>(n % 5 % 4), c, static_cast<double>(n) * 0.1));
--- a/bench/plans/sim.cpp
+++ b/bench/plans/sim.cpp
@@ -5,7 +5,7 @@
 #include "backends.h"
 #include "control.h"
 #include "events.h"
-#include "plans/coin.h"
+#include "plans/stable_sample.h"
 #include "process.h"
 #include "tally.h"
 
@@ -89,7 +89,7 @@
     r.request_class = random_.unit() < kBetter ? 1 : 0;
     r.last_pool = random_.unit() < 0.25;
     const std::string key = std::to_string(random_.below(kKeys));
-    r.coin = coin_of(kTenants[r.plan], key, at);
+    r.coin = stable_sample(kTenants[r.plan], key, at);
     requests_.push_back(r);
     tally_.came(r);
     attempt(static_cast<int>(requests_.size()) - 1, at);
--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "node/error_responses.h"
-#include "plans/coin.h"
+#include "plans/stable_sample.h"
 
 namespace shorelead::node {
 namespace {
@@ -127,13 +127,13 @@
   if (!affinity_router_) apply_snapshot();
   // The same for all repeats of one client, and spread over clients; by the same reading of the clock as
   // above.
-  const plans::Coin coin(request.tenant, request.client, now + wall_offset_);
+  const plans::StableSample sample(request.tenant, request.client, now + wall_offset_);
   if (!fleet_.plans.empty()) {
     const int plan = order_.plan_of(request.tenant);
     const int rank = order_.rank_of(plan, request.request_class);
     fleet::RankCells& cells = *port_.rank(rank);
     cells.offered.add(1);
-    const plans::Verdict said = admission_.decide(cut_off_, plan, request.request_class, coin, now);
+    const plans::Verdict said = admission_.decide(cut_off_, plan, request.request_class, sample, now);
     if (!said.taken()) {
       cells.refused.add(1);
       verdict.refused = 503;
@@ -158,7 +158,7 @@
       verdict.cause = "the fleet's budget is spent, trying again is harmless";
       verdict.proxy_status = kProxyStatusBudget;
       verdict.retry_after =
-          request.max_retry_after * (kMinRetryAfterShare + (1 - kMinRetryAfterShare) * coin);
+          request.max_retry_after * (kMinRetryAfterShare + (1 - kMinRetryAfterShare) * sample);
       return verdict;
     }
     if (kind == fleet::BudgetKind::kAtOnce) verdict.ticket.at_once |= std::uint64_t{1} << budget;
--- a/src/plans/admission.cpp
+++ b/src/plans/admission.cpp
@@ -27,12 +27,12 @@
       owed_(order.plans().size(), 0),
       counts_(static_cast<std::size_t>(order.ranks()) * 5, 0) {}
 
-Verdict Admission::decide(const fleet::CutOff& cut, int plan, int request_class, const Coin& coin,
+Verdict Admission::decide(const fleet::CutOff& cut, int plan, int request_class, const StableSample& sample,
                           Millis now) {
   const int rank = order_.rank_of(plan, request_class);
   const auto at = static_cast<std::size_t>(rank);
   Admitted as = Admitted::kTaken;
-  if (is_cut(cut, rank, coin)) {
+  if (is_cut(cut, rank, sample)) {
     as = Admitted::kCut;
     for (std::size_t lower = at + 1; lower < taken_at_.size(); ++lower) {
       if (within(taken_at_[lower], now)) as = Admitted::kOrder;
@@ -42,7 +42,7 @@
       if (within(refused_at_[higher], now)) as = Admitted::kWaits;
     }
   }
-  const bool fits = owed(plan, request_class, coin);
+  const bool fits = owed(plan, request_class, sample);
   if (fits && as >= Admitted::kCut) as = Admitted::kFloor;
   double& debt = owed_[static_cast<std::size_t>(plan)];
   if (as <= Admitted::kOrder) {
@@ -52,23 +52,23 @@
     refused_at_[at] = refused_any_at_ = now;
   }
   ++counts_[at * 5 + static_cast<std::size_t>(as)];
-  return {as, as >= Admitted::kCut ? wait(cut, rank, coin) : 0};
+  return {as, as >= Admitted::kCut ? wait(cut, rank, sample) : 0};
 }
 
-bool Admission::owed(int plan, int request_class, const Coin& coin) {
+bool Admission::owed(int plan, int request_class, const StableSample& sample) {
   const double floor = order_.plans()[static_cast<std::size_t>(plan)].floor;
   if (!(floor > 0)) return false;
   double& debt = owed_[static_cast<std::size_t>(plan)];
   debt = std::min(debt + std::min(floor, 1.0), 1 + kFloorDebtStep * order_.classes());
   if (floor >= 1) return true;
-  return debt >= 1 + kFloorDebtStep * (order_.step_of(plan, request_class) + 1 - coin);
+  return debt >= 1 + kFloorDebtStep * (order_.step_of(plan, request_class) + 1 - sample);
 }
 
-Millis Admission::wait(const fleet::CutOff& cut, int rank, double coin) const {
+Millis Admission::wait(const fleet::CutOff& cut, int rank, double sample) const {
   if (!(settings_.most_wait > 0)) return 0;
   // Requests close to the cut-off retry first, since they are admitted first. Within the rank that is partly
   // cut only samples below its share are rejected.
-  const double part = rank == cut.rank && cut.share > 0 ? std::min(1.0, coin / cut.share) : coin;
+  const double part = rank == cut.rank && cut.share > 0 ? std::min(1.0, sample / cut.share) : sample;
   const Millis least = std::min(settings_.least_wait, settings_.most_wait);
   return least + (settings_.most_wait - least) * (1 - part);
 }
--- a/src/plans/admission.h
+++ b/src/plans/admission.h
@@ -20,8 +20,8 @@
 
 #include "base/millis.h"
 #include "fleet/plan.h"
-#include "plans/coin.h"
 #include "plans/order.h"
+#include "plans/stable_sample.h"
 
 namespace shorelead::plans {
 
@@ -51,7 +51,8 @@
   Admission(const Order& order, const AdmissionSettings& settings);
 
   // `now` never decreases. `plan` and `request_class` are the order's indices.
-  Verdict decide(const fleet::CutOff& cut, int plan, int request_class, const Coin& coin, Millis now);
+  Verdict decide(const fleet::CutOff& cut, int plan, int request_class, const StableSample& sample,
+                 Millis now);
 
   // Requests since the start: [rank * 5 + Admitted].
   const std::vector<std::uint64_t>& counts() const { return counts_; }
@@ -60,8 +61,8 @@
   }
 
  private:
-  bool owed(int plan, int request_class, const Coin& coin);
-  Millis wait(const fleet::CutOff& cut, int rank, double coin) const;
+  bool owed(int plan, int request_class, const StableSample& sample);
+  Millis wait(const fleet::CutOff& cut, int rank, double sample) const;
 
   const Order& order_;
   const AdmissionSettings settings_;
--- a/src/plans/level.h
+++ b/src/plans/level.h
@@ -10,10 +10,10 @@
 
 namespace shorelead::plans {
 
-// `coin`: the stable sample, a number from 0, below 1, or a type that converts to one.
-template <typename Coin>
-bool is_cut(const fleet::CutOff& cut, int rank, const Coin& coin) {
-  return rank > cut.rank || (rank == cut.rank && coin < cut.share);
+// `sample`: the stable sample, a number from 0, below 1, or a type that converts to one.
+template <typename Sample>
+bool is_cut(const fleet::CutOff& cut, int rank, const Sample& sample) {
+  return rank > cut.rank || (rank == cut.rank && sample < cut.share);
 }
 
 // From 0 (all requests are rejected) to `ranks` (none is).
--- a/src/plans/order.cpp
+++ b/src/plans/order.cpp
@@ -7,7 +7,7 @@
 namespace shorelead::plans {
 namespace {
 
-bool before(const Rung& a, const Rung& b) {
+bool before(const RankStep& a, const RankStep& b) {
   return a.plan_rank != b.plan_rank ? a.plan_rank < b.plan_rank : a.worth > b.worth;
 }
 
@@ -44,17 +44,18 @@
   least_ = static_cast<int>(std::min_element(worths.begin(), worths.end()) - worths.begin());
 
   for (const PlanSpec& plan : plans_) {
-    for (const double worth : worths) rungs_.push_back({plan.rank, worth});
+    for (const double worth : worths) rank_steps_.push_back({plan.rank, worth});
   }
-  std::sort(rungs_.begin(), rungs_.end(), before);
-  rungs_.erase(std::unique(rungs_.begin(), rungs_.end()), rungs_.end());
+  std::sort(rank_steps_.begin(), rank_steps_.end(), before);
+  rank_steps_.erase(std::unique(rank_steps_.begin(), rank_steps_.end()), rank_steps_.end());
   std::vector<double> steps = worths;
   std::sort(steps.begin(), steps.end(), std::greater<>());
   steps.erase(std::unique(steps.begin(), steps.end()), steps.end());
   for (const PlanSpec& plan : plans_) {
     for (const double worth : worths) {
-      const auto rung = std::lower_bound(rungs_.begin(), rungs_.end(), Rung{plan.rank, worth}, before);
-      rank_of_.push_back(static_cast<int>(rung - rungs_.begin()));
+      const auto rank_step =
+          std::lower_bound(rank_steps_.begin(), rank_steps_.end(), RankStep{plan.rank, worth}, before);
+      rank_of_.push_back(static_cast<int>(rank_step - rank_steps_.begin()));
       const auto step = std::lower_bound(steps.begin(), steps.end(), worth, std::greater<>());
       step_of_.push_back(static_cast<int>(step - steps.begin()));
     }
--- a/src/plans/order.h
+++ b/src/plans/order.h
@@ -30,11 +30,11 @@
 // plans that list one tenant, or are both the default, the first counts.
 std::vector<std::string> faults_of(const std::vector<PlanSpec>& plans);
 
-struct Rung {
+struct RankStep {
   int plan_rank = 0;
   double worth = 0;
 
-  bool operator==(const Rung&) const = default;
+  bool operator==(const RankStep&) const = default;
 };
 
 class Order {
@@ -50,9 +50,9 @@
   // Returns the number of classes of higher worth: the plan's floor goes to the classes with the lowest step.
   int step_of(int plan, int request_class) const { return at(step_of_, plan, request_class); }
 
-  int ranks() const { return static_cast<int>(rungs_.size()); }
+  int ranks() const { return static_cast<int>(rank_steps_.size()); }
   int classes() const { return classes_; }
-  const std::vector<Rung>& rungs() const { return rungs_; }
+  const std::vector<RankStep>& rank_steps() const { return rank_steps_; }
   const std::vector<PlanSpec>& plans() const { return plans_; }
 
  private:
@@ -65,7 +65,7 @@
   int classes_ = 0;
   int least_ = 0;  // the class of least worth
   int default_ = 0;
-  std::vector<Rung> rungs_;
+  std::vector<RankStep> rank_steps_;
   std::vector<int> rank_of_;
   std::vector<int> step_of_;
   std::vector<std::pair<std::string, int>> tenants_;  // sorted by name
--- a/src/plans/coin.h
+++ b/src/plans/stable_sample.h
@@ -5,7 +5,7 @@
 // Only time changes a sample. With a salt that never changes the same clients would be rejected in every
 // shortage of the year. With one that changes with the plan's epoch all samples would be redrawn whenever a
 // process joins, and a client that retries would soon be admitted: the cut would leak. So a sample lasts for
-// `lasts` (an hour: longer than most shortages, short beside a day), and each key's hour begins at its own
+// `period` (an hour: longer than most shortages, short beside a day), and each key's hour begins at its own
 // phase, or all samples would change at once, with a burst of the requests rejected so far. Processes whose
 // clocks differ by d disagree on a key's sample for a time of d in each hour.
 #pragma once
@@ -16,22 +16,23 @@
 
 namespace shorelead::plans {
 
-inline constexpr Millis kCoinLasts = 3'600'000;
+inline constexpr Millis kSamplePeriod = 3'600'000;
 
 // Returns a number from 0, below 1. `key` distinguishes a tenant's clients (a user, an address); without one
 // the whole tenant shares one sample. `wall`: the time since 1970 by the machine's clock.
-double coin_of(std::string_view tenant, std::string_view key, Millis wall, Millis lasts = kCoinLasts);
+double stable_sample(std::string_view tenant, std::string_view key, Millis wall,
+                     Millis period = kSamplePeriod);
 
 // The sample of one request, computed on first use: it is not needed while there is no shortage. It must not
 // outlive the strings it was constructed from.
-class Coin {
+class StableSample {
  public:
-  Coin(std::string_view tenant, std::string_view key, Millis wall)
+  StableSample(std::string_view tenant, std::string_view key, Millis wall)
       : tenant_(tenant), key_(key), wall_(wall) {}
-  Coin(double value) : value_(value) {}
+  StableSample(double value) : value_(value) {}
 
   operator double() const {
-    if (value_ < 0) value_ = coin_of(tenant_, key_, wall_);
+    if (value_ < 0) value_ = stable_sample(tenant_, key_, wall_);
     return value_;
   }
 
--- a/tests/plans/admission_test.cpp
+++ b/tests/plans/admission_test.cpp
@@ -10,8 +10,8 @@
 #include <set>
 
 #include "base/random.h"
-#include "plans/coin.h"
 #include "plans/level.h"
+#include "plans/stable_sample.h"
 
 namespace shorelead::plans {
 namespace {
@@ -42,7 +42,7 @@
     EXPECT_EQ(order.step_of(plan, c.request_class), c.step) << c.tenant << " " << c.request_class;
   }
   EXPECT_EQ(order.ranks(), 9);
-  EXPECT_EQ(order.rungs()[8], (Rung{7, 0.2}));
+  EXPECT_EQ(order.rank_steps()[8], (RankStep{7, 0.2}));
   auto plans = three();
   plans[1].is_default = false;
   EXPECT_EQ(Order(plans, {1}).plan_of("nobody"), 2);
@@ -59,47 +59,48 @@
 }
 
 // Chi-square over 64 cells, 63 degrees of freedom: above 120 about once in 50,000 uniform data sets.
-double unevenness(const std::vector<double>& coins) {
+double unevenness(const std::vector<double>& samples) {
   std::vector<double> cells(64, 0);
-  for (const double coin : coins) ++cells[static_cast<std::size_t>(coin * 64)];
-  const double mean = static_cast<double>(coins.size()) / 64;
+  for (const double sample : samples) ++cells[static_cast<std::size_t>(sample * 64)];
+  const double mean = static_cast<double>(samples.size()) / 64;
   double sum = 0;
   for (const double cell : cells) sum += (cell - mean) * (cell - mean) / mean;
   return sum;
 }
 
-TEST(Coin, IsUniformOverKeysTenantsAndHours) {
+TEST(StableSample, IsUniformOverKeysTenantsAndHours) {
   std::vector<double> keys;
   std::vector<double> tenants;
   std::vector<double> hours;
   std::vector<double> turned;  // distance of a key's sample from its previous one, modulo 1
   for (int n = 0; n < 20000; ++n) {
-    keys.push_back(coin_of("acme", numbered("user-", n), 0));
-    tenants.push_back(coin_of(numbered("t", n), "", 0));
-    hours.push_back(coin_of("acme", "user", n * kHour));
-    turned.push_back(std::fmod(keys.back() - coin_of("acme", numbered("user-", n), kHour) + 1, 1.0));
+    keys.push_back(stable_sample("acme", numbered("user-", n), 0));
+    tenants.push_back(stable_sample(numbered("t", n), "", 0));
+    hours.push_back(stable_sample("acme", "user", n * kHour));
+    turned.push_back(std::fmod(keys.back() - stable_sample("acme", numbered("user-", n), kHour) + 1, 1.0));
   }
-  for (const auto& coins : {keys, tenants, hours, turned}) EXPECT_LT(unevenness(coins), 120);
-  EXPECT_NE(coin_of("ab", "c", 0), coin_of("a", "bc", 0));
+  for (const auto& samples : {keys, tenants, hours, turned}) EXPECT_LT(unevenness(samples), 120);
+  EXPECT_NE(stable_sample("ab", "c", 0), stable_sample("a", "bc", 0));
 }
 
 // Two versions of the program side by side must reject the same clients, so a client's sample depends on
 // nothing but the time.
-TEST(Coin, SamplesOfKnownClientsNeverChange) {
-  EXPECT_EQ(coin_of("acme", "u-1", 1.7e12), 0.70668487052039386);
-  EXPECT_EQ(coin_of("acme", "u-1", 1.7e12 + kHour), 0.0080067600416016127);
-  EXPECT_EQ(coin_of("acme", "", 1.7e12), 0.60702865070164291);
-  EXPECT_EQ(coin_of("", "10.0.0.7", 1.7e12), 0.32378886676851837);
-  EXPECT_EQ(Coin("acme", "u-1", 1.7e12), 0.70668487052039386) << "made late, the same";
+TEST(StableSample, SamplesOfKnownClientsNeverChange) {
+  EXPECT_EQ(stable_sample("acme", "u-1", 1.7e12), 0.70668487052039386);
+  EXPECT_EQ(stable_sample("acme", "u-1", 1.7e12 + kHour), 0.0080067600416016127);
+  EXPECT_EQ(stable_sample("acme", "", 1.7e12), 0.60702865070164291);
+  EXPECT_EQ(stable_sample("", "10.0.0.7", 1.7e12), 0.32378886676851837);
+  EXPECT_EQ(StableSample("acme", "u-1", 1.7e12), 0.70668487052039386) << "made late, the same";
 }
 
-TEST(Coin, LastsAnHourAndNotAllChangeAtOnce) {
+TEST(StableSample, LastsAnHourAndNotAllChangeAtOnce) {
   std::map<int, int> changed;  // by minute
   for (int n = 0; n < 6000; ++n) {
     const std::string key = std::to_string(n);
     int changes = 0;
     for (int minute = 1; minute <= 60; ++minute) {
-      if (coin_of("t", key, minute * 60000.0) == coin_of("t", key, (minute - 1) * 60000.0)) continue;
+      if (stable_sample("t", key, minute * 60000.0) == stable_sample("t", key, (minute - 1) * 60000.0))
+        continue;
       ++changed[minute], ++changes;
     }
     EXPECT_EQ(changes, 1);
@@ -117,15 +118,15 @@
     RC_ASSERT(std::abs(level_of(lower, ranks) - std::min(a, b)) < 1e-9);
     const int rank = *rc::gen::inRange(0, ranks);
     const int above = *rc::gen::inRange(0, rank + 1);
-    const double coin = *rc::gen::inRange(0, 1000) / 1000.0;
+    const double sample = *rc::gen::inRange(0, 1000) / 1000.0;
     // A request admitted under the lower level is admitted under the higher one; so are all requests of
     // higher ranks, and larger samples.
-    if (!is_cut(lower, rank, coin)) {
-      RC_ASSERT(!is_cut(higher, rank, coin));
+    if (!is_cut(lower, rank, sample)) {
+      RC_ASSERT(!is_cut(higher, rank, sample));
       RC_ASSERT(above == rank || !is_cut(lower, above, 0));
-      RC_ASSERT(!is_cut(lower, rank, coin + (1 - coin) / 2));
+      RC_ASSERT(!is_cut(lower, rank, sample + (1 - sample) / 2));
     }
-    RC_ASSERT(is_cut(cut_at(0, ranks), rank, coin) && !is_cut(cut_at(ranks, ranks), rank, coin));
+    RC_ASSERT(is_cut(cut_at(0, ranks), rank, sample) && !is_cut(cut_at(ranks, ranks), rank, sample));
   }));
 }
 
@@ -174,10 +175,10 @@
     for (int n = 0; n < 12000; ++n, ++now) {
       const int plan = static_cast<int>(random.below(2));
       const int request_class = static_cast<int>(random.below(2));
-      const double coin = random.unit();
-      const bool taken = admission.decide(cut, plan, request_class, coin, now).taken();
+      const double sample = random.unit();
+      const bool taken = admission.decide(cut, plan, request_class, sample, now).taken();
       if (n >= 8500) {
-        ASSERT_EQ(taken, !is_cut(cut, order.rank_of(plan, request_class), coin)) << cut.rank;
+        ASSERT_EQ(taken, !is_cut(cut, order.rank_of(plan, request_class), sample)) << cut.rank;
       }
     }
   }
@@ -192,19 +193,20 @@
     Random random(11);
     std::map<int, double> offered;
     std::map<int, double> kept;
-    std::map<int, double> coins;
+    std::map<int, double> samples;
     for (int n = 0; n < 60000; ++n) {
       const int plan = static_cast<int>(random.below(3));
       const int request_class =
           random.below(5) == 0 ? 1 : 0;  // a fifth of the requests have the better class
-      const double coin = coin_of("t", std::to_string(random.below(static_cast<std::size_t>(keys))), 0);
-      const Verdict verdict = admission.decide({0, 1}, plan, request_class, coin, n);
+      const double sample =
+          stable_sample("t", std::to_string(random.below(static_cast<std::size_t>(keys))), 0);
+      const Verdict verdict = admission.decide({0, 1}, plan, request_class, sample, n);
       ASSERT_EQ(verdict.taken(), verdict.as == Admitted::kFloor);
       ++offered[plan];
       if (!verdict.taken()) continue;
       ++kept[plan];
       kept[10 * (plan + 1) + request_class] += 1;
-      coins[10 * (plan + 1) + request_class] += coin;
+      samples[10 * (plan + 1) + request_class] += sample;
     }
     EXPECT_NEAR(kept[0] / offered[0], 0.1, 0.005) << keys;
     EXPECT_NEAR(kept[1] / offered[1], 0.3, 0.005) << keys;
@@ -213,7 +215,7 @@
     EXPECT_GT(kept[21], 0.95 * 0.2 * offered[1]) << keys;  // 30% owed: all of that class
     // Half of that class is admitted: the large samples.
     if (keys == 5000) {
-      EXPECT_GT(coins[11] / kept[11], 0.65);
+      EXPECT_GT(samples[11] / kept[11], 0.65);
     }
   }
 }
@@ -224,14 +226,14 @@
   Admission silent(order, {1000, 0});
   std::vector<double> spread;
   for (int n = 0; n < 20000; ++n) {
-    const double coin = coin_of("t", std::to_string(n), 0);
-    const Verdict verdict = admission.decide({1, 0.4}, 1, 0, coin, n);
-    EXPECT_EQ(verdict.taken(), coin >= 0.4);
+    const double sample = stable_sample("t", std::to_string(n), 0);
+    const Verdict verdict = admission.decide({1, 0.4}, 1, 0, sample, n);
+    EXPECT_EQ(verdict.taken(), sample >= 0.4);
     if (verdict.taken()) continue;
     EXPECT_GE(verdict.come_back, 1000);
     EXPECT_LE(verdict.come_back, 4000);
     spread.push_back((4000 - verdict.come_back) / 3000.0001);
-    EXPECT_EQ(silent.decide({1, 0.4}, 1, 0, coin, n).come_back, 0);
+    EXPECT_EQ(silent.decide({1, 0.4}, 1, 0, sample, n).come_back, 0);
   }
   EXPECT_LT(unevenness(spread), 120);
   EXPECT_EQ(admission.count(1, Admitted::kCut), spread.size());
