--- a/src/affinity/slots.h
+++ b/src/affinity/slots.h
@@ -6,10 +6,9 @@
 // u, as in Schindelhauer and Schomaker 2005) with bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018).
 // An existing map is adjusted, not computed anew. With a unit's fair share = slots x weight / all weights,
 // F = `kFill`, L = `kStarved`, B = the bound:
-//   - In a new map, and for slots whose unit has gone: each slot goes to the first unit of its ranking that
-//   is
-//     below sqrt(B) x its share; the last ones only to units below F x their share (below L first), so that
-//     all units reach that.
+//   - In a new map, and for slots whose unit has gone: each slot goes to the first unit of its ranking below
+//     sqrt(B) x its share; the last ones only to units below F x their share (below L first), so that all
+//     units reach that.
 //   - A unit that goes moves only its own slots. No other unit is then above B (their shares only grew) or
 //     below L: each had at least L x its old share, and what they lack together is at most L x the share of
 //     the one that went, which had at least that (rounding apart: `kFill` is the margin for it).
