--- a/bench/affinity/compare.cpp
+++ b/bench/affinity/compare.cpp
@@ -67,7 +67,7 @@
   std::size_t most_closed = 0;
 
   void settle(const Backends& backends) {
-    shaper.see(backends);
+    shaper.set_backends(backends);
     for (plans = 0, most_closed = 0; plans < 1000; ++plans) {
       fleet::Plan next = plan;
       ++next.epoch;
--- a/bench/affinity/look_up.cpp
+++ b/bench/affinity/look_up.cpp
@@ -156,7 +156,7 @@
   const std::vector<fleet::Record> records(20);
   const std::vector<Rule> rules = {rules_of(slots)[2]};
   Shaper shaper(rules, {});
-  shaper.see(backends);
+  shaper.set_backends(backends);
   fleet::Plan plan;
   for (int n = 0; n < 2; ++n) {
     fleet::Plan next = plan;
@@ -165,7 +165,7 @@
     plan = next;
   }
   if (kind == 2) backends.pop_back();
-  shaper.see(backends);
+  shaper.set_backends(backends);
   for (auto _ : state) {
     fleet::Plan next;
     next.epoch = plan.epoch + 1;
--- a/src/affinity/rule_checks.cpp
+++ b/src/affinity/rule_checks.cpp
@@ -173,7 +173,7 @@
 std::vector<Rule> completed(std::vector<Rule> rules, const Universe& universe) {
   for (Rule& rule : rules) {
     const auto narrow = rule.must ? narrow_class(rule, universe) : std::nullopt;
-    rule.still = narrow ? universe.classes.at(*narrow).window : 0;
+    rule.dedup_window = narrow ? universe.classes.at(*narrow).window : 0;
   }
   return rules;
 }
--- a/src/affinity/rule_checks.h
+++ b/src/affinity/rule_checks.h
@@ -40,7 +40,7 @@
 // Returns all problems, in the order of the rules.
 std::vector<Problem> problems_of(const std::vector<Rule>& rules, const Universe& universe);
 
-// Returns the rules with `Rule::still` set.
+// Returns the rules with `Rule::dedup_window` set.
 std::vector<Rule> completed(std::vector<Rule> rules, const Universe& universe);
 
 // Whether any request can satisfy a condition. All values that a condition does not name are equivalent, so
--- a/src/affinity/rules.cpp
+++ b/src/affinity/rules.cpp
@@ -97,7 +97,7 @@
 Condition field_is(std::string name, std::string value) {
   return {Condition::Op::kIs, Subject::kField, std::move(name), std::move(value), {}};
 }
-Condition field_there(std::string name) {
+Condition field_present(std::string name) {
   return {Condition::Op::kPresent, Subject::kField, std::move(name), "", {}};
 }
 Condition all(std::vector<Condition> parts) {
--- a/src/affinity/rules.h
+++ b/src/affinity/rules.h
@@ -31,7 +31,7 @@
 };
 Condition is(Subject subject, std::string value);
 Condition field_is(std::string name, std::string value);
-Condition field_there(std::string name);
+Condition field_present(std::string name);
 Condition all(std::vector<Condition> parts);
 Condition any(std::vector<Condition> parts);
 Condition negated(Condition part);
@@ -72,7 +72,7 @@
   // Set at load: the longest deduplication window among the classes that the rule matches and whose repeats
   // are dropped only within a cell or zone. A slot that moves stays closed for this long, and is never moved
   // for balance.
-  Millis still = 0;
+  Millis dedup_window = 0;
 
   bool operator==(const Rule&) const = default;
 };
--- a/src/affinity/shaper.cpp
+++ b/src/affinity/shaper.cpp
@@ -51,19 +51,19 @@
 }
 
 // Whether the slots of a unit that is not listed stay with it for now.
-bool Shaper::stays(const Rule& rule, const std::string& unit, const Units& units, Millis now) {
+bool Shaper::keeps_slots(const Rule& rule, const std::string& unit, const Units& units, Millis now) {
   if (unit.empty() || units.listed.count(unit) > 0) return false;  // no owner, or the unit drains
   const std::pair key(rule.to, unit);
-  met_.insert(key);
-  const Millis since = missing_.try_emplace(key, now).first->second;
+  checked_.insert(key);
+  const Millis since = missing_since_.try_emplace(key, now).first->second;
   Millis wait = rule.on_loss == OnLoss::kRefuse ? rule.hold : 0;
-  if (known_.count(key) == 0) wait = std::max(wait, options_.unknown_for);
+  if (seen_.count(key) == 0) wait = std::max(wait, options_.unknown_for);
   return now - since < wait;
 }
 
-fleet::SlotMap Shaper::shaped(const Rule& rule, const fleet::SlotMap* standing, std::uint64_t epoch,
-                              const std::vector<fleet::Record>& records, std::uint64_t standing_epoch,
-                              Millis now) {
+fleet::SlotMap Shaper::next_map(const Rule& rule, const fleet::SlotMap* standing, std::uint64_t epoch,
+                                const std::vector<fleet::Record>& records, std::uint64_t standing_epoch,
+                                Millis now) {
   fleet::SlotMap map;
   if (standing == nullptr || standing->slots.empty()) {
     map.slots.assign(rule.slots, {"", false, "", epoch});
@@ -76,7 +76,7 @@
   std::size_t closed = 0;
   for (const fleet::Slot& slot : map.slots) {
     const auto [it, fresh] = place.try_emplace(owner_of(slot), kNoOwner);
-    if (fresh && stays(rule, it->first, units, now)) it->second = kHeld;
+    if (fresh && keeps_slots(rule, it->first, units, now)) it->second = kHeld;
     owners.push_back(it->second);
     counters_.held += it->second == kHeld;
     closed += !slot.open;
@@ -85,7 +85,7 @@
   moves.bound = rule.bound;
   moves.max_moves = options_.max_moves - std::min(options_.max_moves, closed);
   // A slot that has to stay closed for a deduplication window is not moved for balance.
-  moves.balance = rule.still <= 0 && moves.max_moves > 0;
+  moves.balance = rule.dedup_window <= 0 && moves.max_moves > 0;
   const std::vector<int> next = assign(owners, units.ready, moves);
 
   const std::string name = map_name(rule);
@@ -95,14 +95,14 @@
     const std::string& to = units.ready[static_cast<std::size_t>(next[n])].name;
     const std::pair key(name, n);
     if (slot.open) {
-      quiet_.erase(key);
+      quiet_since_.erase(key);
       if (to == slot.backend) continue;
       slot = {slot.backend, false, to, epoch};
       ++counters_.closed;
     }
     if (to == slot.backend) {
       slot = {to, true, "", epoch};
-      quiet_.erase(key);
+      quiet_since_.erase(key);
       ++counters_.returned;
       continue;
     }
@@ -113,9 +113,9 @@
                      std::all_of(records.begin(), records.end(), [&](const fleet::Record& record) {
                        return acknowledged(record, slot.since, standing_epoch);
                      });
-    if (all && rule.still > 0 && !slot.backend.empty()) {
-      const Millis since = quiet_.try_emplace(key, now).first->second;
-      if (now - since < rule.still) {
+    if (all && rule.dedup_window > 0 && !slot.backend.empty()) {
+      const Millis since = quiet_since_.try_emplace(key, now).first->second;
+      if (now - since < rule.dedup_window) {
         ++counters_.waiting;
         continue;
       }
@@ -125,7 +125,7 @@
       continue;
     }
     slot = {to, true, "", epoch};
-    quiet_.erase(key);
+    quiet_since_.erase(key);
     ++counters_.opened;
   }
   if (standing == nullptr || map.slots != standing->slots) map.backends = hash_of_units(units.ready);
@@ -136,7 +136,7 @@
                    Millis now) {
   const std::uint64_t standing_epoch = standing == nullptr ? 0 : standing->epoch;
   std::map<std::string, fleet::SlotMap> maps;
-  met_.clear();
+  checked_.clear();
   for (const Rule& rule : rules_) {
     const std::string name = map_name(rule);
     const fleet::SlotMap* old = nullptr;
@@ -144,14 +144,14 @@
       const auto it = standing->affinity.find(name);
       if (it != standing->affinity.end()) old = &it->second;
     }
-    maps[name] = shaped(rule, old, next.epoch, records, standing_epoch, now);
-    for (const BackendStatus& backend : backends_) known_.emplace(rule.to, unit_name(backend, rule.to));
+    maps[name] = next_map(rule, old, next.epoch, records, standing_epoch, now);
+    for (const BackendStatus& backend : backends_) seen_.emplace(rule.to, unit_name(backend, rule.to));
   }
   // Keeps maps of another version of the configuration file, which other processes may still use.
   if (standing != nullptr) {
     for (const auto& [name, map] : standing->affinity) {
       if (maps.count(name) > 0) continue;
-      if (now - unused_.try_emplace(name, now).first->second < options_.unknown_for) maps[name] = map;
+      if (now - unused_since_.try_emplace(name, now).first->second < options_.unknown_for) maps[name] = map;
     }
   }
   prune(maps);
@@ -165,10 +165,10 @@
     for (const Scope to : {Scope::kBackend, Scope::kCell, Scope::kZone})
       listed.emplace(to, unit_name(backend, to));
   }
-  std::erase_if(missing_, [this](const auto& one) { return met_.count(one.first) == 0; });
-  std::erase_if(known_, [&](const auto& one) { return listed.count(one) == 0 && met_.count(one) == 0; });
-  std::erase_if(quiet_, [&maps](const auto& one) { return maps.count(one.first.first) == 0; });
-  std::erase_if(unused_, [&](const auto& one) {
+  std::erase_if(missing_since_, [this](const auto& one) { return checked_.count(one.first) == 0; });
+  std::erase_if(seen_, [&](const auto& one) { return listed.count(one) == 0 && checked_.count(one) == 0; });
+  std::erase_if(quiet_since_, [&maps](const auto& one) { return maps.count(one.first.first) == 0; });
+  std::erase_if(unused_since_, [&](const auto& one) {
     return maps.count(one.first) == 0 || std::any_of(rules_.begin(), rules_.end(), [&one](const Rule& rule) {
              return map_name(rule) == one.first;
            });
--- a/src/affinity/shaper.h
+++ b/src/affinity/shaper.h
@@ -59,8 +59,8 @@
   Shaper(std::vector<Rule> rules, const ShaperOptions& options)
       : rules_(std::move(rules)), options_(options) {}
 
-  void set(std::vector<Rule> rules) { rules_ = std::move(rules); }  // after a reload
-  void see(std::vector<BackendStatus> backends) { backends_ = std::move(backends); }
+  void set_rules(std::vector<Rule> rules) { rules_ = std::move(rules); }  // after a reload
+  void set_backends(std::vector<BackendStatus> backends) { backends_ = std::move(backends); }
 
   // `next.epoch` is the epoch that the plan will be written with. If no slot moves, `next.affinity` equals
   // the standing plan's. O(rules x slots) if nothing moves.
@@ -72,21 +72,23 @@
  private:
   struct Units;
   Units units_of(const Rule& rule) const;
-  bool stays(const Rule& rule, const std::string& unit, const Units& units, Millis now);
+  bool keeps_slots(const Rule& rule, const std::string& unit, const Units& units, Millis now);
   void prune(const std::map<std::string, fleet::SlotMap>& maps);
-  fleet::SlotMap shaped(const Rule& rule, const fleet::SlotMap* standing, std::uint64_t epoch,
-                        const std::vector<fleet::Record>& records, std::uint64_t standing_epoch, Millis now);
+  fleet::SlotMap next_map(const Rule& rule, const fleet::SlotMap* standing, std::uint64_t epoch,
+                          const std::vector<fleet::Record>& records, std::uint64_t standing_epoch,
+                          Millis now);
 
   std::vector<Rule> rules_;
   ShaperOptions options_;
   std::vector<BackendStatus> backends_;
-  std::set<std::pair<Scope, std::string>> known_;  // units that this process has seen in the list
+  std::set<std::pair<Scope, std::string>> seen_;  // units that this process has seen in the list
   std::map<std::pair<Scope, std::string>, Millis>
-      missing_;                                  // since when a unit that owns slots is not listed
-  std::set<std::pair<Scope, std::string>> met_;  // units of `missing_` found in this round
-  std::map<std::pair<std::string, std::size_t>, Millis> quiet_;  // closed and acknowledged since (`still`)
+      missing_since_;                                // since when a unit that owns slots is not listed
+  std::set<std::pair<Scope, std::string>> checked_;  // units of `missing_since_` found in this round
+  std::map<std::pair<std::string, std::size_t>, Millis>
+      quiet_since_;  // closed and acknowledged since (`dedup_window`)
   std::map<std::string, Millis>
-      unused_;  // since when a map of the plan belongs to none of this process's rules
+      unused_since_;  // since when a map of the plan belongs to none of this process's rules
   ShaperCounters counters_;
 };
 
--- a/src/node/affinity_planner.h
+++ b/src/node/affinity_planner.h
@@ -28,7 +28,7 @@
   // On the control thread.
   void shape(fleet::Plan& next, const fleet::Plan* standing, const std::vector<fleet::Record>& records,
              Millis now) override {
-    if (backends_.take()) shaper_.see(*backends_.current());
+    if (backends_.take()) shaper_.set_backends(*backends_.current());
     if (backends_.current() == nullptr) return;
     shaper_.shape(next, standing, records, now);
     const affinity::ShaperCounters& c = shaper_.counters();
--- a/tests/affinity/condition_test.cpp
+++ b/tests/affinity/condition_test.cpp
@@ -17,9 +17,9 @@
       {"  class=check ", kCheck},
       {"class != check", negated(kCheck)},
       {"class = check and not header X-Test = yes", all({kCheck, negated(kTest)})},
-      {"header X-Test", field_there("x-test")},
+      {"header X-Test", field_present("x-test")},
       {"header X-Test != yes", negated(kTest)},
-      {"header X-Test and class = check", all({field_there("x-test"), kCheck})},
+      {"header X-Test and class = check", all({field_present("x-test"), kCheck})},
       {"class = check or method = GET and header x-test = yes", any({kCheck, all({kGet, kTest})})},
       {"(class = check or method = GET) and header x-test = yes", all({any({kCheck, kGet}), kTest})},
       {"not not class = check", negated(negated(kCheck))},
@@ -72,7 +72,7 @@
   const int kind = *rc::gen::inRange(0, depth > 0 ? 6 : 3);
   if (kind == 0) return is(*rc::gen::element(Subject::kRoute, Subject::kPlan, Subject::kMethod), word());
   if (kind == 1) return field_is("x-a", word());
-  if (kind == 2) return field_there("not-b");
+  if (kind == 2) return field_present("not-b");
   if (kind == 3) return negated(gen(depth - 1));
   std::vector<Condition> parts = {gen(depth - 1), gen(depth - 1)};
   return kind == 4 ? all(std::move(parts)) : any(std::move(parts));
--- a/tests/affinity/model.cpp
+++ b/tests/affinity/model.cpp
@@ -11,13 +11,13 @@
 
 }  // namespace
 
-void Model::broke(const std::string& what) {
-  if (result_.broken++ == 0) result_.what = std::to_string(now_) + " ms: " + what;
+void Model::record_violation(const std::string& what) {
+  if (result_.violations++ == 0) result_.what = std::to_string(now_) + " ms: " + what;
 }
 
 void Model::to(std::size_t n, std::function<void(Process&)> what) {
   const std::uint64_t life = processes_[n].life;
-  at(now_ + late(), [this, n, life, what = std::move(what)] {
+  at(now_ + random_delay(), [this, n, life, what = std::move(what)] {
     Process& p = processes_[n];
     if (!p.alive || p.life != life || p.cut || lost()) return;
     if (p.paused_until > now_) return at(p.paused_until, [this, n, what] { to(n, what); });
@@ -27,7 +27,7 @@
 
 void Model::from(std::size_t n, std::function<void()> what) {
   if (processes_[n].cut || lost()) return;
-  at(now_ + late(), [this, what = std::move(what)] {
+  at(now_ + random_delay(), [this, what = std::move(what)] {
     expire();
     what();
   });
@@ -43,14 +43,14 @@
   for (const auto& [name, stored] : records_) records.push_back(stored.record);
   const fleet::Plan standing = stored_plan_;
   const std::uint64_t modified = plan_modified_;
-  at(now_ + late(), [=, this] {
+  at(now_ + random_delay(), [=, this] {
     fleet::Plan next = standing;
     ++next.epoch;
     std::vector<BackendStatus> seen = backends_;
     // Planners may have different lists, in another order.
     if (!calm_ && random_.unit() < 0.1) seen.pop_back();
     if (random_.unit() < 0.5) std::reverse(seen.begin(), seen.end());
-    shapers_[planner].see(seen);
+    shapers_[planner].set_backends(seen);
     shapers_[planner].shape(next, modified == 0 ? nullptr : &standing, records, now_);
     if (next.affinity == standing.affinity) return;
     if (flaw_ == Flaw::kOpensAtOnce) {
@@ -58,7 +58,7 @@
         if (!slot.open) slot = {slot.to, true, "", next.epoch};
       }
     }
-    at(now_ + late(), [=, this] {
+    at(now_ + random_delay(), [=, this] {
       if (plan_modified_ != modified) return;
       stored_plan_ = next;
       plan_modified_ = ++revision_;
@@ -143,7 +143,7 @@
     if (now_ >= kEnd) break;
     event.what();
   }
-  result_.whole = std::all_of(processes_.begin(), processes_.end(), [](const Process& p) {
+  result_.complete = std::all_of(processes_.begin(), processes_.end(), [](const Process& p) {
     return !p.open.slots.empty() && std::all_of(p.open.slots.begin(), p.open.slots.end(),
                                                 [](const fleet::Slot& slot) { return slot.open; });
   });
--- a/tests/affinity/model.h
+++ b/tests/affinity/model.h
@@ -43,8 +43,8 @@
 };
 
 struct ModelResult {
-  int sends = 0, moves = 0, refused = 0, broken = 0;
-  bool whole = false;  // at the end all live processes can send for every slot
+  int sends = 0, moves = 0, refused = 0, violations = 0;
+  bool complete = false;  // at the end all live processes can send for every slot
   std::string what;
 };
 
@@ -81,7 +81,7 @@
     Millis expires = 0;
   };
 
-  Millis late() { return !calm_ && random_.unit() < 0.1 ? 400 * random_.unit() : 5 * random_.unit(); }
+  Millis random_delay() { return !calm_ && random_.unit() < 0.1 ? 400 * random_.unit() : 5 * random_.unit(); }
   bool lost() { return !calm_ && random_.unit() < 0.05; }
   void at(Millis when, std::function<void()> what) { queue_.push({when, order_++, std::move(what)}); }
   // Delivers a message or answer to a process, unless it was restarted or partitioned; waits while it is
@@ -95,13 +95,13 @@
   void put_record(std::size_t process, std::uint64_t epoch);
   void see(Process& p, const fleet::Plan& plan, std::uint64_t modified);
   void apply_snapshot(Process& p);  // on the request path
-  void look_after(Process& p);
+  void end_due_work(Process& p);
   void sent(Process& p, const Bindings::RoutingResult& result, std::size_t slot);
   void follow(std::size_t process);
   void send(std::size_t process);
   void plan(std::size_t planner);
   void fault();
-  void broke(const std::string& what);
+  void record_violation(const std::string& what);
 
   struct Event {
     Millis at;
--- a/tests/affinity/model_process.cpp
+++ b/tests/affinity/model_process.cpp
@@ -43,7 +43,7 @@
 }
 
 // Every few milliseconds and before each decision: ends finished requests and cancels those that are due.
-void Model::look_after(Process& p) {
+void Model::end_due_work(Process& p) {
   if (!p.keys) apply_snapshot(p);
   const auto over = [&p](const Work& work) { return p.keys->release(work.place), true; };
   std::erase_if(p.work, [&](const Work& work) { return work.ends <= now_ && over(work); });
@@ -130,14 +130,14 @@
 void Model::follow(std::size_t n) {
   Process& p = processes_[n];
   if (p.paused_until > now_ || !p.alive || p.modified == 0 || p.seen.epoch <= p.in_force.epoch) return;
-  look_after(p);
+  end_due_work(p);
   if (p.keys->quiet() || flaw_ == Flaw::kNotQuiet) put_record(n, p.seen.epoch);
 }
 
 void Model::send(std::size_t n) {
   Process& p = processes_[n];
   if (p.paused_until > now_ || !p.alive) return;
-  look_after(p);
+  end_due_work(p);
   const bool valid = now_ < p.valid_until || flaw_ == Flaw::kIgnoresExpiry;
   const std::vector<int> waiting = p.keys->waiting();
   for (const int place : waiting) {
@@ -153,16 +153,16 @@
   result_.refused += result.action == RoutingAction::kRefuse;
   if (result.action != RoutingAction::kOnly) return;
   const fleet::Slot& seat = p.open.slots[slot];
-  if (*result.unit != seat.backend || !seat.open) broke(p.name + " sends where no slot is open");
+  if (*result.unit != seat.backend || !seat.open) record_violation(p.name + " sends where no slot is open");
   auto& [token, backend] = last_[slot];
-  if (seat.since < token && seat.backend != backend) broke(p.name + " sends by an older opening");
+  if (seat.since < token && seat.backend != backend) record_violation(p.name + " sends by an older opening");
   result_.moves += token > 0 && seat.backend != backend;
   if (seat.since >= token) std::tie(token, backend) = std::pair(seat.since, seat.backend);
   for (const Process& other : processes_) {
     if (!other.alive || other.paused_until > now_ || now_ >= other.valid_until) continue;
     for (const Work& work : other.work) {
       if (work.slot == slot && work.backend != seat.backend && work.ends > now_)
-        broke("two boxes work for a slot");
+        record_violation("two boxes work for a slot");
     }
   }
   p.work.push_back({slot, seat.backend, now_ + kLongest * random_.unit(), result.place});
--- a/tests/affinity/model_test.cpp
+++ b/tests/affinity/model_test.cpp
@@ -19,8 +19,8 @@
   int moves = 0;
   for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
     const ModelResult result = Model(seed, Flaw::kNone).run();
-    ASSERT_EQ(result.broken, 0) << "seed " << seed << ", " << result.what;
-    EXPECT_TRUE(result.whole) << "seed " << seed;
+    ASSERT_EQ(result.violations, 0) << "seed " << seed << ", " << result.what;
+    EXPECT_TRUE(result.complete) << "seed " << seed;
     sends += result.sends;
     moves += result.moves;
   }
@@ -35,7 +35,7 @@
 
 TEST_P(EachFlaw, IsFound) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    if (Model(seed, GetParam()).run().broken > 0) {
+    if (Model(seed, GetParam()).run().violations > 0) {
       RecordProperty("seed", static_cast<int>(seed));
       return;
     }
--- a/tests/affinity/rule_checks_test.cpp
+++ b/tests/affinity/rule_checks_test.cpp
@@ -47,9 +47,9 @@
       {all({is(Subject::kTenant, "new"), is(Subject::kPlan, "free")}), Satisfiability::kYes},
       {all({is(Subject::kTenant, "new"), is(Subject::kPlan, "gold")}), Satisfiability::kNo},
       {all({kYes, field_is("x", "no")}), Satisfiability::kNo},
-      {all({kYes, negated(field_there("x"))}), Satisfiability::kNo},
-      {all({field_there("x"), negated(kYes), negated(field_is("x", "no"))}), Satisfiability::kYes},
-      {all({negated(field_there("x")), field_is("y", "yes")}), Satisfiability::kYes},
+      {all({kYes, negated(field_present("x"))}), Satisfiability::kNo},
+      {all({field_present("x"), negated(kYes), negated(field_is("x", "no"))}), Satisfiability::kYes},
+      {all({negated(field_present("x")), field_is("y", "yes")}), Satisfiability::kYes},
   };
   for (std::size_t n = 0; n < table.size(); ++n) {
     EXPECT_EQ(can_hold(table[n].first, a_universe()), table[n].second) << n;
@@ -58,10 +58,10 @@
   std::vector<Condition> parts;
   for (int n = 0; n < 24; ++n) {
     const std::string a = "left-" + std::to_string(n), b = "right-" + std::to_string(n);
-    parts.push_back(any(
-        {all({field_there(a), negated(field_there(b))}), all({field_there(b), negated(field_there(a))})}));
+    parts.push_back(any({all({field_present(a), negated(field_present(b))}),
+                         all({field_present(b), negated(field_present(a))})}));
   }
-  parts.push_back(all({field_there("z"), negated(field_there("z"))}));
+  parts.push_back(all({field_present("z"), negated(field_present("z"))}));
   EXPECT_EQ(can_hold(all(parts), a_universe()), Satisfiability::kTooMany);
 }
 
@@ -70,7 +70,7 @@
   const int kind = *rc::gen::inRange(0, depth > 0 ? 7 : 4);
   if (kind == 0) return is(Subject::kRoute, *rc::gen::element<std::string>("shop", "till"));
   if (kind == 1) return is(Subject::kClass, *rc::gen::element<std::string>("check", "pay"));
-  if (kind == 2) return field_there("x");
+  if (kind == 2) return field_present("x");
   if (kind == 3) return field_is("x", *rc::gen::element<std::string>("1", "2"));
   if (kind == 4) return negated(gen_condition(depth - 1));
   std::vector<Condition> parts = {gen_condition(depth - 1), gen_condition(depth - 1)};
@@ -176,8 +176,8 @@
     EXPECT_EQ(problems[0].place, table[n].rules[table[n].rule].place) << n;
     EXPECT_EQ(problems[0].other, table[n].other) << n;
   }
-  EXPECT_EQ(completed({narrow, must}, a_universe())[0].still, 60000);
-  EXPECT_EQ(completed({narrow, must}, a_universe())[1].still, 0);
+  EXPECT_EQ(completed({narrow, must}, a_universe())[0].dedup_window, 60000);
+  EXPECT_EQ(completed({narrow, must}, a_universe())[1].dedup_window, 0);
 }
 
 }  // namespace
--- a/tests/affinity/rules_test.cpp
+++ b/tests/affinity/rules_test.cpp
@@ -37,9 +37,9 @@
       {is(Subject::kPlan, "silver"), false},
       {field_is("x-test", "yes"), true},
       {field_is("x-test", "ye"), false},
-      {field_there("x-test"), true},
-      {field_there("x-empty"), false},
-      {negated(field_there("x-none")), true},
+      {field_present("x-test"), true},
+      {field_present("x-empty"), false},
+      {negated(field_present("x-none")), true},
       {all({yes, no}), false},
       {any({no, yes}), true},
       {any({no, all({yes, negated(no)})}), true},
@@ -51,7 +51,7 @@
   // Without a field look-up no field is present.
   Request bare = asked.request;
   bare.field = nullptr;
-  EXPECT_FALSE(holds(field_there("x-test"), bare));
+  EXPECT_FALSE(holds(field_present("x-test"), bare));
 }
 
 TEST(Rules, ReadsTheKeyFromEachSource) {
--- a/tests/affinity/shaper_test.cpp
+++ b/tests/affinity/shaper_test.cpp
@@ -46,7 +46,7 @@
     return true;
   }
   void settle(const std::vector<BackendStatus>& backends) {
-    shaper.see(backends);
+    shaper.set_backends(backends);
     for (int n = 0; n < 100 && step(); ++n) {
     }
   }
@@ -115,7 +115,7 @@
   int before = 0;
   for (const double warm : {0.05, 0.3, 0.6, 1.0}) {
     backends[4].warm = warm;
-    fleet.shaper.see(backends);
+    fleet.shaper.set_backends(backends);
     for (int n = 0; n < 200 && fleet.step(); ++n) {
       const auto all = fleet.owners();
       EXPECT_LE(std::count(all.begin(), all.end(), ""), 8);
@@ -131,7 +131,7 @@
 // deduplication window, and moves only if it has to.
 TEST(Shaper, MovedSlotStaysClosedForTheDeduplicationWindow) {
   Rule rule = a_rule();
-  rule.still = 3000;
+  rule.dedup_window = 3000;
   Fleet fleet(rule);
   fleet.settle(backends_of(4));
   std::vector<BackendStatus> backends = backends_of(5);
@@ -147,7 +147,7 @@
 
 TEST(Shaper, EpochOfALostHistoryOpensNothing) {
   Fleet fleet(a_rule());
-  fleet.shaper.see(backends_of(3));
+  fleet.shaper.set_backends(backends_of(3));
   fleet.records[0].epoch = 50;  // of a plan that the store has lost
   for (int n = 0; n < 5; ++n) {
     fleet.plan = fleet.next();
@@ -178,7 +178,7 @@
   fleet.settle(backends_of(4));
   Rule other = a_rule();
   other.key.part = 2;
-  fleet.shaper.set({other});
+  fleet.shaper.set_rules({other});
   EXPECT_EQ(fleet.next().affinity.size(), 2u);
   fleet.now = 2000;
   EXPECT_EQ(fleet.next().affinity.size(), 1u);
--- a/tests/affinity/shore_test.cpp
+++ b/tests/affinity/shore_test.cpp
@@ -67,7 +67,7 @@
   }
   const Config config = loaded(
       "affinity a { when \"route = desk\"; key tenant; must yes; on_loss refuse; hold 2 min; finish 1 min }");
-  EXPECT_EQ(config.shared->affinity[0].still, 60000);
+  EXPECT_EQ(config.shared->affinity[0].dedup_window, 60000);
   // A request sent before its process died may run until the longest give_up of the classes that the rule
   // matches.
   EXPECT_EQ(config.shared->sharing.longest, 1000);
