--- a/bench/plans/order_watch.h
+++ b/bench/plans/order_watch.h
@@ -27,7 +27,7 @@
     Counts& counts = buckets_.back().of[static_cast<std::size_t>(rank)];
     ++counts.offered;
     if (!verdict.taken()) ++counts.refused;
-    if (verdict.taken() && verdict.as != Admitted::kFloor) ++counts.taken;
+    if (verdict.taken() && verdict.as != Admitted::kAdmittedForFloor) ++counts.taken;
   }
 
  private:
--- a/bench/plans/process.h
+++ b/bench/plans/process.h
@@ -69,7 +69,7 @@
   }
   void sheds(const fleet::Record& own, Millis now) {
     if (way_ == Way::kNone) return;
-    local_->told(told, valid_until);
+    local_->set_plan_cut_off(told, valid_until);
     cut = local_->in_force(own.ranks, own.room, now);
   }
   const Controller& alone() const { return local_->controller(); }
--- a/bench/plans/sim.cpp
+++ b/bench/plans/sim.cpp
@@ -112,7 +112,7 @@
     tally_.tried(r, verdict, now_);
     if (!verdict.taken()) {
       r.open = false;
-      repeat(n, verdict.come_back);
+      repeat(n, verdict.retry_after);
       return;
     }
     push(came + kDeadline, Kind::kDeadline, n, r.number);
--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -111,12 +111,12 @@
   if (fleet_.plans.empty()) return;
   const Millis now = fleet::boot_now();
   if (const fleet::Snapshot* const valid = port_.valid(now))
-    shedder_.told(valid->cut_off, now + kCutOffValidity);
+    shedder_.set_plan_cut_off(valid->cut_off, now + kCutOffValidity);
   const auto loads = rank_counts_.since_last([this](int rank) { return cells_of(rank); });
   const fleet::CutOff next = shedder_.in_force(loads, channel_->traffic.room.get(), now);
   if (next == cut_off_) return;
   spdlog::info("fleet: in a shortage rank {} and {:.0f} % of it are refused, by {}", next.rank + 1,
-               next.share * 100, shedder_.alone() ? "own counters" : "the plan");
+               next.share * 100, shedder_.without_plan() ? "own counters" : "the plan");
   cut_off_ = next;
 }
 
@@ -139,7 +139,7 @@
       verdict.refused = 503;
       verdict.cause = "a shortage of the fleet, trying again later is harmless";
       verdict.proxy_status = kProxyStatusShortage;
-      verdict.retry_after = std::min(said.come_back, request.max_retry_after);
+      verdict.retry_after = std::min(said.retry_after, request.max_retry_after);
       return verdict;
     }
     verdict.ticket.rank = rank;
@@ -236,9 +236,9 @@
   for (int rank = 0; !fleet_.plans.empty() && rank < order_.ranks(); ++rank) {
     const auto count = [&](plans::Admitted as) { return admission_.count(rank, as); };
     spdlog::info("counters: rank {} of plans taken={} floor={} order={} cut={} waits={}", rank + 1,
-                 count(plans::Admitted::kTaken), count(plans::Admitted::kFloor),
-                 count(plans::Admitted::kOrder), count(plans::Admitted::kCut),
-                 count(plans::Admitted::kWaits));
+                 count(plans::Admitted::kAdmitted), count(plans::Admitted::kAdmittedForFloor),
+                 count(plans::Admitted::kAdmittedForOrder), count(plans::Admitted::kRejected),
+                 count(plans::Admitted::kRejectedForOrder));
   }
 }
 
--- a/src/plans/admission.cpp
+++ b/src/plans/admission.cpp
@@ -21,9 +21,9 @@
 Admission::Admission(const Order& order, const AdmissionSettings& settings)
     : order_(order),
       settings_(settings),
-      taken_at_(static_cast<std::size_t>(order.ranks()), kNever),
-      refused_at_(static_cast<std::size_t>(order.ranks()), kNever),
-      refused_any_at_(kNever),
+      admitted_at_(static_cast<std::size_t>(order.ranks()), kNever),
+      rejected_at_(static_cast<std::size_t>(order.ranks()), kNever),
+      rejected_any_at_(kNever),
       owed_(order.plans().size(), 0),
       counts_(static_cast<std::size_t>(order.ranks()) * 5, 0) {}
 
@@ -31,28 +31,28 @@
                           Millis now) {
   const int rank = order_.rank_of(plan, request_class);
   const auto at = static_cast<std::size_t>(rank);
-  Admitted as = Admitted::kTaken;
+  Admitted as = Admitted::kAdmitted;
   if (is_cut(cut, rank, sample)) {
-    as = Admitted::kCut;
-    for (std::size_t lower = at + 1; lower < taken_at_.size(); ++lower) {
-      if (within(taken_at_[lower], now)) as = Admitted::kOrder;
+    as = Admitted::kRejected;
+    for (std::size_t lower = at + 1; lower < admitted_at_.size(); ++lower) {
+      if (within(admitted_at_[lower], now)) as = Admitted::kAdmittedForOrder;
     }
-  } else if (within(refused_any_at_, now)) {
+  } else if (within(rejected_any_at_, now)) {
     for (std::size_t higher = 0; higher < at; ++higher) {
-      if (within(refused_at_[higher], now)) as = Admitted::kWaits;
+      if (within(rejected_at_[higher], now)) as = Admitted::kRejectedForOrder;
     }
   }
   const bool fits = owed(plan, request_class, sample);
-  if (fits && as >= Admitted::kCut) as = Admitted::kFloor;
+  if (fits && as >= Admitted::kRejected) as = Admitted::kAdmittedForFloor;
   double& debt = owed_[static_cast<std::size_t>(plan)];
-  if (as <= Admitted::kOrder) {
+  if (as <= Admitted::kAdmittedForOrder) {
     debt = std::max(0.0, debt - 1);
-    if (as != Admitted::kFloor) taken_at_[at] = now;
+    if (as != Admitted::kAdmittedForFloor) admitted_at_[at] = now;
   } else {
-    refused_at_[at] = refused_any_at_ = now;
+    rejected_at_[at] = rejected_any_at_ = now;
   }
   ++counts_[at * 5 + static_cast<std::size_t>(as)];
-  return {as, as >= Admitted::kCut ? wait(cut, rank, sample) : 0};
+  return {as, as >= Admitted::kRejected ? wait(cut, rank, sample) : 0};
 }
 
 bool Admission::owed(int plan, int request_class, const StableSample& sample) {
@@ -65,12 +65,12 @@
 }
 
 Millis Admission::wait(const fleet::CutOff& cut, int rank, double sample) const {
-  if (!(settings_.most_wait > 0)) return 0;
+  if (!(settings_.max_retry_after > 0)) return 0;
   // Requests close to the cut-off retry first, since they are admitted first. Within the rank that is partly
   // cut only samples below its share are rejected.
   const double part = rank == cut.rank && cut.share > 0 ? std::min(1.0, sample / cut.share) : sample;
-  const Millis least = std::min(settings_.least_wait, settings_.most_wait);
-  return least + (settings_.most_wait - least) * (1 - part);
+  const Millis least = std::min(settings_.min_retry_after, settings_.max_retry_after);
+  return least + (settings_.max_retry_after - least) * (1 - part);
 }
 
 }  // namespace shorelead::plans
--- a/src/plans/admission.h
+++ b/src/plans/admission.h
@@ -26,23 +26,23 @@
 namespace shorelead::plans {
 
 struct AdmissionSettings {
-  Millis least_wait = 1000;  // shortest time before a rejected client may retry
-  Millis most_wait = 4000;   // longest such time; 0 = the client is given no time
+  Millis min_retry_after = 1000;  // shortest time before a rejected client may retry
+  Millis max_retry_after = 4000;  // longest such time; 0 = the client is given no time
 };
 
 enum class Admitted {
-  kTaken,  // admitted by the cut-off
-  kFloor,  // cut, but admitted for its plan's floor
-  kOrder,  // cut, but admitted: a lower rank was admitted within the last 2 s
-  kCut,    // rejected by the cut-off
-  kWaits,  // not cut, but rejected: a higher rank was rejected within the last 2 s
+  kAdmitted,          // admitted by the cut-off
+  kAdmittedForFloor,  // cut, but admitted for its plan's floor
+  kAdmittedForOrder,  // cut, but admitted: a lower rank was admitted within the last 2 s
+  kRejected,          // rejected by the cut-off
+  kRejectedForOrder,  // not cut, but rejected: a higher rank was rejected within the last 2 s
 };
 
 struct Verdict {
-  Admitted as = Admitted::kTaken;
-  Millis come_back = 0;  // for rejected requests: time until a retry; 0 = none is given
+  Admitted as = Admitted::kAdmitted;
+  Millis retry_after = 0;  // for rejected requests: time until a retry; 0 = none is given
 
-  bool taken() const { return as <= Admitted::kOrder; }
+  bool taken() const { return as <= Admitted::kAdmittedForOrder; }
 };
 
 class Admission {
@@ -66,9 +66,9 @@
 
   const Order& order_;
   const AdmissionSettings settings_;
-  std::vector<Millis> taken_at_;    // by rank: the last one admitted for another reason than a floor
-  std::vector<Millis> refused_at_;  // by rank
-  Millis refused_any_at_;
+  std::vector<Millis> admitted_at_;  // by rank: the last one admitted for another reason than a floor
+  std::vector<Millis> rejected_at_;  // by rank
+  Millis rejected_any_at_;
   std::vector<double> owed_;  // by plan: requests that its floor is owed
   std::vector<std::uint64_t> counts_;
 };
--- a/src/plans/controller.cpp
+++ b/src/plans/controller.cpp
@@ -45,24 +45,24 @@
       settings_(settings),
       random_(seed),
       level_(ranks_),
-      rise_(settings.least_step),
+      step_up_(settings.min_step),
       hold_(settings.hold) {}
 
 void Controller::adopt(double level, Millis now) {
   level_ = std::clamp(level, 0.0, static_cast<double>(ranks_));
   trial_ = false;
   hold_ = settings_.hold;
-  rise_ = settings_.least_step;
+  step_up_ = settings_.min_step;
   moved_at_ = now;
   in_force_at_ = settled_at_ = short_since_ = -1;
   settle_ = kDrainTime;
   ++counters_.adopted;
 }
 
-double Controller::see(const FleetView& view, bool in_force, Millis now) {
-  const Millis since = seen_at_ < 0 ? 0 : now - seen_at_;
-  seen_at_ = now;
-  best_ = std::max(view.in_time, best_ * std::exp(-since / kCapacityDecay));
+double Controller::observe(const FleetView& view, bool in_force, Millis now) {
+  const Millis since = observed_at_ < 0 ? 0 : now - observed_at_;
+  observed_at_ = now;
+  peak_in_time_ = std::max(view.in_time, peak_in_time_ * std::exp(-since / kCapacityDecay));
   if (since > kMaxObservationGap) short_since_ = -1, in_force_at_ = settled_at_ = -1;
   if (moved_at_ >= 0 && !settled(in_force, now)) return level_;
   if (!view.is_short) short_since_ = -1;
@@ -75,15 +75,15 @@
       return level_;
     }
     ++counters_.stepped_back;
-    hold_ = std::min(2 * hold_, settings_.most_hold) * (1 + kJitter * random_.unit());
-    rise_ = settings_.least_step;
-    move(before_, view, now);
+    hold_ = std::min(2 * hold_, settings_.max_hold) * (1 + kJitter * random_.unit());
+    step_up_ = settings_.min_step;
+    move(level_before_trial_, view, now);
     return level_;
   }
   if (trial_ && now - settled_at_ >= settings_.trial) {
     trial_ = false;
     hold_ = settings_.hold * (1 + kJitter * random_.unit());
-    rise_ = std::min(2 * rise_, settings_.most_rise);
+    step_up_ = std::min(2 * step_up_, settings_.max_step_up);
   }
   if (open || trial_ || view.is_short) return level_;
   // A failed trial has shown that a little room is not enough.
@@ -121,16 +121,16 @@
   const double taken = taken_at(view.offered, level_);
   // The recent peak is the target if it is below the admitted load. If not, the fleet's capacity has fallen,
   // and only the misses tell by how much.
-  double fall = settings_.least_step;
-  if (best_ > 0 && best_ < view.taken) fall = 1 - kPeakTarget * best_ / view.taken;
-  if (fall < 2 * settings_.least_step) fall = kMissedCutShare * view.missed;
-  fall = std::clamp(fall, settings_.least_step, settings_.most_fall);
-  best_ = std::min(best_, view.taken * (1 - fall));  // still short: the peak was too high
-  const double aim = std::max(taken * (1 - fall), settings_.least_taken * offered);
+  double fall = settings_.min_step;
+  if (peak_in_time_ > 0 && peak_in_time_ < view.taken) fall = 1 - kPeakTarget * peak_in_time_ / view.taken;
+  if (fall < 2 * settings_.min_step) fall = kMissedCutShare * view.missed;
+  fall = std::clamp(fall, settings_.min_step, settings_.max_step_down);
+  peak_in_time_ = std::min(peak_in_time_, view.taken * (1 - fall));  // still short: the peak was too high
+  const double aim = std::max(taken * (1 - fall), settings_.min_admitted * offered);
   if (aim >= taken) return;
   ++counters_.tightened;
   hold_ = settings_.hold * (1 + kJitter * random_.unit());
-  rise_ = settings_.least_step;
+  step_up_ = settings_.min_step;
   move(level_for(view.offered, aim), view, now);
 }
 
@@ -138,10 +138,10 @@
   const double offered = taken_at(view.offered, ranks_);
   const double taken = taken_at(view.offered, level_);
   // Uses all of the room: admitted clients stop retrying, so they take less than they offered.
-  const double fits = view.room < 1 ? view.room / (1 - view.room) : settings_.most_rise;
-  const double rise = std::clamp(std::max(rise_, fits), settings_.least_step, settings_.most_rise);
-  const double aim = std::max(taken * (1 + rise), settings_.least_taken * offered);
-  before_ = level_;
+  const double fits = view.room < 1 ? view.room / (1 - view.room) : settings_.max_step_up;
+  const double rise = std::clamp(std::max(step_up_, fits), settings_.min_step, settings_.max_step_up);
+  const double aim = std::max(taken * (1 + rise), settings_.min_admitted * offered);
+  level_before_trial_ = level_;
   ++counters_.loosened;
   move(std::max(level_, level_for(view.offered, aim)), view, now);
   trial_ = true;
--- a/src/plans/controller.h
+++ b/src/plans/controller.h
@@ -31,11 +31,11 @@
   Millis trial = 3000;    // a step up has succeeded if there was no shortage for this long
   Millis hold = 10000;    // time from a move to the next step up
   Millis brief_hold = 5500;  // the same while the backends have ample room
-  Millis most_hold = 80000;
-  double least_step = 0.05;   // smallest step down or up, as a share of the admitted load
-  double most_fall = 0.5;     // largest step down
-  double most_rise = 0.3;     // largest step up
-  double least_taken = 0.05;  // share of the offered load that is always admitted
+  Millis max_hold = 80000;
+  double min_step = 0.05;      // smallest step down or up, as a share of the admitted load
+  double max_step_down = 0.5;  // largest step down
+  double max_step_up = 0.3;    // largest step up
+  double min_admitted = 0.05;  // share of the offered load that is always admitted
 
   bool operator==(const CutOffSettings&) const = default;
 };
@@ -49,7 +49,7 @@
   Controller(int ranks, const CutOffSettings& settings, std::uint64_t seed);
 
   // Returns the level from now on. `in_force`: the last move has reached the processes it concerns.
-  double see(const FleetView& view, bool in_force, Millis now);
+  double observe(const FleetView& view, bool in_force, Millis now);
   // Continues from a level that another controller has set, and holds it like one of its own.
   void adopt(double level, Millis now);
 
@@ -66,12 +66,12 @@
   const CutOffSettings settings_;
   Random random_;
   double level_;
-  double before_ = 0;  // the level before the present trial
+  double level_before_trial_ = 0;  // the level before the present trial
   bool trial_ = false;
-  double rise_;
+  double step_up_;
   Millis hold_;
-  double best_ = 0;  // recent peak of requests answered in time, per second: the capacity of the fleet
-  Millis seen_at_ = -1;
+  double peak_in_time_ = 0;  // recent peak of requests answered in time, per second: the fleet's capacity
+  Millis observed_at_ = -1;
   Millis moved_at_ = -1;
   Millis in_force_at_ = -1;
   Millis settled_at_ = -1;   // -1: the last move cannot be judged yet
--- a/src/plans/cutoff.cpp
+++ b/src/plans/cutoff.cpp
@@ -26,7 +26,7 @@
     }
   }
   const FleetView view = view_of(records, ranks_, settings_.shortage);
-  const fleet::CutOff cut = cut_at(controller_.see(view, in_force(records), now), ranks_);
+  const fleet::CutOff cut = cut_at(controller_.observe(view, in_force(records), now), ranks_);
   if (cut != asked_) {
     before_ = standing ? standing->cut_off : asked_;
     asked_ = cut;
@@ -46,23 +46,23 @@
 LocalShedder::LocalShedder(int ranks, const CutOffSettings& settings, std::uint64_t seed)
     : ranks_(ranks), settings_(settings), controller_(ranks, settings, seed), own_(1) {}
 
-void LocalShedder::told(const fleet::CutOff& cut, Millis valid_until) {
-  told_ = cut;
+void LocalShedder::set_plan_cut_off(const fleet::CutOff& cut, Millis valid_until) {
+  plan_cut_off_ = cut;
   valid_until_ = valid_until;
 }
 
 fleet::CutOff LocalShedder::in_force(const std::map<int, fleet::RankLoad>& ranks, double room, Millis now) {
   if (now < valid_until_) {
-    alone_ = false;
-    return told_;
+    without_plan_ = false;
+    return plan_cut_off_;
   }
-  if (!alone_) {
-    alone_ = true;
-    controller_.adopt(level_of(told_, ranks_), now);
+  if (!without_plan_) {
+    without_plan_ = true;
+    controller_.adopt(level_of(plan_cut_off_, ranks_), now);
   }
   own_[0].ranks = ranks;
   own_[0].room = room;
-  return cut_at(controller_.see(view_of(own_, ranks_, settings_.shortage), true, now), ranks_);
+  return cut_at(controller_.observe(view_of(own_, ranks_, settings_.shortage), true, now), ranks_);
 }
 
 }  // namespace shorelead::plans
--- a/src/plans/cutoff.h
+++ b/src/plans/cutoff.h
@@ -44,20 +44,20 @@
   LocalShedder(int ranks, const CutOffSettings& settings, std::uint64_t seed);
 
   // Sets the cut-off of the plan in force, valid until `valid_until` on the clock of `now`.
-  void told(const fleet::CutOff& cut, Millis valid_until);
+  void set_plan_cut_off(const fleet::CutOff& cut, Millis valid_until);
   // Returns the cut-off to apply. Called about once a second with the load of the last second.
   fleet::CutOff in_force(const std::map<int, fleet::RankLoad>& ranks, double room, Millis now);
 
-  bool alone() const { return alone_; }
+  bool without_plan() const { return without_plan_; }
   const Controller& controller() const { return controller_; }
 
  private:
   const int ranks_;
   const CutOffSettings settings_;
   Controller controller_;
-  fleet::CutOff told_;
+  fleet::CutOff plan_cut_off_;
   Millis valid_until_ = 0;
-  bool alone_ = false;
+  bool without_plan_ = false;
   std::vector<fleet::Record> own_;
 };
 
--- a/tests/plans/admission_test.cpp
+++ b/tests/plans/admission_test.cpp
@@ -152,7 +152,7 @@
       const int plan = static_cast<int>(random.below(3));
       const int request_class = static_cast<int>(random.below(2));
       const Verdict verdict = admission.decide(cut, plan, request_class, random.unit(), now);
-      if (verdict.as == Admitted::kFloor) continue;
+      if (verdict.as == Admitted::kAdmittedForFloor) continue;
       const Seen one{now, order.rank_of(plan, request_class), verdict.taken()};
       for (auto it = seen.rbegin(); it != seen.rend() && now - it->at <= 2000; ++it) {
         const bool upside_down =
@@ -201,7 +201,7 @@
       const double sample =
           stable_sample("t", std::to_string(random.below(static_cast<std::size_t>(keys))), 0);
       const Verdict verdict = admission.decide({0, 1}, plan, request_class, sample, n);
-      ASSERT_EQ(verdict.taken(), verdict.as == Admitted::kFloor);
+      ASSERT_EQ(verdict.taken(), verdict.as == Admitted::kAdmittedForFloor);
       ++offered[plan];
       if (!verdict.taken()) continue;
       ++kept[plan];
@@ -230,13 +230,13 @@
     const Verdict verdict = admission.decide({1, 0.4}, 1, 0, sample, n);
     EXPECT_EQ(verdict.taken(), sample >= 0.4);
     if (verdict.taken()) continue;
-    EXPECT_GE(verdict.come_back, 1000);
-    EXPECT_LE(verdict.come_back, 4000);
-    spread.push_back((4000 - verdict.come_back) / 3000.0001);
-    EXPECT_EQ(silent.decide({1, 0.4}, 1, 0, sample, n).come_back, 0);
+    EXPECT_GE(verdict.retry_after, 1000);
+    EXPECT_LE(verdict.retry_after, 4000);
+    spread.push_back((4000 - verdict.retry_after) / 3000.0001);
+    EXPECT_EQ(silent.decide({1, 0.4}, 1, 0, sample, n).retry_after, 0);
   }
   EXPECT_LT(unevenness(spread), 120);
-  EXPECT_EQ(admission.count(1, Admitted::kCut), spread.size());
+  EXPECT_EQ(admission.count(1, Admitted::kRejected), spread.size());
 }
 
 }  // namespace
--- a/tests/plans/cutoff_test.cpp
+++ b/tests/plans/cutoff_test.cpp
@@ -114,7 +114,7 @@
   void run(Controller& controller, Millis length) {
     for (const Millis end = now + length; now < end; now += 500) {
       const double before = controller.level();
-      const double after = controller.see(view(before), true, now);
+      const double after = controller.observe(view(before), true, now);
       if (after == before) continue;
       moves.emplace_back(now, after);
       const double from = taken_at(offered, before);
@@ -213,18 +213,18 @@
   LocalShedder local(kRanks, {}, 1);
   const auto want = record(100, 0.6, 0).ranks;
   const auto calm = record(100, 0, 0.5).ranks;
-  local.told({3, 0.25}, 5000);
+  local.set_plan_cut_off({3, 0.25}, 5000);
   Millis now = 0;
   for (; now < 5000; now += 1000) EXPECT_EQ(local.in_force(want, 0, now), (fleet::CutOff{3, 0.25}));
   EXPECT_EQ(local.in_force(want, 0, now), (fleet::CutOff{3, 0.25}));
-  EXPECT_TRUE(local.alone());
+  EXPECT_TRUE(local.without_plan());
   for (; now < 15000; now += 1000) local.in_force(want, 0, now);
   EXPECT_LT(level_of(local.in_force(want, 0, now), kRanks), 3.75);
   for (; now < 200000; now += 1000) local.in_force(calm, 0.5, now);
   EXPECT_EQ(local.in_force(calm, 0.5, now), fleet::CutOff{});
-  local.told({5, 1}, now + 5000);
+  local.set_plan_cut_off({5, 1}, now + 5000);
   EXPECT_EQ(local.in_force(calm, 0.5, now), (fleet::CutOff{5, 1}));
-  EXPECT_FALSE(local.alone());
+  EXPECT_FALSE(local.without_plan());
 }
 
 }  // namespace
