--- a/src/affinity/condition.cpp
+++ b/src/affinity/condition.cpp
@@ -52,12 +52,12 @@
 // The error message for each grammar rule that has to match and does not.
 struct messages {
   template <typename>
-  static constexpr const char* message = "this is no condition";
+  static constexpr const char* message = "invalid condition";
   template <typename>
   static constexpr bool raise_on_failure = false;  // errors are raised only by must<>
 };
 constexpr const char* kConditionExpected =
-    "a condition is due here: route, class, tenant, plan or method with a value, a header, \"not\" or \"(\"";
+    "expected a condition: route, class, tenant, plan or method with a value, a header, \"not\" or \"(\"";
 template <>
 constexpr const char* messages::message<any_of> = kConditionExpected;
 template <>
@@ -65,21 +65,21 @@
 template <>
 constexpr const char* messages::message<one> = kConditionExpected;
 template <>
-constexpr const char* messages::message<relation> = "\"=\" or \"!=\" is due here";
+constexpr const char* messages::message<relation> = "expected \"=\" or \"!=\"";
 template <>
 constexpr const char* messages::message<value> =
-    "a value is due here; others than plain words stand between two of '";
+    "expected a value; put one with other characters between two of '";
 template <>
 constexpr const char* messages::message<quoted_text> =
-    "a value is not empty; a header that is not there is: not header NAME";
+    "a value must not be empty; for an absent header write: not header NAME";
 template <>
 constexpr const char* messages::message<pegtl::one<'\''>> = "this value is not closed: put a ' where it ends";
 template <>
-constexpr const char* messages::message<field_name> = "a header's name is due here";
+constexpr const char* messages::message<field_name> = "expected the name of a header";
 template <>
-constexpr const char* messages::message<closing> = "\")\" is due here, or \"and\" or \"or\"";
+constexpr const char* messages::message<closing> = "expected \")\", \"and\" or \"or\"";
 template <>
-constexpr const char* messages::message<pegtl::eof> = "\"and\" or \"or\" is due here, or the end";
+constexpr const char* messages::message<pegtl::eof> = "expected \"and\", \"or\" or the end of the condition";
 template <typename Rule>
 using control = pegtl::must_if<messages>::control<Rule>;
 
@@ -134,7 +134,7 @@
 }  // namespace
 
 Parsed parse_condition(std::string_view text) {
-  if (text.size() > kMaxTextBytes) return {{}, "a condition has 1,024 bytes at most", kMaxTextBytes + 1};
+  if (text.size() > kMaxTextBytes) return {{}, "a condition must be at most 1,024 bytes", kMaxTextBytes + 1};
   pegtl::memory_input in(text.data(), text.size(), "");
   try {
     const auto root = pegtl::parse_tree::parse<whole, selector, pegtl::nothing, control>(in);
--- a/src/affinity/rule_checks.cpp
+++ b/src/affinity/rule_checks.cpp
@@ -62,15 +62,15 @@
   void check_limits(const Rule& rule) {
     for (std::size_t n = 0; n < at_; ++n) {
       if (rules_[n].name != rule.name) continue;
-      problem("another rule is called \"" + rule.name + "\": maps go by the rule's name", n);
+      problem("another rule is called \"" + rule.name + "\": slot maps are stored by the rule's name", n);
       break;
     }
     if (!std::has_single_bit(rule.slots) || rule.slots > kMaxSlots) {
-      problem("the number of slots is a power of two, at most " + std::to_string(kMaxSlots));
+      problem("the number of slots must be a power of two, at most " + std::to_string(kMaxSlots));
     }
     if (rule.hold > universe_.keeps) {
-      problem("it holds an assignment for " + seconds(rule.hold) + ", but what was lost is known for " +
-              seconds(universe_.keeps) + " only");
+      problem("it holds an assignment for " + seconds(rule.hold) +
+              ", but the state of a lost backend is known for " + seconds(universe_.keeps) + " only");
     }
   }
 
@@ -110,9 +110,9 @@
   void check_reachable(const Rule& rule) {
     const Satisfiability alone = can_hold(rule.when, universe_);
     if (alone == Satisfiability::kTooMany)
-      return problem("its condition names too many words to be decided; divide it");
+      return problem("its condition names too many values to be decided; split the rule");
     if (alone == Satisfiability::kNo)
-      return problem("it never matches: its condition contradicts itself, or what there is");
+      return problem("it never matches: its condition contradicts itself or the configuration");
     std::vector<Condition> left = {rule.when};
     for (std::size_t n = 0; n < at_; ++n) {
       if (can_hold(all({rule.when, negated(rules_[n].when)}), universe_) == Satisfiability::kNo) {
@@ -124,18 +124,19 @@
     if (together == Satisfiability::kNo)
       return problem("it is never reached: those before it together take all its requests");
     if (together == Satisfiability::kTooMany)
-      problem("whether it is ever reached cannot be decided; make it simpler");
+      problem("whether it is ever reached cannot be decided; simplify its condition");
   }
 
   void bound(const Rule& rule) {
-    if (rule.bound < 1) return problem("a bound on load over the mean is at least 100 %");
+    if (rule.bound < 1) return problem("a bound on load relative to the mean must be at least 100 %");
     if (!rule.must) return;
     const double grain = static_cast<double>(universe_.units) / static_cast<double>(rule.slots);
     const double least = std::max(kMinMustBound, 1 + grain);
     if (rule.bound >= least) return;
-    problem("\"must\" cannot hold a bound of " + percent(rule.bound) +
-            ": it never sends a key elsewhere, so only whole slots that move hold it, which takes " +
-            percent(least) + " or more");
+    problem(
+        "\"must\" cannot hold a bound of " + percent(rule.bound) +
+        ": it never sends a key to another unit, so only moving whole slots keeps the bound, which takes " +
+        percent(least) + " or more");
   }
 
   void repeats(const Rule& rule) {
--- a/src/plans/order.cpp
+++ b/src/plans/order.cpp
@@ -22,15 +22,15 @@
   const PlanSpec* by_default = nullptr;
   for (const PlanSpec& plan : plans) {
     const std::string who = "plan " + quoted(plan.name);
-    if (!names.insert(plan.name).second) faults.push_back(who + " is there twice");
-    if (plan.rank < 1) faults.push_back(who + ": a rank is 1 (the highest) or more");
-    if (!(plan.floor >= 0 && plan.floor <= 1)) faults.push_back(who + ": a floor is from 0 to 100 %");
+    if (!names.insert(plan.name).second) faults.push_back(who + " is defined twice");
+    if (plan.rank < 1) faults.push_back(who + ": a rank must be 1 (the highest) or more");
+    if (!(plan.floor >= 0 && plan.floor <= 1)) faults.push_back(who + ": a floor must be from 0 to 100 %");
     for (const std::string& tenant : plan.tenants) {
       if (!tenants.insert(tenant).second)
-        faults.push_back(who + ": tenant " + quoted(tenant) + " has a plan");
+        faults.push_back(who + ": tenant " + quoted(tenant) + " already has a plan");
     }
     if (!plan.is_default) continue;
-    if (by_default) faults.push_back(who + ": the default is plan " + quoted(by_default->name) + " already");
+    if (by_default) faults.push_back(who + ": plan " + quoted(by_default->name) + " is the default already");
     by_default = &plan;
   }
   return faults;
--- a/tests/affinity/condition_test.cpp
+++ b/tests/affinity/condition_test.cpp
@@ -41,22 +41,22 @@
     std::size_t column;
   };
   const std::vector<Case> table = {
-      {"", "a condition is due here", 1},
-      {"klass = check", "a condition is due here", 1},
-      {"class check", "\"=\" or \"!=\"", 7},
-      {"class =", "a value is due here", 8},
-      {"class = check method = GET", "\"and\" or \"or\"", 15},
-      {"class = check and", "a condition is due here", 18},
-      {"class = check and or", "a condition is due here", 19},
-      {"(class = check", "\")\" is due here", 15},
-      {"class = check)", "\"and\" or \"or\"", 14},
-      {"not", "a condition is due here", 4},
-      {"header and class = check", "a header's name", 8},
-      {"header X-A = ", "a value is due here", 14},
+      {"", "expected a condition", 1},
+      {"klass = check", "expected a condition", 1},
+      {"class check", "expected \"=\" or \"!=\"", 7},
+      {"class =", "expected a value", 8},
+      {"class = check method = GET", "expected \"and\", \"or\" or the end", 15},
+      {"class = check and", "expected a condition", 18},
+      {"class = check and or", "expected a condition", 19},
+      {"(class = check", "expected \")\"", 15},
+      {"class = check)", "expected \"and\", \"or\" or the end", 14},
+      {"not", "expected a condition", 4},
+      {"header and class = check", "expected the name of a header", 8},
+      {"header X-A = ", "expected a value", 14},
       {"tenant = 'a", "is not closed", 12},
-      {"tenant = ''", "not empty", 11},
+      {"tenant = ''", "must not be empty", 11},
       {std::string(1025, '('), "1,024 bytes", 1025},
-      {std::string(1024, '('), "a condition is due here", 1025},
+      {std::string(1024, '('), "expected a condition", 1025},
   };
   for (const Case& c : table) {
     const Parsed parsed = parse_condition(c.text);
--- a/tests/affinity/shore_test.cpp
+++ b/tests/affinity/shore_test.cpp
@@ -43,7 +43,7 @@
   const std::vector<std::pair<std::string, std::string>> table = {
       {"affinity a { key tenant }", ""},
       {"affinity a { when \"class check\"; key tenant }",
-       "a.shore:10:14: error: affinity a: \"=\" or \"!=\" is due here\n    class check\n          ^"},
+       "a.shore:10:14: error: affinity a: expected \"=\" or \"!=\"\n    class check\n          ^"},
       {"affinity a { when \"class = check and route = desk\"; key tenant }",
        "a.shore:10: error: affinity a: it never"},
       {"affinity a { key tenant }\naffinity b { key part 2 }",
