--- a/src/affinity/bindings.cpp
+++ b/src/affinity/bindings.cpp
@@ -7,12 +7,13 @@
 namespace shorelead::affinity {
 namespace {
 
-constexpr Millis kToAnswer = 100;  // a rejection sent at the deadline itself reaches a slow client too late
-constexpr double kToAnswerPart = 0.25;
+// A rejection sent at the deadline itself reaches a slow client too late.
+constexpr Millis kRejectionMargin = 100;
+constexpr double kRejectionMarginShare = 0.25;
 
 // Returns how long a request may wait: the rejection has to reach its client before the deadline.
 Millis waits_until(Millis until, Millis now) {
-  return until - std::min(kToAnswer, kToAnswerPart * std::max(0.0, until - now));
+  return until - std::min(kRejectionMargin, kRejectionMarginShare * std::max(0.0, until - now));
 }
 
 }  // namespace
@@ -118,12 +119,12 @@
   if (decision.action != RoutingAction::kOnly) return routing_result(match, evaluation, -1);
   // Takes the entry that leave() has just released.
   const int taken = take_place();
-  Place& now_there = at(taken);
-  now_there.state = State::kInFlight;
-  now_there.request = place.request;
-  now_there.match = match;
-  now_there.unit = decision.unit;
-  now_there.incarnation = incarnation_;
+  Place& renewed = at(taken);
+  renewed.state = State::kInFlight;
+  renewed.request = place.request;
+  renewed.match = match;
+  renewed.unit = decision.unit;
+  renewed.incarnation = incarnation_;
   return routing_result(match, evaluation, taken);
 }
 
@@ -151,15 +152,15 @@
   for (std::size_t n = 0; n < places_.size(); ++n) {
     Place& place = places_[n];
     if (place.state != State::kInFlight || place.cancelled) continue;
-    const bool its = valid && place.incarnation == incarnation_;
-    if (its && place.closed_at < 0) continue;
+    const bool current = valid && place.incarnation == incarnation_;
+    if (current && place.closed_at < 0) continue;
     const Rule& rule = rules_[place.match.rule];
     InFlight in_flight;
     in_flight.count = 1;
     in_flight.closed_for = place.closed_at < 0 ? 0 : now - place.closed_at;
     in_flight.drains =
         status_of(rule.to, units_[static_cast<std::size_t>(place.unit)]) == UnitStatus::kDraining;
-    in_flight.valid = its;
+    in_flight.valid = current;
     if (closing(rule, in_flight) != Closing::kCancel) continue;
     place.cancelled = true;
     ++counters_[place.match.rule].cancelled;
--- a/src/affinity/shaper.cpp
+++ b/src/affinity/shaper.cpp
@@ -37,9 +37,9 @@
   Units units;
   std::map<std::string, double> weights;
   for (const BackendStatus& backend : backends_) {
-    const bool its = rule.pool.empty() || backend.pool.empty() || rule.pool == backend.pool;
+    const bool in_pool = rule.pool.empty() || backend.pool.empty() || rule.pool == backend.pool;
     const std::string& name = unit_name(backend, rule.to);
-    if (name.empty() || !its) continue;  // a backend without a cell or zone belongs to none
+    if (name.empty() || !in_pool) continue;  // a backend without a cell or zone belongs to none
     units.listed.insert(name);
     if (!backend.draining && backend.weight > 0) weights[name] += backend.weight * warm_step(backend.warm);
   }
--- a/src/plans/cutoff.cpp
+++ b/src/plans/cutoff.cpp
@@ -16,24 +16,25 @@
 void CutOffShaper::shape(fleet::Plan& next, const fleet::Plan* standing,
                          const std::vector<fleet::Record>& records, Millis now) {
   if (standing) {
-    const bool ours = standing->cut_off == asked_;
-    const bool on_its_way = standing->cut_off == before_ && epoch_ == 0 && now - asked_at_ < kWriteTimeout;
+    const bool ours = standing->cut_off == requested_;
+    const bool on_its_way =
+        standing->cut_off == previous_ && epoch_ == 0 && now - requested_at_ < kWriteTimeout;
     if (ours && epoch_ == 0) epoch_ = standing->epoch;
     if (!ours && !on_its_way) {
-      asked_ = before_ = standing->cut_off;
+      requested_ = previous_ = standing->cut_off;
       epoch_ = standing->epoch;
-      controller_.adopt(level_of(asked_, ranks_), now);
+      controller_.adopt(level_of(requested_, ranks_), now);
     }
   }
   const FleetView view = view_of(records, ranks_, settings_.shortage);
   const fleet::CutOff cut = cut_at(controller_.observe(view, in_force(records), now), ranks_);
-  if (cut != asked_) {
-    before_ = standing ? standing->cut_off : asked_;
-    asked_ = cut;
-    asked_at_ = now;
+  if (cut != requested_) {
+    previous_ = standing ? standing->cut_off : requested_;
+    requested_ = cut;
+    requested_at_ = now;
     epoch_ = 0;
   }
-  next.cut_off = asked_;
+  next.cut_off = requested_;
 }
 
 bool CutOffShaper::in_force(const std::vector<fleet::Record>& records) const {
@@ -44,7 +45,7 @@
 }
 
 LocalShedder::LocalShedder(int ranks, const CutOffSettings& settings, std::uint64_t seed)
-    : ranks_(ranks), settings_(settings), controller_(ranks, settings, seed), own_(1) {}
+    : ranks_(ranks), settings_(settings), controller_(ranks, settings, seed), own_record_(1) {}
 
 void LocalShedder::set_plan_cut_off(const fleet::CutOff& cut, Millis valid_until) {
   plan_cut_off_ = cut;
@@ -60,9 +61,9 @@
     without_plan_ = true;
     controller_.adopt(level_of(plan_cut_off_, ranks_), now);
   }
-  own_[0].ranks = ranks;
-  own_[0].room = room;
-  return cut_at(controller_.observe(view_of(own_, ranks_, settings_.shortage), true, now), ranks_);
+  own_record_[0].ranks = ranks;
+  own_record_[0].room = room;
+  return cut_at(controller_.observe(view_of(own_record_, ranks_, settings_.shortage), true, now), ranks_);
 }
 
 }  // namespace shorelead::plans
--- a/src/plans/cutoff.h
+++ b/src/plans/cutoff.h
@@ -31,10 +31,10 @@
   const int ranks_;
   const CutOffSettings settings_;
   Controller controller_;
-  fleet::CutOff asked_;   // in this planner's plans since `asked_at_`
-  fleet::CutOff before_;  // the cut-off before it
-  Millis asked_at_ = 0;
-  std::uint64_t epoch_ = 0;  // of the first standing plan with `asked_`; 0 = none yet
+  fleet::CutOff requested_;  // in this planner's plans since `requested_at_`
+  fleet::CutOff previous_;   // the cut-off before it
+  Millis requested_at_ = 0;
+  std::uint64_t epoch_ = 0;  // of the first standing plan with `requested_`; 0 = none yet
 };
 
 // The cut-off of one process: the plan's while the plan is valid; afterwards the last one, moved by what the
@@ -58,7 +58,7 @@
   fleet::CutOff plan_cut_off_;
   Millis valid_until_ = 0;
   bool without_plan_ = false;
-  std::vector<fleet::Record> own_;
+  std::vector<fleet::Record> own_record_;
 };
 
 }  // namespace shorelead::plans
--- a/src/plans/shortage.cpp
+++ b/src/plans/shortage.cpp
@@ -37,8 +37,8 @@
   voter.room = std::isfinite(record.room) ? std::clamp(record.room, 0.0, 1.0) : 1;
   double taken = 0;
   double failed = 0;
-  for (const auto& [rank, told] : record.ranks) {
-    const fleet::RankLoad load = bounded(told);
+  for (const auto& [rank, reported] : record.ranks) {
+    const fleet::RankLoad load = bounded(reported);
     voter.offered += load.offered;
     taken += load.taken;
     failed += load.failed;
@@ -105,12 +105,12 @@
   std::vector<double> missed_by_all;
   for (Voter& voter : voters) {
     voter.weight = std::min(voter.offered, most);
-    const double part = voter.weight / voter.offered;
-    for (const auto& [rank, told] : voter.record->ranks) {
-      const fleet::RankLoad load = bounded(told);
-      view.offered[static_cast<std::size_t>(std::clamp(rank, 0, ranks - 1))] += load.offered * part;
-      view.taken += load.taken * part;
-      view.in_time += load.in_time * part;
+    const double scale = voter.weight / voter.offered;
+    for (const auto& [rank, reported] : voter.record->ranks) {
+      const fleet::RankLoad load = bounded(reported);
+      view.offered[static_cast<std::size_t>(std::clamp(rank, 0, ranks - 1))] += load.offered * scale;
+      view.taken += load.taken * scale;
+      view.in_time += load.in_time * scale;
     }
     rooms.push_back(voter.room);
     missed_by_all.push_back(voter.missed);
--- a/tests/affinity/choice_test.cpp
+++ b/tests/affinity/choice_test.cpp
@@ -18,7 +18,7 @@
     std::function<void(RoutingQuery&)> change;
     Decision must, prefer;
   };
-  const auto late = [&rule](auto change) {
+  const auto waited_out = [&rule](auto change) {
     return [&rule, change](RoutingQuery& a) {
       change(a);
       a.waited = rule.wait;
@@ -41,7 +41,7 @@
       {closed,
        {RoutingAction::kWait, -1, RoutingReason::kClosed},
        {RoutingAction::kFree, -1, RoutingReason::kClosed}},
-      {late(closed),
+      {waited_out(closed),
        {RoutingAction::kRefuse, -1, RoutingReason::kClosed},
        {RoutingAction::kFree, -1, RoutingReason::kClosed}},
       {[](RoutingQuery& a) { a.owner.unit = -1; },
--- a/tests/affinity/model_process.cpp
+++ b/tests/affinity/model_process.cpp
@@ -45,10 +45,10 @@
 // Every few milliseconds and before each decision: ends finished requests and cancels those that are due.
 void Model::end_due_work(Process& p) {
   if (!p.keys) apply_snapshot(p);
-  const auto over = [&p](const Work& work) { return p.keys->release(work.place), true; };
-  std::erase_if(p.work, [&](const Work& work) { return work.ends <= now_ && over(work); });
+  const auto release = [&p](const Work& work) { return p.keys->release(work.place), true; };
+  std::erase_if(p.work, [&](const Work& work) { return work.ends <= now_ && release(work); });
   for (const int place : p.keys->cancel_due(now_ < p.valid_until, now_, ready)) {
-    std::erase_if(p.work, [&](const Work& work) { return work.place == place && over(work); });
+    std::erase_if(p.work, [&](const Work& work) { return work.place == place && release(work); });
   }
 }
 
@@ -152,20 +152,20 @@
 void Model::sent(Process& p, const Bindings::RoutingResult& result, std::size_t slot) {
   result_.refused += result.action == RoutingAction::kRefuse;
   if (result.action != RoutingAction::kOnly) return;
-  const fleet::Slot& seat = p.open.slots[slot];
-  if (*result.unit != seat.backend || !seat.open) record_violation(p.name + " sends where no slot is open");
+  const fleet::Slot& used = p.open.slots[slot];
+  if (*result.unit != used.backend || !used.open) record_violation(p.name + " sends where no slot is open");
   auto& [token, backend] = last_[slot];
-  if (seat.since < token && seat.backend != backend) record_violation(p.name + " sends by an older opening");
-  result_.moves += token > 0 && seat.backend != backend;
-  if (seat.since >= token) std::tie(token, backend) = std::pair(seat.since, seat.backend);
+  if (used.since < token && used.backend != backend) record_violation(p.name + " sends by an older opening");
+  result_.moves += token > 0 && used.backend != backend;
+  if (used.since >= token) std::tie(token, backend) = std::pair(used.since, used.backend);
   for (const Process& other : processes_) {
     if (!other.alive || other.paused_until > now_ || now_ >= other.valid_until) continue;
     for (const Work& work : other.work) {
-      if (work.slot == slot && work.backend != seat.backend && work.ends > now_)
+      if (work.slot == slot && work.backend != used.backend && work.ends > now_)
         record_violation("two boxes work for a slot");
     }
   }
-  p.work.push_back({slot, seat.backend, now_ + kLongest * random_.unit(), result.place});
+  p.work.push_back({slot, used.backend, now_ + kLongest * random_.unit(), result.place});
   ++result_.sends;
 }
 
--- a/tests/affinity/model_test.cpp
+++ b/tests/affinity/model_test.cpp
@@ -10,8 +10,8 @@
 constexpr std::uint64_t kSeeds = 40;  // SHORELEAD_SEEDS overrides the number
 
 std::uint64_t seeds() {
-  const char* const told = std::getenv("SHORELEAD_SEEDS");
-  return told == nullptr ? kSeeds : std::strtoull(told, nullptr, 10);
+  const char* const text = std::getenv("SHORELEAD_SEEDS");
+  return text == nullptr ? kSeeds : std::strtoull(text, nullptr, 10);
 }
 
 TEST(AffinityModel, EachKeyHasOneBackendThroughAllFaults) {
--- a/tests/affinity/rule_checks_test.cpp
+++ b/tests/affinity/rule_checks_test.cpp
@@ -91,7 +91,7 @@
   RC_ASSERT(can_hold(condition, a_universe()) == (any ? Satisfiability::kYes : Satisfiability::kNo));
 }
 
-struct Refused {
+struct ProblemCase {
   std::vector<Rule> rules;
   std::string cause;  // part of the text of the only problem; empty = no problem
   std::size_t rule = 0;
@@ -114,7 +114,7 @@
     r.on_loss = OnLoss::kRefuse;
     r.hold = r.finish = 60000;
   });
-  const std::vector<Refused> table = {
+  const std::vector<ProblemCase> table = {
       {{a_rule(kGet), a_rule(kPut, "other"), a_rule({}, "last")}, ""},
       {{a_rule(all({kGet, kPut}))}, "never matches"},
       {{a_rule(kGet), a_rule(all({kGet, kShop}), "other")}, "\"one\" before it", 1, 0},
--- a/tests/affinity/rules_test.cpp
+++ b/tests/affinity/rules_test.cpp
@@ -10,22 +10,23 @@
 
 using Fields = std::map<std::string, std::string, std::less<>>;
 
-struct Asked {
-  explicit Asked(Fields given) : fields(std::move(given)) {
-    look = [this](std::string_view name) {
+struct TestRequest {
+  explicit TestRequest(Fields given) : fields(std::move(given)) {
+    field_lookup = [this](std::string_view name) {
       const auto it = fields.find(name);
       return it == fields.end() ? std::string_view() : std::string_view(it->second);
     };
-    request = {"shop", "check", "acme", "gold", "GET", "/baskets/b77/items?x=/1", "/baskets/{id}/*", &look};
+    request = {"shop",       "check", "acme", "gold", "GET", "/baskets/b77/items?x=/1", "/baskets/{id}/*",
+               &field_lookup};
   }
-  Asked(const Asked&) = delete;
+  TestRequest(const TestRequest&) = delete;
   Fields fields;
-  std::function<std::string_view(std::string_view)> look;
+  std::function<std::string_view(std::string_view)> field_lookup;
   Request request;
 };
 
 TEST(Rules, EvaluatesConditions) {
-  const Asked asked({{"x-test", "yes"}, {"x-empty", ""}});
+  const TestRequest test_request({{"x-test", "yes"}, {"x-empty", ""}});
   const Condition yes = is(Subject::kClass, "check");
   const Condition no = is(Subject::kMethod, "get");  // methods are compared byte by byte
   const std::vector<std::pair<Condition, bool>> table = {
@@ -46,17 +47,18 @@
       {negated(all({yes, negated(no)})), false},
   };
   for (std::size_t n = 0; n < table.size(); ++n) {
-    EXPECT_EQ(holds(table[n].first, asked.request), table[n].second) << n;
+    EXPECT_EQ(holds(table[n].first, test_request.request), table[n].second) << n;
   }
   // Without a field look-up no field is present.
-  Request bare = asked.request;
+  Request bare = test_request.request;
   bare.field = nullptr;
   EXPECT_FALSE(holds(field_present("x-test"), bare));
 }
 
 TEST(Rules, ReadsTheKeyFromEachSource) {
   using From = KeySource::From;
-  const Asked asked({{"x-basket", "b1"}, {"cookie", "basketx=no; basket=b 9; quoted=\"q\";last=z "}});
+  const TestRequest test_request(
+      {{"x-basket", "b1"}, {"cookie", "basketx=no; basket=b 9; quoted=\"q\";last=z "}});
   const std::vector<std::pair<KeySource, std::string>> table = {
       {{From::kTenant, "", 0}, "acme"},
       {{From::kField, "x-basket", 0}, "b1"},
@@ -74,7 +76,7 @@
       {{From::kParameter, "other", 0}, ""},
   };
   for (std::size_t n = 0; n < table.size(); ++n) {
-    EXPECT_EQ(key_of(table[n].first, asked.request), table[n].second) << n;
+    EXPECT_EQ(key_of(table[n].first, test_request.request), table[n].second) << n;
   }
 }
 
@@ -86,13 +88,13 @@
   second.key = {KeySource::From::kField, "x-basket", 0};
   Rule third;  // keyed by tenant, which every request here has
   const std::vector<Rule> rules = {first, second, third};
-  const Asked with(Fields{{"x-basket", "b1"}});
+  const TestRequest with(Fields{{"x-basket", "b1"}});
   const auto found = find(rules, with.request);
   ASSERT_TRUE(found);
   EXPECT_EQ(found->rule, 1u);
   EXPECT_TRUE(found->keyed);
   EXPECT_EQ(found->key, hash_of("b1"));
-  const Asked without(Fields{});
+  const TestRequest without(Fields{});
   const auto unkeyed = find(rules, without.request);
   ASSERT_TRUE(unkeyed);
   EXPECT_EQ(unkeyed->rule, 1u);
--- a/tests/plans/admission_test.cpp
+++ b/tests/plans/admission_test.cpp
@@ -20,14 +20,14 @@
 
 std::string numbered(std::string text, int n) { return text.append(std::to_string(n)); }
 
-std::vector<PlanSpec> three() {
+std::vector<PlanSpec> three_plans() {
   return {{"gold", 1, 0.1, {"acme", "initech"}, false},
           {"basic", 3, 0, {"hooli"}, true},
           {"free", 7, 0.05, {}, false}};
 }
 
 TEST(Order, RanksByPlanThenWorth) {
-  const Order order(three(), {1, 5, 5, 0.2});
+  const Order order(three_plans(), {1, 5, 5, 0.2});
   const struct {
     const char* tenant;
     int request_class;
@@ -43,15 +43,15 @@
   }
   EXPECT_EQ(order.ranks(), 9);
   EXPECT_EQ(order.rank_steps()[8], (RankStep{7, 0.2}));
-  auto plans = three();
+  auto plans = three_plans();
   plans[1].is_default = false;
   EXPECT_EQ(Order(plans, {1}).plan_of("nobody"), 2);
   EXPECT_EQ(Order({}, {}).rank_of(Order({}, {}).plan_of("x"), 0), 0);
 }
 
 TEST(Order, ReportsEachFault) {
-  EXPECT_TRUE(faults_of(three()).empty());
-  auto plans = three();
+  EXPECT_TRUE(faults_of(three_plans()).empty());
+  auto plans = three_plans();
   plans.push_back({"gold", 0, 1.5, {"acme"}, true});
   EXPECT_EQ(faults_of(plans).size(), 5U);
   plans[0].floor = std::nan("");
@@ -59,7 +59,7 @@
 }
 
 // Chi-square over 64 cells, 63 degrees of freedom: above 120 about once in 50,000 uniform data sets.
-double unevenness(const std::vector<double>& samples) {
+double chi_square(const std::vector<double>& samples) {
   std::vector<double> cells(64, 0);
   for (const double sample : samples) ++cells[static_cast<std::size_t>(sample * 64)];
   const double mean = static_cast<double>(samples.size()) / 64;
@@ -72,14 +72,14 @@
   std::vector<double> keys;
   std::vector<double> tenants;
   std::vector<double> hours;
-  std::vector<double> turned;  // distance of a key's sample from its previous one, modulo 1
+  std::vector<double> shifts;  // distance of a key's sample from its previous one, modulo 1
   for (int n = 0; n < 20000; ++n) {
     keys.push_back(stable_sample("acme", numbered("user-", n), 0));
     tenants.push_back(stable_sample(numbered("t", n), "", 0));
     hours.push_back(stable_sample("acme", "user", n * kHour));
-    turned.push_back(std::fmod(keys.back() - stable_sample("acme", numbered("user-", n), kHour) + 1, 1.0));
+    shifts.push_back(std::fmod(keys.back() - stable_sample("acme", numbered("user-", n), kHour) + 1, 1.0));
   }
-  for (const auto& samples : {keys, tenants, hours, turned}) EXPECT_LT(unevenness(samples), 120);
+  for (const auto& samples : {keys, tenants, hours, shifts}) EXPECT_LT(chi_square(samples), 120);
   EXPECT_NE(stable_sample("ab", "c", 0), stable_sample("a", "bc", 0));
 }
 
@@ -134,7 +134,7 @@
 // admitted, floors apart.
 TEST(Admission, KeepsTheRankOrderWhileTheCutOffMoves) {
   EXPECT_TRUE(rc::check([] {
-    const Order order(three(), {1, 5});
+    const Order order(three_plans(), {1, 5});
     Admission admission(order, {});
     Random random(*rc::gen::arbitrary<std::uint64_t>());
     const double spacing = *rc::gen::element(4.0, 40.0, 400.0);
@@ -221,7 +221,7 @@
 }
 
 TEST(Admission, SpreadsRetryTimes) {
-  const Order order(three(), {1});
+  const Order order(three_plans(), {1});
   Admission admission(order, {1000, 4000});
   Admission silent(order, {1000, 0});
   std::vector<double> spread;
@@ -235,7 +235,7 @@
     spread.push_back((4000 - verdict.retry_after) / 3000.0001);
     EXPECT_EQ(silent.decide({1, 0.4}, 1, 0, sample, n).retry_after, 0);
   }
-  EXPECT_LT(unevenness(spread), 120);
+  EXPECT_LT(chi_square(spread), 120);
   EXPECT_EQ(admission.count(1, Admitted::kRejected), spread.size());
 }
 
