--- a/bench/affinity/look_up.cpp
+++ b/bench/affinity/look_up.cpp
@@ -61,7 +61,7 @@
 void request_path(benchmark::State& state) {
   const auto slots = static_cast<std::size_t>(state.range(0));
   const std::vector<Rule> rules = rules_of(slots);
-  const Seats seats(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
+  const SlotOwners owners(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
   std::vector<std::string> baskets;
   for (int n = 0; n < 4096; ++n) baskets.push_back("basket-" + std::to_string(1000000 + n));
   // As a parsed head has them: few fields, in a row.
@@ -83,9 +83,9 @@
     head[3].second = baskets[n++ % baskets.size()];
     const Request request = {"shop", "check", "acme", "gold", "GET", "/baskets/7", "/baskets/{id}", &field};
     const auto found = find(rules, request);
-    Ask ask{&rules[found->rule],  found->keyed,     seats.any(), true,
-            seats.at(found->key), Standing::kReady, -1,          0};
-    benchmark::DoNotOptimize(choose(ask));
+    RoutingQuery query{&rules[found->rule],   found->keyed,       owners.any(), true,
+                       owners.at(found->key), UnitStatus::kReady, -1,           0};
+    benchmark::DoNotOptimize(choose(query));
   }
   state.counters["allocations"] =
       static_cast<double>(allocations - before) / static_cast<double>(state.iterations());
@@ -93,12 +93,12 @@
 
 void seat_alone(benchmark::State& state) {
   const auto slots = static_cast<std::size_t>(state.range(0));
-  const Seats seats(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
+  const SlotOwners owners(map_of(slots, 50), [](const std::string& name) { return std::stoi(name); });
   std::uint64_t key = 1;
   const std::uint64_t before = allocations;
   for (auto _ : state) {
     key = key * 6364136223846793005ULL + 1442695040888963407ULL;
-    benchmark::DoNotOptimize(seats.at(key));
+    benchmark::DoNotOptimize(owners.at(key));
   }
   state.counters["allocations"] =
       static_cast<double>(allocations - before) / static_cast<double>(state.iterations());
@@ -116,16 +116,18 @@
   const auto slots = static_cast<std::size_t>(state.range(0));
   const std::vector<Rule> rules = rules_of(slots);
   Bindings bindings(rules, 1000);
-  bindings.take_up(snapshot_of(rules, slots), 0);
-  const Bindings::Look look = [](To, const std::string&) { return std::optional(Standing::kReady); };
+  bindings.apply_snapshot(snapshot_of(rules, slots), 0);
+  const Bindings::StatusLookup lookup = [](Scope, const std::string&) {
+    return std::optional(UnitStatus::kReady);
+  };
   std::uint64_t key = 1;
-  bindings.over(bindings.arrive(1, {2, true, key}, true, 1000, 0, look).place);
+  bindings.release(bindings.arrive(1, {2, true, key}, true, 1000, 0, lookup).place);
   const std::uint64_t before = allocations;
   for (auto _ : state) {
     key = key * 6364136223846793005ULL + 1442695040888963407ULL;
-    const Bindings::Said said = bindings.arrive(1, {2, true, key}, true, 1000, 0, look);
-    benchmark::DoNotOptimize(bindings.may_send(said.place, true));
-    bindings.over(said.place);
+    const Bindings::RoutingResult result = bindings.arrive(1, {2, true, key}, true, 1000, 0, lookup);
+    benchmark::DoNotOptimize(bindings.may_send(result.place, true));
+    bindings.release(result.place);
   }
   state.counters["allocations"] =
       static_cast<double>(allocations - before) / static_cast<double>(state.iterations());
@@ -136,11 +138,11 @@
   const std::vector<Rule> rules = {rules_of(slots)[2]};
   Bindings bindings(rules, 1000);
   const fleet::Snapshot snapshot = snapshot_of(rules, slots);
-  for (auto _ : state) bindings.take_up(snapshot, 0);
+  for (auto _ : state) bindings.apply_snapshot(snapshot, 0);
 }
 
-std::vector<BackendSeen> backends_of(std::int64_t count) {
-  std::vector<BackendSeen> backends;
+std::vector<BackendStatus> backends_of(std::int64_t count) {
+  std::vector<BackendStatus> backends;
   for (std::int64_t n = 0; n < count; ++n)
     backends.push_back({"box-" + std::to_string(n), "", "", 1, 1, false});
   return backends;
@@ -150,11 +152,11 @@
 void planner(benchmark::State& state) {
   const auto slots = static_cast<std::size_t>(state.range(0));
   const std::int64_t kind = state.range(2);
-  std::vector<BackendSeen> backends = backends_of(state.range(1));
+  std::vector<BackendStatus> backends = backends_of(state.range(1));
   const std::vector<fleet::Record> records(20);
   const std::vector<Rule> rules = {rules_of(slots)[2]};
   Shaper shaper(rules, {});
-  shaper.see(backends);
+  shaper.set_backends(backends);
   fleet::Plan plan;
   for (int n = 0; n < 2; ++n) {
     fleet::Plan next = plan;
@@ -163,7 +165,7 @@
     plan = next;
   }
   if (kind == 2) backends.pop_back();
-  shaper.see(backends);
+  shaper.set_backends(backends);
   for (auto _ : state) {
     fleet::Plan next;
     next.epoch = plan.epoch + 1;
--- a/bench/fleet_port/admission.cpp
+++ b/bench/fleet_port/admission.cpp
@@ -21,7 +21,7 @@
 #include "affinity/choice.h"
 #include "affinity/rules.h"
 #include "fleet/port.h"
-#include "plans/coin.h"
+#include "plans/stable_sample.h"
 
 namespace {
 
@@ -65,7 +65,7 @@
     port.take_up();
     fleet::SlotMap map;
     for (std::size_t n = 0; n < 4096; ++n) map.slots.push_back({std::to_string(n * 7919 % 50), true, "", 1});
-    seats = affinity::Seats(map, [](const std::string& name) { return std::stoi(name); });
+    owners = affinity::SlotOwners(map, [](const std::string& name) { return std::stoi(name); });
     for (std::size_t n = 0; n < kMany; ++n) {
       clients.push_back("client-" + std::to_string(1000000 + n));
       baskets.push_back("basket-" + std::to_string(1000000 + n));
@@ -106,7 +106,7 @@
   plans::Admission admission{order, plans::AdmissionSettings()};
   fleet::CutOff cut{0, 0.5};
   const std::vector<affinity::Rule> rules = three_rules();
-  affinity::Seats seats;
+  affinity::SlotOwners owners;
   std::vector<std::string> clients, baskets;
   // As a parsed head has them: few fields, in a row.
   std::array<std::pair<std::string_view, std::string_view>, 6> head = {{{"host", "shop.example.org"},
@@ -130,9 +130,9 @@
   const Millis now = (parts & kClock) != 0 ? fleet::boot_now() : gate.began + static_cast<double>(n) * 1e-3;
   const std::string& client = gate.clients[n % kMany];
   bool in = true;
-  if ((parts & kCoin) != 0) benchmark::DoNotOptimize(plans::coin_of("acme", client, kWall));
+  if ((parts & kCoin) != 0) benchmark::DoNotOptimize(plans::stable_sample("acme", client, kWall));
   if ((parts & kPlan) != 0) {
-    const plans::Coin coin("acme", client, kWall);
+    const plans::StableSample coin("acme", client, kWall);
     const int plan = gate.order.plan_of("acme");
     fleet::RankCells& cells = *gate.port.rank(gate.order.rank_of(plan, 0));
     cells.offered.add(1);
@@ -145,13 +145,13 @@
     const affinity::Request asked = {"shop", "check",      "acme",          "gold",
                                      "GET",  "/baskets/7", "/baskets/{id}", &gate.field};
     const auto found = affinity::find(gate.rules, asked);
-    affinity::Ask ask;
-    ask.rule = &gate.rules[found->rule];
-    ask.keyed = found->keyed;
-    ask.mapped = gate.seats.any();
-    ask.valid = gate.port.valid(now) != nullptr;
-    ask.seat = gate.seats.at(found->key);
-    benchmark::DoNotOptimize(affinity::choose(ask));
+    affinity::RoutingQuery query;
+    query.rule = &gate.rules[found->rule];
+    query.keyed = found->keyed;
+    query.mapped = gate.owners.any();
+    query.valid = gate.port.valid(now) != nullptr;
+    query.owner = gate.owners.at(found->key);
+    benchmark::DoNotOptimize(affinity::choose(query));
   }
   return in;
 }
--- a/src/affinity/bindings.cpp
+++ b/src/affinity/bindings.cpp
@@ -7,23 +7,23 @@
 namespace shorelead::affinity {
 namespace {
 
-constexpr Millis kToAnswer =
-    100;  // a refusal at the client's last moment comes too late where anything is slow
-constexpr double kToAnswerPart = 0.25;
+// A rejection sent at the deadline itself reaches a slow client too late.
+constexpr Millis kRejectionMargin = 100;
+constexpr double kRejectionMarginShare = 0.25;
 
-// Till when a request waits, at most: its answer has to reach its client.
+// Returns how long a request may wait: the rejection has to reach its client before the deadline.
 Millis waits_until(Millis until, Millis now) {
-  return until - std::min(kToAnswer, kToAnswerPart * std::max(0.0, until - now));
+  return until - std::min(kRejectionMargin, kRejectionMarginShare * std::max(0.0, until - now));
 }
 
 }  // namespace
 
-Bindings::Bindings(std::vector<Rule> rules, int most_waiting)
-    : rules_(std::move(rules)), room_(most_waiting), seats_(rules_.size()), counters_(rules_.size()) {
+Bindings::Bindings(std::vector<Rule> rules, int max_waiting)
+    : rules_(std::move(rules)), wait_queue_(max_waiting), owners_(rules_.size()), counters_(rules_.size()) {
   for (const Rule& rule : rules_) names_.push_back(map_name(rule));
 }
 
-void Bindings::take_up(const fleet::Snapshot& snapshot, Millis now) {
+void Bindings::apply_snapshot(const fleet::Snapshot& snapshot, Millis now) {
   incarnation_ = snapshot.incarnation;
   std::vector<std::string> units;
   std::unordered_map<std::string, int> known;
@@ -35,133 +35,138 @@
   };
   for (std::size_t n = 0; n < rules_.size(); ++n) {
     const auto map = snapshot.affinity.find(names_[n]);
-    seats_[n] = map == snapshot.affinity.end() ? Seats() : Seats(map->second, index_of);
+    owners_[n] = map == snapshot.affinity.end() ? SlotOwners() : SlotOwners(map->second, index_of);
   }
   closing_ = 0;
   for (Place& place : places_) {
-    if (place.state != State::kUnderWay) continue;
+    if (place.state != State::kInFlight) continue;
     place.unit = index_of(units_[static_cast<std::size_t>(place.unit)]);
-    const Seats& seats = seats_[place.found.rule];
-    const Seat seat = seats.any() ? seats.at(place.found.key) : Seat{};
-    const bool open = place.incarnation == incarnation_ && seat.open && seat.unit == place.unit;
-    // What was called off is over soon, also where its slot is given back to its backend.
+    const SlotOwners& owners = owners_[place.match.rule];
+    const SlotOwner owner = owners.any() ? owners.at(place.match.key) : SlotOwner{};
+    const bool open = place.incarnation == incarnation_ && owner.open && owner.unit == place.unit;
+    // A cancelled request stays closed, also if its slot goes back to its backend.
     if (!open && place.closed_at < 0) place.closed_at = now;
-    if (open && !place.called_off) place.closed_at = -1;
+    if (open && !place.cancelled) place.closed_at = -1;
     closing_ += place.closed_at >= 0;
   }
   units_ = std::move(units);
 }
 
-Bindings::Answer Bindings::ask(const Found& found, bool valid, Millis waited, const Look& look) const {
-  const Rule& rule = rules_[found.rule];
-  const Seats& seats = seats_[found.rule];
-  Ask one;
+Bindings::Evaluation Bindings::evaluate(const RuleMatch& match, bool valid, Millis waited,
+                                        const StatusLookup& status_of) const {
+  const Rule& rule = rules_[match.rule];
+  const SlotOwners& owners = owners_[match.rule];
+  RoutingQuery one;
   one.rule = &rule;
-  one.keyed = found.keyed;
-  one.mapped = seats.any();
+  one.keyed = match.keyed;
+  one.mapped = owners.any();
   one.valid = valid && incarnation_ != 0;
   one.waited = waited;
   if (!one.keyed || !one.mapped) return {choose(one), nullptr};
-  one.seat = seats.at(found.key);
-  if (one.seat.unit < 0) return {choose(one), nullptr};
-  const std::string& unit = units_[static_cast<std::size_t>(one.seat.unit)];
-  const std::optional<Standing> standing = look(rule.to, unit);
-  if (!standing) one.seat.unit = -1;
-  one.standing = standing.value_or(Standing::kGone);
+  one.owner = owners.at(match.key);
+  if (one.owner.unit < 0) return {choose(one), nullptr};
+  const std::string& unit = units_[static_cast<std::size_t>(one.owner.unit)];
+  const std::optional<UnitStatus> status = status_of(rule.to, unit);
+  if (!status) one.owner.unit = -1;
+  one.status = status.value_or(UnitStatus::kGone);
   return {choose(one), &unit};
 }
 
-Bindings::Said Bindings::said(const Found& found, const Answer& answer, int place) {
-  const Decision& d = answer.decision;
-  if (d.go != Go::kWait) ++counters_[found.rule].by[static_cast<std::size_t>(d.why)];
-  const bool there = d.go == Go::kOnly || d.go == Go::kPrefer;
-  return {d.go, d.why, there ? answer.unit : nullptr, rules_[found.rule].to, place};
+Bindings::RoutingResult Bindings::routing_result(const RuleMatch& match, const Evaluation& evaluation,
+                                                 int place) {
+  const Decision& d = evaluation.decision;
+  if (d.action != RoutingAction::kWait) ++counters_[match.rule].by[static_cast<std::size_t>(d.reason)];
+  const bool there = d.action == RoutingAction::kOnly || d.action == RoutingAction::kPrefer;
+  return {d.action, d.reason, there ? evaluation.unit : nullptr, rules_[match.rule].to, place};
 }
 
-Bindings::Said Bindings::arrive(std::uint32_t request, const Found& found, bool valid, Millis until,
-                                Millis now, const Look& look) {
-  Answer answer = ask(found, valid, 0, look);
-  Decision& decision = answer.decision;
+Bindings::RoutingResult Bindings::arrive(std::uint32_t request, const RuleMatch& match, bool valid,
+                                         Millis until, Millis now, const StatusLookup& status_of) {
+  Evaluation evaluation = evaluate(match, valid, 0, status_of);
+  Decision& decision = evaluation.decision;
   until = waits_until(until, now);
-  if (decision.go == Go::kWait && now >= until) decision.go = Go::kRefuse;
-  if (decision.go == Go::kWait && !room_.enter()) decision = {Go::kRefuse, -1, Why::kQueueFull};
-  if (decision.go != Go::kWait && decision.go != Go::kOnly) return said(found, answer, -1);
+  if (decision.action == RoutingAction::kWait && now >= until) decision.action = RoutingAction::kRefuse;
+  if (decision.action == RoutingAction::kWait && !wait_queue_.enter())
+    decision = {RoutingAction::kRefuse, -1, RoutingReason::kQueueFull};
+  if (decision.action != RoutingAction::kWait && decision.action != RoutingAction::kOnly)
+    return routing_result(match, evaluation, -1);
   const int n = take_place();
   Place& place = at(n);
   place.request = request;
-  place.found = found;
-  if (decision.go == Go::kWait) {
+  place.match = match;
+  if (decision.action == RoutingAction::kWait) {
     place.state = State::kWaiting;
     place.since = now;
     place.until = until;
     waiting_.push_back(n);
-    ++counters_[found.rule].waited;
+    ++counters_[match.rule].waited;
   } else {
-    place.state = State::kUnderWay;
+    place.state = State::kInFlight;
     place.unit = decision.unit;
     place.incarnation = incarnation_;
   }
-  return said(found, answer, n);
+  return routing_result(match, evaluation, n);
 }
 
-Bindings::Said Bindings::again(int n, bool valid, Millis now, const Look& look) {
+Bindings::RoutingResult Bindings::reconsider(int n, bool valid, Millis now, const StatusLookup& status_of) {
   Place& place = at(n);
-  Answer answer = ask(place.found, valid, now - place.since, look);
-  Decision& decision = answer.decision;
-  if (decision.go == Go::kWait && now >= place.until) decision.go = Go::kRefuse;
-  if (decision.go == Go::kWait) return said(place.found, answer, n);
-  const Found found = place.found;
+  Evaluation evaluation = evaluate(place.match, valid, now - place.since, status_of);
+  Decision& decision = evaluation.decision;
+  if (decision.action == RoutingAction::kWait && now >= place.until) decision.action = RoutingAction::kRefuse;
+  if (decision.action == RoutingAction::kWait) return routing_result(place.match, evaluation, n);
+  const RuleMatch match = place.match;
   leave(n);
-  if (decision.go != Go::kOnly) return said(found, answer, -1);
-  // The same place, which has just been given back.
+  if (decision.action != RoutingAction::kOnly) return routing_result(match, evaluation, -1);
+  // Takes the entry that leave() has just released.
   const int taken = take_place();
-  Place& now_there = at(taken);
-  now_there.state = State::kUnderWay;
-  now_there.request = place.request;
-  now_there.found = found;
-  now_there.unit = decision.unit;
-  now_there.incarnation = incarnation_;
-  return said(found, answer, taken);
+  Place& renewed = at(taken);
+  renewed.state = State::kInFlight;
+  renewed.request = place.request;
+  renewed.match = match;
+  renewed.unit = decision.unit;
+  renewed.incarnation = incarnation_;
+  return routing_result(match, evaluation, taken);
 }
 
 void Bindings::leave(int n) {
   if (at(n).state != State::kWaiting) return;
   std::erase(waiting_, n);
-  room_.leave();
+  wait_queue_.leave();
   give_place(n);
 }
 
 bool Bindings::may_send(int n, bool valid) const {
   const Place& place = places_[static_cast<std::size_t>(n)];
-  return place.state == State::kUnderWay && valid && place.incarnation == incarnation_ &&
-         place.closed_at < 0 && !place.called_off;
+  return place.state == State::kInFlight && valid && place.incarnation == incarnation_ &&
+         place.closed_at < 0 && !place.cancelled;
 }
 
-void Bindings::over(int n) {
-  if (at(n).state != State::kUnderWay) return;
+void Bindings::release(int n) {
+  if (at(n).state != State::kInFlight) return;
   closing_ -= at(n).closed_at >= 0;
   give_place(n);
 }
 
-std::vector<int> Bindings::call_off(bool valid, Millis now, const Look& look) {
-  std::vector<int> now_over;
+std::vector<int> Bindings::cancel_due(bool valid, Millis now, const StatusLookup& status_of) {
+  std::vector<int> due;
   for (std::size_t n = 0; n < places_.size(); ++n) {
     Place& place = places_[n];
-    if (place.state != State::kUnderWay || place.called_off) continue;
-    const bool its = valid && place.incarnation == incarnation_;
-    if (its && place.closed_at < 0) continue;
-    const Rule& rule = rules_[place.found.rule];
-    UnderWay under_way;
-    under_way.count = 1;
-    under_way.closed_for = place.closed_at < 0 ? 0 : now - place.closed_at;
-    under_way.drains = look(rule.to, units_[static_cast<std::size_t>(place.unit)]) == Standing::kDraining;
-    under_way.valid = its;
-    if (closing(rule, under_way) != Closing::kCallOff) continue;
-    place.called_off = true;
-    ++counters_[place.found.rule].called_off;
-    now_over.push_back(static_cast<int>(n));
+    if (place.state != State::kInFlight || place.cancelled) continue;
+    const bool current = valid && place.incarnation == incarnation_;
+    if (current && place.closed_at < 0) continue;
+    const Rule& rule = rules_[place.match.rule];
+    InFlight in_flight;
+    in_flight.count = 1;
+    in_flight.closed_for = place.closed_at < 0 ? 0 : now - place.closed_at;
+    in_flight.drains =
+        status_of(rule.to, units_[static_cast<std::size_t>(place.unit)]) == UnitStatus::kDraining;
+    in_flight.valid = current;
+    if (closing(rule, in_flight) != Closing::kCancel) continue;
+    place.cancelled = true;
+    ++counters_[place.match.rule].cancelled;
+    due.push_back(static_cast<int>(n));
   }
-  return now_over;
+  return due;
 }
 
 int Bindings::take_place() {
--- a/src/affinity/choice.h
+++ b/src/affinity/choice.h
@@ -1,12 +1,12 @@
-// Where one request goes that a rule of affinity took, and when what is under way in a closed slot is over.
-// Pure: the seat of its slot in the snapshot in force, the state of the backend there and the time waited in,
-// a decision out. Owns the order of what counts:
+// Decides where a request that matched an affinity rule is sent, and when requests in flight for a closed
+// slot are cancelled. Pure: takes the owner of the slot in the snapshot in force, the status of that unit and
+// the time waited, and returns a decision. Owns the precedence:
 //
-//   rule 2 (repeats), rule 3 (drains), rule 4 (cold backends)   before   affinity   before   the module's
-//   judgement
+//   rule 2 (repeats), rule 3 (draining), rule 4 (cold backends)   before   affinity   before   the policy's
+//   own selection
 //
-// It must never send a request of a `must` rule but to the one unit that is open for its slot in a snapshot
-// that is surely valid: without one it is refused, whatever else is there.
+// A request of a `must` rule is sent only to the one unit that is open for its slot in a snapshot that is
+// known to be valid; without one it is refused, whatever other backends there are.
 #pragma once
 
 #include <cstdint>
@@ -20,106 +20,106 @@
 
 namespace shorelead::affinity {
 
-// A slot as traffic reads it: the unit by the host's own index.
-struct Seat {
-  int unit = -1;  // -1: one that this process does not know
+// The owner of a slot as the request path reads it: the unit by the host's own index.
+struct SlotOwner {
+  int unit = -1;  // -1: a unit that this process does not know
   bool open = false;
 };
 
-// A map made ready for look-ups, by the control thread; then immutable.
-class Seats {
+// A slot map prepared for look-ups by the control thread; immutable afterwards.
+class SlotOwners {
  public:
-  Seats() = default;
-  Seats(const fleet::SlotMap& map, const std::function<int(const std::string&)>& index_of);
+  SlotOwners() = default;
+  SlotOwners(const fleet::SlotMap& map, const std::function<int(const std::string&)>& index_of);
 
-  bool any() const { return !seats_.empty(); }
-  std::size_t size() const { return seats_.size(); }
-  // One look-up; no allocation, no lock. Only where any().
-  Seat at(std::uint64_t key) const { return seats_[slot_of(key, seats_.size())]; }
+  bool any() const { return !owners_.empty(); }
+  std::size_t size() const { return owners_.size(); }
+  // One array access; no allocation, no lock. Requires any().
+  SlotOwner at(std::uint64_t key) const { return owners_[slot_of(key, owners_.size())]; }
 
  private:
-  std::vector<Seat> seats_;
+  std::vector<SlotOwner> owners_;
 };
 
-// The unit of the seat as this process sees it now. Of a cell or zone: kReady where any backend of it is.
-enum class Standing {
+// The status of a slot's unit as this process sees it now. A cell or zone is kReady if any backend of it is.
+enum class UnitStatus {
   kReady,
-  kFull,      // cold, and takes no more now (rule 4); or its queue is over the bound
-  kDraining,  // nothing new goes there (rule 3)
+  kFull,      // cold with no slow-start budget left (rule 4), or its queue is over the bound
+  kDraining,  // takes no new requests (rule 3)
   kGone,
 };
 
-enum class Go {
-  kOnly,    // to this unit or nowhere
-  kPrefer,  // to this unit, unless the module's judgement is against it
-  kFree,    // as if there were no rule
-  kWait,    // ask again when a snapshot or the backend changes, at the latest once `Rule::wait` is over
-  kRefuse,  // answer at once
+enum class RoutingAction {
+  kOnly,    // to this unit or to none
+  kPrefer,  // to this unit, unless the policy decides against it
+  kFree,    // routed as if there were no rule
+  kWait,    // decide again when a snapshot or the backend changes, at the latest once `Rule::wait` is over
+  kRefuse,  // reject at once
 };
 
-// Why, each a counter of that name.
-enum class Why {
-  kKept,       // it goes where its key belongs
-  kNoKey,      // the rule takes it, but it has no key
-  kNoMap,      // no plan was ever in force here
-  kNotValid,   // the store was away for longer than the lease
-  kClosed,     // its slot moves
+// The reason of a decision; each has a counter of that name.
+enum class RoutingReason {
+  kKept,       // sent to the unit that owns its key
+  kNoKey,      // the rule matches, but the request has no key
+  kNoMap,      // no plan has been in force here yet
+  kNotValid,   // the store was unreachable for longer than the lease
+  kClosed,     // its slot is being moved
   kUnknown,    // the plan names a unit that this process does not know yet
-  kDraining,   // its backend drains, the plan has not moved it yet
+  kDraining,   // its backend drains and the plan has not moved the slot yet
   kGone,       // its backend is gone
   kFull,       // its backend is cold or over the bound
-  kRepeat,     // a repeat that only another unit would drop
-  kQueueFull,  // as many wait as may
+  kRepeat,     // a repeat that only another unit would deduplicate
+  kQueueFull,  // the wait queue is full
 };
 
-struct Ask {
+struct RoutingQuery {
   const Rule* rule = nullptr;
   bool keyed = true;
-  bool mapped = false;  // there is a map in the snapshot in force
-  bool valid = false;   // looked at now: fleet::Member::valid_until() is not over
-  Seat seat;
-  Standing standing = Standing::kReady;
+  bool mapped = false;  // the snapshot in force has a map for the rule
+  bool valid = false;   // checked now: fleet::Member::valid_until() is not over
+  SlotOwner owner;
+  UnitStatus status = UnitStatus::kReady;
   int repeat_at =
-      -1;  // an earlier send may have run, and only this unit drops the repeat; -1: none, or all do
+      -1;  // an earlier attempt may have run and only this unit drops the repeat; -1: none, or all units do
   Millis waited = 0;
 };
 
 struct Decision {
-  Go go = Go::kFree;
+  RoutingAction action = RoutingAction::kFree;
   int unit = -1;  // kOnly, kPrefer
-  Why why = Why::kKept;
+  RoutingReason reason = RoutingReason::kKept;
 
   bool operator==(const Decision&) const = default;
 };
 
-// No allocation. kWait only for `must`, and only while `waited` is under the rule's; the caller then needs a
-// place in its WaitingRoom, and refuses with kQueueFull where there is none.
-Decision choose(const Ask& ask);
+// Does not allocate. Returns kWait only for `must`, and only while `waited` is below `Rule::wait`; the caller
+// then needs a place in its WaitQueue, and refuses with kQueueFull if there is none.
+Decision choose(const RoutingQuery& query);
 
-// How many requests of a node may wait for slots at a time, of all rules together. One thread.
-class WaitingRoom {
+// Limits how many requests of a node wait for slots at a time, over all rules. Not thread-safe.
+class WaitQueue {
  public:
-  explicit WaitingRoom(int most) : most_(most) {}
-  bool enter() { return inside_ < most_ && ++inside_ > 0; }  // false: it is full, answer at once
+  explicit WaitQueue(int limit) : limit_(limit) {}
+  bool enter() { return inside_ < limit_ && ++inside_ > 0; }  // false: full, the request is rejected at once
   void leave() { --inside_; }
   int inside() const { return inside_; }
 
  private:
-  const int most_;
+  const int limit_;
   int inside_ = 0;
 };
 
-// What is under way in a slot that the snapshot in force has closed, or whose validity ran out.
-struct UnderWay {
+// The requests in flight for a slot that the snapshot in force has closed, or whose snapshot expired.
+struct InFlight {
   int count = 0;
-  Millis closed_for = 0;  // since the slot closed here
-  bool drains = false;    // its backend does
-  bool valid = true;      // the snapshot is; after that another process may open the slot elsewhere
+  Millis closed_for = 0;  // time since the slot was closed here
+  bool drains = false;    // its backend is draining
+  bool valid = true;  // the snapshot is valid; once it is not, another process may open the slot elsewhere
 };
-// The record may say the epoch that closed a slot only once that is quiet. What is called off may have run
-// (rule 2), and a backend may go on with it: nothing fences a backend. `finish` longer than any request
-// avoids it.
-enum class Closing { kQuiet, kUnderWay, kCallOff };
-Closing closing(const Rule& rule, const UnderWay& under_way);
+// A process may acknowledge the epoch that closed a slot only once nothing is in flight for it. A cancelled
+// request may have run (rule 2), and its backend may go on with it: nothing fences a backend. A `finish`
+// longer than any request avoids that.
+enum class Closing { kQuiet, kInFlight, kCancel };
+Closing closing(const Rule& rule, const InFlight& in_flight);
 
 }  // namespace shorelead::affinity
--- a/src/affinity/rules.cpp
+++ b/src/affinity/rules.cpp
@@ -33,7 +33,7 @@
   return {};
 }
 
-// Takes the first segment off a path that begins with "/".
+// Removes and returns the first segment of a path that begins with "/".
 std::string_view next_segment(std::string_view& path) {
   path.remove_prefix(1);
   const std::size_t end = std::min(path.find('/'), path.size());
@@ -61,7 +61,7 @@
   return {};
 }
 
-// RFC 6265, 4.2.1: pairs with "; " between; quotation marks are part of the value.
+// RFC 6265, 4.2.1: pairs are separated by "; "; quotation marks are part of the value.
 std::string_view cookie_of(std::string_view cookies, std::string_view name) {
   while (!cookies.empty()) {
     const std::size_t end = std::min(cookies.find(';'), cookies.size());
@@ -77,7 +77,7 @@
   return {};
 }
 
-// Without a query; empty where it is no path.
+// Returns the path without the query; empty if it does not begin with "/".
 std::string_view path_of(const Request& request) {
   const std::string_view path = request.path.substr(0, request.path.find_first_of("?#"));
   return path.empty() || path[0] != '/' ? std::string_view() : path;
@@ -97,7 +97,7 @@
 Condition field_is(std::string name, std::string value) {
   return {Condition::Op::kIs, Subject::kField, std::move(name), std::move(value), {}};
 }
-Condition field_there(std::string name) {
+Condition field_present(std::string name) {
   return {Condition::Op::kPresent, Subject::kField, std::move(name), "", {}};
 }
 Condition all(std::vector<Condition> parts) {
@@ -152,12 +152,12 @@
   return {};
 }
 
-std::optional<Found> find(const std::vector<Rule>& rules, const Request& request) {
+std::optional<RuleMatch> find(const std::vector<Rule>& rules, const Request& request) {
   for (std::size_t n = 0; n < rules.size(); ++n) {
     if (!holds(rules[n].when, request)) continue;
     const std::string_view key = key_of(rules[n].key, request);
-    if (key.empty()) return Found{n, false, 0};
-    return Found{n, true, hash_of(key)};
+    if (key.empty()) return RuleMatch{n, false, 0};
+    return RuleMatch{n, true, hash_of(key)};
   }
   return std::nullopt;
 }
--- a/src/node/affinity_planner.h
+++ b/src/node/affinity_planner.h
@@ -22,13 +22,13 @@
       : shaper_(std::move(rules), affinity::ShaperOptions()) {}
 
   // On the traffic thread.
-  void put(std::vector<affinity::BackendSeen> backends) { backends_.put(std::move(backends)); }
+  void put(std::vector<affinity::BackendStatus> backends) { backends_.put(std::move(backends)); }
   const AffinityPlannerCells& cells() const { return cells_; }
 
   // On the control thread.
   void shape(fleet::Plan& next, const fleet::Plan* standing, const std::vector<fleet::Record>& records,
              Millis now) override {
-    if (backends_.take()) shaper_.see(*backends_.current());
+    if (backends_.take()) shaper_.set_backends(*backends_.current());
     if (backends_.current() == nullptr) return;
     shaper_.shape(next, standing, records, now);
     const affinity::ShaperCounters& c = shaper_.counters();
@@ -40,7 +40,7 @@
   }
 
  private:
-  fleet::Mailbox<std::vector<affinity::BackendSeen>> backends_;
+  fleet::Mailbox<std::vector<affinity::BackendStatus>> backends_;
   affinity::Shaper shaper_;
   AffinityPlannerCells cells_;
 };
--- a/tests/affinity/condition_test.cpp
+++ b/tests/affinity/condition_test.cpp
@@ -1,5 +1,4 @@
-// The text of conditions: what it means by table, each mistake with its column, and there and back by
-// property.
+// The text of conditions: their meaning and the column of each error by table, the round trip by property.
 #include "affinity/condition.h"
 
 #include <gtest/gtest.h>
@@ -12,15 +11,15 @@
 const Condition kGet = is(Subject::kMethod, "GET");
 const Condition kTest = field_is("x-test", "yes");
 
-TEST(ConditionText, Means) {
+TEST(ConditionText, ParsesToTheExpectedCondition) {
   const std::vector<std::pair<std::string, Condition>> table = {
       {"class = check", kCheck},
       {"  class=check ", kCheck},
       {"class != check", negated(kCheck)},
       {"class = check and not header X-Test = yes", all({kCheck, negated(kTest)})},
-      {"header X-Test", field_there("x-test")},
+      {"header X-Test", field_present("x-test")},
       {"header X-Test != yes", negated(kTest)},
-      {"header X-Test and class = check", all({field_there("x-test"), kCheck})},
+      {"header X-Test and class = check", all({field_present("x-test"), kCheck})},
       {"class = check or method = GET and header x-test = yes", any({kCheck, all({kGet, kTest})})},
       {"(class = check or method = GET) and header x-test = yes", all({any({kCheck, kGet}), kTest})},
       {"not not class = check", negated(negated(kCheck))},
@@ -36,28 +35,28 @@
   }
 }
 
-TEST(ConditionText, EachMistakeHasItsColumn) {
+TEST(ConditionText, ReportsTheColumnOfEachError) {
   struct Case {
     std::string text, cause;
     std::size_t column;
   };
   const std::vector<Case> table = {
-      {"", "a condition is due here", 1},
-      {"klass = check", "a condition is due here", 1},
-      {"class check", "\"=\" or \"!=\"", 7},
-      {"class =", "a value is due here", 8},
-      {"class = check method = GET", "\"and\" or \"or\"", 15},
-      {"class = check and", "a condition is due here", 18},
-      {"class = check and or", "a condition is due here", 19},
-      {"(class = check", "\")\" is due here", 15},
-      {"class = check)", "\"and\" or \"or\"", 14},
-      {"not", "a condition is due here", 4},
-      {"header and class = check", "a header's name", 8},
-      {"header X-A = ", "a value is due here", 14},
+      {"", "expected a condition", 1},
+      {"klass = check", "expected a condition", 1},
+      {"class check", "expected \"=\" or \"!=\"", 7},
+      {"class =", "expected a value", 8},
+      {"class = check method = GET", "expected \"and\", \"or\" or the end", 15},
+      {"class = check and", "expected a condition", 18},
+      {"class = check and or", "expected a condition", 19},
+      {"(class = check", "expected \")\"", 15},
+      {"class = check)", "expected \"and\", \"or\" or the end", 14},
+      {"not", "expected a condition", 4},
+      {"header and class = check", "expected the name of a header", 8},
+      {"header X-A = ", "expected a value", 14},
       {"tenant = 'a", "is not closed", 12},
-      {"tenant = ''", "not empty", 11},
+      {"tenant = ''", "must not be empty", 11},
       {std::string(1025, '('), "1,024 bytes", 1025},
-      {std::string(1024, '('), "a condition is due here", 1025},
+      {std::string(1024, '('), "expected a condition", 1025},
   };
   for (const Case& c : table) {
     const Parsed parsed = parse_condition(c.text);
@@ -73,23 +72,23 @@
   const int kind = *rc::gen::inRange(0, depth > 0 ? 6 : 3);
   if (kind == 0) return is(*rc::gen::element(Subject::kRoute, Subject::kPlan, Subject::kMethod), word());
   if (kind == 1) return field_is("x-a", word());
-  if (kind == 2) return field_there("not-b");
+  if (kind == 2) return field_present("not-b");
   if (kind == 3) return negated(gen(depth - 1));
   std::vector<Condition> parts = {gen(depth - 1), gen(depth - 1)};
   return kind == 4 ? all(std::move(parts)) : any(std::move(parts));
 }
 
-RC_GTEST_PROP(ConditionText, ThereAndBack, ()) {
+RC_GTEST_PROP(ConditionText, RoundTrips, ()) {
   const Condition condition = gen(4);
   const std::string text = text_of(condition);
-  if (text.size() > kMostText) return;
+  if (text.size() > kMaxTextBytes) return;
   const Parsed parsed = parse_condition(text);
   RC_ASSERT(parsed.cause == "");
   RC_ASSERT(parsed.condition == condition);
 }
 
-// Whatever the bytes: a condition or a mistake within the text.
-RC_GTEST_PROP(ConditionText, AnyBytes, (const std::string& text)) {
+// Any bytes parse to a condition or to an error with a column within the text.
+RC_GTEST_PROP(ConditionText, ArbitraryBytesGiveAConditionOrAnError, (const std::string& text)) {
   const Parsed parsed = parse_condition("not " + text);
   RC_ASSERT(parsed.cause.empty() || (parsed.column >= 1 && parsed.column <= text.size() + 5));
 }
--- a/tests/affinity/rule_checks_test.cpp
+++ b/tests/affinity/rule_checks_test.cpp
@@ -1,4 +1,4 @@
-// What is refused at load: by table, and the search beside trying every request.
+// Problems reported at load by table; the satisfiability search compared with trying every request.
 #include "affinity/rule_checks.h"
 
 #include <gtest/gtest.h>
@@ -33,51 +33,51 @@
 const Condition kPut = is(Subject::kMethod, "PUT");
 const Condition kYes = field_is("x", "yes");
 
-TEST(RuleChecks, WhetherAConditionCanHold) {
-  const std::vector<std::pair<Condition, Can>> table = {
-      {{}, Can::kYes},
-      {all({kGet, kPut}), Can::kNo},
-      {any({kGet, kPut}), Can::kYes},
-      {negated(any({kGet, negated(kGet)})), Can::kNo},
-      {all({kShop, kCheck}), Can::kYes},
-      {all({kShop, negated(kCheck)}), Can::kNo},  // a route has one class
-      {is(Subject::kClass, "chekc"), Can::kNo},
-      {negated(any({kCheck, is(Subject::kClass, "pay"), is(Subject::kClass, "post")})), Can::kNo},
-      {all({is(Subject::kTenant, "acme"), is(Subject::kPlan, "silver")}), Can::kNo},
-      {all({is(Subject::kTenant, "new"), is(Subject::kPlan, "free")}), Can::kYes},
-      {all({is(Subject::kTenant, "new"), is(Subject::kPlan, "gold")}), Can::kNo},
-      {all({kYes, field_is("x", "no")}), Can::kNo},
-      {all({kYes, negated(field_there("x"))}), Can::kNo},
-      {all({field_there("x"), negated(kYes), negated(field_is("x", "no"))}), Can::kYes},
-      {all({negated(field_there("x")), field_is("y", "yes")}), Can::kYes},
+TEST(RuleChecks, DecidesWhetherAConditionCanHold) {
+  const std::vector<std::pair<Condition, Satisfiability>> table = {
+      {{}, Satisfiability::kYes},
+      {all({kGet, kPut}), Satisfiability::kNo},
+      {any({kGet, kPut}), Satisfiability::kYes},
+      {negated(any({kGet, negated(kGet)})), Satisfiability::kNo},
+      {all({kShop, kCheck}), Satisfiability::kYes},
+      {all({kShop, negated(kCheck)}), Satisfiability::kNo},  // a route has one class
+      {is(Subject::kClass, "chekc"), Satisfiability::kNo},
+      {negated(any({kCheck, is(Subject::kClass, "pay"), is(Subject::kClass, "post")})), Satisfiability::kNo},
+      {all({is(Subject::kTenant, "acme"), is(Subject::kPlan, "silver")}), Satisfiability::kNo},
+      {all({is(Subject::kTenant, "new"), is(Subject::kPlan, "free")}), Satisfiability::kYes},
+      {all({is(Subject::kTenant, "new"), is(Subject::kPlan, "gold")}), Satisfiability::kNo},
+      {all({kYes, field_is("x", "no")}), Satisfiability::kNo},
+      {all({kYes, negated(field_present("x"))}), Satisfiability::kNo},
+      {all({field_present("x"), negated(kYes), negated(field_is("x", "no"))}), Satisfiability::kYes},
+      {all({negated(field_present("x")), field_is("y", "yes")}), Satisfiability::kYes},
   };
   for (std::size_t n = 0; n < table.size(); ++n) {
     EXPECT_EQ(can_hold(table[n].first, a_universe()), table[n].second) << n;
   }
-  // Pairs of fields that must differ: it ends, and says that it does not know.
+  // Pairs of fields that must differ: the search gives up after its step limit and reports that.
   std::vector<Condition> parts;
   for (int n = 0; n < 24; ++n) {
     const std::string a = "left-" + std::to_string(n), b = "right-" + std::to_string(n);
-    parts.push_back(any(
-        {all({field_there(a), negated(field_there(b))}), all({field_there(b), negated(field_there(a))})}));
+    parts.push_back(any({all({field_present(a), negated(field_present(b))}),
+                         all({field_present(b), negated(field_present(a))})}));
   }
-  parts.push_back(all({field_there("z"), negated(field_there("z"))}));
-  EXPECT_EQ(can_hold(all(parts), a_universe()), Can::kTooMany);
+  parts.push_back(all({field_present("z"), negated(field_present("z"))}));
+  EXPECT_EQ(can_hold(all(parts), a_universe()), Satisfiability::kTooMany);
 }
 
-// The same as trying every request of a small world.
+// A random condition over few attributes, so that every request can be tried.
 Condition gen_condition(int depth) {
   const int kind = *rc::gen::inRange(0, depth > 0 ? 7 : 4);
   if (kind == 0) return is(Subject::kRoute, *rc::gen::element<std::string>("shop", "till"));
   if (kind == 1) return is(Subject::kClass, *rc::gen::element<std::string>("check", "pay"));
-  if (kind == 2) return field_there("x");
+  if (kind == 2) return field_present("x");
   if (kind == 3) return field_is("x", *rc::gen::element<std::string>("1", "2"));
   if (kind == 4) return negated(gen_condition(depth - 1));
   std::vector<Condition> parts = {gen_condition(depth - 1), gen_condition(depth - 1)};
   return kind == 5 ? all(std::move(parts)) : any(std::move(parts));
 }
 
-RC_GTEST_PROP(RuleChecks, TheSearchIsAsGoodAsTryingAll, ()) {
+RC_GTEST_PROP(RuleChecks, SearchAgreesWithTryingEveryRequest, ()) {
   const Condition condition = gen_condition(4);
   bool any = false;
   for (const auto& [route, request_class] : a_universe().routes) {
@@ -88,12 +88,12 @@
       any = any || holds(condition, {route, request_class, "", "free", "GET", "/", "/", &field});
     }
   }
-  RC_ASSERT(can_hold(condition, a_universe()) == (any ? Can::kYes : Can::kNo));
+  RC_ASSERT(can_hold(condition, a_universe()) == (any ? Satisfiability::kYes : Satisfiability::kNo));
 }
 
-struct Refused {
+struct ProblemCase {
   std::vector<Rule> rules;
-  std::string cause;  // what the one problem begins with or holds; empty = none
+  std::string cause;  // part of the text of the only problem; empty = no problem
   std::size_t rule = 0;
   std::optional<std::size_t> other = std::nullopt;
 };
@@ -103,7 +103,7 @@
   return rule;
 }
 
-TEST(RuleChecks, RefusedWithTheReason) {
+TEST(RuleChecks, ReportsEachProblemWithItsCause) {
   const Rule any_rule = a_rule({});
   const Rule must = changed(any_rule, [](Rule& r) {
     r.must = true;
@@ -114,7 +114,7 @@
     r.on_loss = OnLoss::kRefuse;
     r.hold = r.finish = 60000;
   });
-  const std::vector<Refused> table = {
+  const std::vector<ProblemCase> table = {
       {{a_rule(kGet), a_rule(kPut, "other"), a_rule({}, "last")}, ""},
       {{a_rule(all({kGet, kPut}))}, "never matches"},
       {{a_rule(kGet), a_rule(all({kGet, kShop}), "other")}, "\"one\" before it", 1, 0},
@@ -176,8 +176,8 @@
     EXPECT_EQ(problems[0].place, table[n].rules[table[n].rule].place) << n;
     EXPECT_EQ(problems[0].other, table[n].other) << n;
   }
-  EXPECT_EQ(completed({narrow, must}, a_universe())[0].still, 60000);
-  EXPECT_EQ(completed({narrow, must}, a_universe())[1].still, 0);
+  EXPECT_EQ(completed({narrow, must}, a_universe())[0].dedup_window, 60000);
+  EXPECT_EQ(completed({narrow, must}, a_universe())[1].dedup_window, 0);
 }
 
 }  // namespace
--- a/tests/affinity/shaper_test.cpp
+++ b/tests/affinity/shaper_test.cpp
@@ -1,4 +1,4 @@
-// Maps of slots in the plan, from what planners see.
+// Slot maps in the plan, from the backends and records that planners read.
 #include "affinity/shaper.h"
 
 #include <gtest/gtest.h>
@@ -17,13 +17,13 @@
   return rule;
 }
 
-std::vector<BackendSeen> backends_of(int count) {
-  std::vector<BackendSeen> backends;
+std::vector<BackendStatus> backends_of(int count) {
+  std::vector<BackendStatus> backends;
   for (int n = 0; n < count; ++n) backends.push_back({"box-" + std::to_string(n), "", "", 1, 1, false});
   return backends;
 }
 
-// One planner and processes that put each plan in force at once.
+// One planner, and processes that put each plan in force immediately.
 struct Fleet {
   explicit Fleet(Rule r, ShaperOptions options = {}) : rule(std::move(r)), shaper({rule}, options) {}
   Rule rule;
@@ -45,8 +45,8 @@
     for (fleet::Record& record : records) record.epoch = plan.epoch;
     return true;
   }
-  void settle(const std::vector<BackendSeen>& backends) {
-    shaper.see(backends);
+  void settle(const std::vector<BackendStatus>& backends) {
+    shaper.set_backends(backends);
     for (int n = 0; n < 100 && step(); ++n) {
     }
   }
@@ -62,10 +62,11 @@
   }
 };
 
-// Any planner writes the same, whatever the order of its list; and processes that come or go move nothing.
-RC_GTEST_PROP(Shaper, EveryPlannerWritesTheSame, ()) {
-  std::vector<BackendSeen> backends = backends_of(*rc::gen::inRange(1, 12));
-  for (BackendSeen& backend : backends) backend.weight = *rc::gen::inRange(1, 5);
+// All planners write the same maps whatever the order of their lists, and joining or leaving processes move
+// nothing.
+RC_GTEST_PROP(Shaper, AllPlannersWriteTheSameMaps, ()) {
+  std::vector<BackendStatus> backends = backends_of(*rc::gen::inRange(1, 12));
+  for (BackendStatus& backend : backends) backend.weight = *rc::gen::inRange(1, 5);
   Fleet one(a_rule());
   one.settle(backends);
   const auto before = one.owners();
@@ -80,9 +81,9 @@
   RC_ASSERT(one.owners() == before);
 }
 
-// When the slots of a backend that is no longer listed begin to move: at once, after the hold, or, where this
-// planner never saw it, once that has lasted.
-TEST(Shaper, SlotsOfABackendThatIsGone) {
+// When the slots of a backend that is no longer listed begin to move: at once, after the hold, or after
+// `unknown_for` if this planner has never seen the backend.
+TEST(Shaper, SlotsOfALostBackendMoveAfterTheirDelay) {
   struct Case {
     OnLoss on_loss;
     bool seen;
@@ -107,33 +108,33 @@
   }
 }
 
-TEST(Shaper, AColdBackendGetsItsSlotsBySteps) {
+TEST(Shaper, ColdBackendGetsItsSlotsInSteps) {
   Fleet fleet(a_rule(), {2000, 8});
   fleet.settle(backends_of(4));
-  std::vector<BackendSeen> backends = backends_of(5);
+  std::vector<BackendStatus> backends = backends_of(5);
   int before = 0;
   for (const double warm : {0.05, 0.3, 0.6, 1.0}) {
     backends[4].warm = warm;
-    fleet.shaper.see(backends);
+    fleet.shaper.set_backends(backends);
     for (int n = 0; n < 200 && fleet.step(); ++n) {
       const auto all = fleet.owners();
       EXPECT_LE(std::count(all.begin(), all.end(), ""), 8);
     }
     const double part = 256 * warm_step(warm) / (4 + warm_step(warm));
-    EXPECT_LE(fleet.has("box-4"), kMostTaken * part) << warm;
+    EXPECT_LE(fleet.has("box-4"), kMaxTaken * part) << warm;
     EXPECT_GT(fleet.has("box-4"), before) << warm;
     before = fleet.has("box-4");
   }
 }
 
-// A rule whose repeats only the old cell or zone drops: closed for the whole window, and only where it must
-// be.
-TEST(Shaper, AMoveOutlastsTheWindowForRepeats) {
+// A rule whose repeats are dropped only by the old cell or zone: a slot stays closed for the whole
+// deduplication window, and moves only if it has to.
+TEST(Shaper, MovedSlotStaysClosedForTheDeduplicationWindow) {
   Rule rule = a_rule();
-  rule.still = 3000;
+  rule.dedup_window = 3000;
   Fleet fleet(rule);
   fleet.settle(backends_of(4));
-  std::vector<BackendSeen> backends = backends_of(5);
+  std::vector<BackendStatus> backends = backends_of(5);
   fleet.settle(backends);
   EXPECT_EQ(fleet.has("box-4") + fleet.has(""), 0);
   backends[0].draining = true;
@@ -144,10 +145,10 @@
   }
 }
 
-TEST(Shaper, ALostHistoryOpensNothing) {
+TEST(Shaper, EpochOfALostHistoryOpensNothing) {
   Fleet fleet(a_rule());
-  fleet.shaper.see(backends_of(3));
-  fleet.records[0].epoch = 50;  // of a plan that the store no longer knows
+  fleet.shaper.set_backends(backends_of(3));
+  fleet.records[0].epoch = 50;  // of a plan that the store has lost
   for (int n = 0; n < 5; ++n) {
     fleet.plan = fleet.next();
     EXPECT_EQ(fleet.has(""), 256);
@@ -157,7 +158,7 @@
   EXPECT_EQ(fleet.has(""), 0);
 }
 
-TEST(Shaper, AnotherNumberOfSlotsKeepsWhoHasThem) {
+TEST(Shaper, ResizingKeepsTheOwnersOfSlots) {
   Fleet fleet(a_rule());
   fleet.settle(backends_of(4));
   const fleet::SlotMap& map = fleet.plan.affinity.begin()->second;
@@ -172,12 +173,12 @@
   }
 }
 
-TEST(Shaper, AMapOfAnotherVersionOfTheFileStaysForAWhile) {
+TEST(Shaper, MapOfAnotherConfigurationVersionIsKeptForAWhile) {
   Fleet fleet(a_rule(), {2000, 64});
   fleet.settle(backends_of(4));
   Rule other = a_rule();
   other.key.part = 2;
-  fleet.shaper.set({other});
+  fleet.shaper.set_rules({other});
   EXPECT_EQ(fleet.next().affinity.size(), 2u);
   fleet.now = 2000;
   EXPECT_EQ(fleet.next().affinity.size(), 1u);
