--- a/src/fleet/boot_clock.h
+++ b/src/fleet/boot_clock.h
@@ -1,5 +1,5 @@
-// The clock of all that has a validity: it goes on while the machine sleeps (CLOCK_BOOTTIME), in ms. Read on
-// the traffic's thread and on the control's alike.
+// The clock for everything that expires, in ms: it keeps running while the machine is suspended
+// (CLOCK_BOOTTIME). Read on the traffic thread and on the control thread.
 #pragma once
 
 #include <time.h>
--- a/src/fleet/history.cpp
+++ b/src/fleet/history.cpp
@@ -3,7 +3,7 @@
 namespace shorelead::fleet {
 
 namespace {
-constexpr std::size_t kMarks = 16;  // answers later than so many others are held against the oldest of them
+constexpr std::size_t kMarks = 16;  // an older answer is compared with the oldest of these
 }
 
 std::uint64_t History::floor(Millis begun) const {
@@ -28,7 +28,7 @@
     }
     return Told::kSame;
   }
-  // A call begun before this history was first heard may have been answered by the one before.
+  // A call started before the first answer of this history may have been answered by the previous one.
   if (header.cluster != cluster_ && begun < since_) return Told::kLate;
   cluster_ = header.cluster;
   since_ = now;
--- a/src/fleet/history.h
+++ b/src/fleet/history.h
@@ -1,9 +1,9 @@
-// Which history of the store a process hears, and whether it is still the same one: a store that comes back
-// from a copy answers with another cluster's number, or with revisions under those heard before. Pure. It
-// must never take an answer that is merely late for a lost history, nor a new history for the old one.
+// Detects whether the store still has the history that this process has seen. A store restored from a backup
+// answers with another cluster id, or with revisions below those seen before. No I/O. A late answer is not
+// taken for a lost history, nor a new history for the old one.
 //
-// What it cannot see: a store that lost its tail under the same cluster's number and grew past everything
-// that this process had heard before it heard again. etcd gives a restored copy another number.
+// Limit: it cannot detect a store that lost its latest writes under the same cluster id and grew past every
+// revision seen by this process before the next answer. etcd gives a restored backup another cluster id.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace shorelead::fleet {
 
-// Of every answer.
+// The header of every answer of the store.
 struct Header {
   std::uint64_t cluster = 0;
   std::uint64_t revision = 0;
@@ -25,26 +25,26 @@
  public:
   enum class Told {
     kSame,
-    kFirst,  // nothing was heard before
-    kLate,   // of a history that was left: nothing in this answer counts
-    kLost,   // another history stands from now on
+    kFirst,  // the first answer
+    kLate,   // from an earlier history: the answer is to be ignored
+    kLost,   // another history is current from now on
   };
-  // `begun`: when the call was begun that this answers; of a watch, when the message before it was heard.
+  // `begun`: when the answered call was started; for a watch, when the previous message arrived.
   Told heard(const Header& header, Millis begun, Millis now);
 
   std::uint64_t cluster() const { return cluster_; }  // 0 = none yet
-  Millis since() const { return since_; }             // when the first answer of this history was heard
+  Millis since() const { return since_; }             // when the first answer of this history arrived
 
  private:
   struct Mark {
     std::uint64_t revision;
     Millis at;
   };
-  std::uint64_t floor(Millis begun) const;  // an answer to a call begun then has at least this revision
+  std::uint64_t floor(Millis begun) const;  // lowest revision of an answer to a call started then
 
   std::uint64_t cluster_ = 0;
   Millis since_ = 0;
-  std::vector<Mark> marks_;  // the highest revisions of late, in rising order of both
+  std::vector<Mark> marks_;  // the latest highest revisions, ascending in revision and time
 };
 
 }  // namespace shorelead::fleet
--- a/src/fleet/share.cpp
+++ b/src/fleet/share.cpp
@@ -4,8 +4,8 @@
 
 void RateShare::fill(Millis now, Millis valid_until) {
   if (at_ < 0) at_ = now;
-  // Past its validity somebody else may have the part: neither what was saved beyond the reserve nor the
-  // time since counts.
+  // Once it has expired another process may have the part: neither tokens saved beyond the reserve nor the
+  // time since then count.
   const bool valid = now < valid_until;
   double filled = reserve_.amount * std::max(0.0, now - std::max(at_, from_));
   if (valid) filled += part_.amount * std::max(0.0, now - at_);
@@ -13,8 +13,8 @@
   tokens_ = std::min((now < from_ ? 0 : reserve_.burst) + (valid ? part_.burst : 0), tokens_ + filled * 1e-3);
 }
 
-// What was saved is the share's, as the reserve begins empty: before and after, the bucket is as large as
-// what it is for.
+// Saved tokens belong to the share, since the reserve starts empty: the fill before and the one after cap the
+// bucket at the size that applies then.
 void RateShare::reserve_from(Millis from, Millis now, Millis valid_until) {
   fill(now, valid_until);
   from_ = from;
--- a/src/fleet/share.h
+++ b/src/fleet/share.h
@@ -1,20 +1,19 @@
-// A process's part of one budget, as its traffic spends it. Pure, one thread, no allocation after it is made.
-// Whoever reads this page sees why the sum over all processes cannot exceed the whole:
+// One process's share of one budget, as the traffic thread spends it. No I/O; single-threaded; allocates only
+// on construction. The sum over all processes cannot exceed the whole because:
 //   - the parts that may be spent at any moment add up to at most the whole (plan.h);
-//   - a part raised brings no tokens with it: only time fills them (rates), and what is raised of a count in
-//     a window is usable once the window has passed (limits/attempt_share.h); so what the one before has
-//     spent is not spent again;
-//   - a part lowered cuts what was saved up at once;
-//   - after `valid_until` nothing is left of it but the reserve, which needs no plan and begins empty; of
-//     processes that stand in for one another one has it, from when it is told (`reserve_from`). Validity is
-//     looked at when spending: a process that stood still finds it over.
-// All tokens together never exceed the burst and are filled at most at the rate: so any window W sees at most
-// rate x W + burst.
+//   - raising a part adds no tokens: a rate is refilled by time alone, and an increase of a count per window
+//     is usable only after that window (limits/attempt_share.h), so tokens that the previous holder has spent
+//     are not spent again;
+//   - lowering a part cuts saved tokens immediately;
+//   - after `valid_until` only the reserve remains, which needs no plan and starts empty; of the processes
+//     of one hot restart only one has it, from the time set by `reserve_from`. Validity is checked when
+//     spending, so a process that was suspended finds it expired.
+// Tokens never exceed the burst and are refilled at most at the rate, so at most rate x W + burst are spent
+// in any window W.
 //
-// One unit is one token: a part with a burst under 1 spends nothing. Parts are as `usable` (division.h) gives
-// them, reserves as `reserve_of`. `valid_until` is that of the incarnation whose part was set; before the
-// part of another incarnation is set, the share is set to nothing. It must never be asked with a time that
-// was read before the request at hand.
+// One unit is one token: a part with a burst below 1 spends nothing. Parts come from `usable` (division.h),
+// reserves from `reserve_of`. `valid_until` belongs to the incarnation whose part was set; the share is set
+// to nothing before the part of another incarnation is set. Callers pass a time read for the request at hand.
 #pragma once
 
 #include <algorithm>
@@ -29,13 +28,12 @@
 using limits::AttemptShare;
 using limits::Spent;
 
-// A rate with a burst: one bucket, as large and filled as fast as the reserve, and the share while that is
-// valid. Two of them would admit no more over any window, but less in all: what one has no room for is lost
-// though the other is empty.
+// A rate with a burst: one token bucket whose size and refill rate are those of the reserve plus, while it is
+// valid, the share. Two buckets would admit less: tokens that overflow one are lost while the other is empty.
 class RateShare {
  public:
   explicit RateShare(const Part& reserve) : reserve_(reserve) {}
-  // The reserve counts from `from` on, empty then; infinity: somebody else has it.
+  // The reserve counts from `from` on and starts empty; infinity: another process has it.
   void reserve_from(Millis from, Millis now, Millis valid_until);
   void set(const Part& part, Millis now, Millis valid_until);  // raises and lowers
   Spent spend(Millis now, Millis valid_until);
@@ -46,22 +44,22 @@
   Part part_;
   const Part reserve_;
   double tokens_ = 0;
-  Millis from_ = -1;  // the reserve counts
+  Millis from_ = -1;  // when the reserve starts to count
   Millis at_ = -1;
 };
 
-// So many at once.
+// A limit on concurrent use.
 class AtOnceShare {
  public:
-  // `hold`: Budget::hold; the reserve is usable so long after the first call, as a process that was there
-  // before may have it in use.
+  // `hold`: Budget::hold. The reserve is usable only this long after the first call, since a predecessor of
+  // this process may still have it in use.
   explicit AtOnceShare(double reserve, Millis hold = 0) : reserve_(reserve), hold_(hold) {}
-  void reserve_from(Millis from) { began_ = from; }  // usable `hold` after that
+  void reserve_from(Millis from) { began_ = from; }  // usable from `from + hold`
   void set(double most) { most_ = most; }
   Spent spend(Millis now, Millis valid_until);
-  void end() { --in_use_; }  // one of those spent is over
+  void end() { --in_use_; }  // releases one unit spent
   int in_use() const { return in_use_; }
-  // What a record must still say is in force after the part was lowered.
+  // Units in use beyond the reserve: after the part was lowered the record still has to report them.
   double beyond_reserve(Millis now) const { return std::max(0.0, in_use_ - usable_reserve(now)); }
 
  private:
