--- a/src/fleet/bell.h
+++ b/src/fleet/bell.h
@@ -1,4 +1,5 @@
-// Wakes a thread that waits in its loop: an eventfd. Owns the descriptor. Rung by any thread, heard by one.
+// Wakes a thread that waits in its event loop, by an eventfd. Any thread may ring; one thread waits. Owns the
+// descriptor.
 #pragma once
 
 #include <sys/eventfd.h>
@@ -21,14 +22,14 @@
 
   void ring() {
     const std::uint64_t one = 1;
-    // Only a bell that was rung 2^64 - 2 times unheard refuses, and that one wakes as well.
+    // A write fails with EAGAIN only after 2^64 - 2 unread ones, and then the descriptor is readable anyway.
     while (::write(fd_, &one, sizeof one) < 0 && errno == EINTR) continue;
   }
   void hush() {
     std::uint64_t count = 0;
     while (::read(fd_, &count, sizeof count) < 0 && errno == EINTR) continue;
   }
-  int fd() const { return fd_; }  // readable while it rings
+  int fd() const { return fd_; }  // readable after `ring` until `hush`
 
  private:
   const int fd_;
--- a/src/fleet/cells.h
+++ b/src/fleet/cells.h
@@ -1,5 +1,5 @@
-// What one thread counts and another reads: cells with a single writer each. Owns the figures that cross
-// between the traffic's thread and the control's; nobody but its writer may ever write a cell.
+// Counters and gauges that one thread writes and others read: the values exchanged between the traffic thread
+// and the control thread. Each cell has exactly one writer.
 #pragma once
 
 #include <atomic>
@@ -10,14 +10,14 @@
 
 namespace shorelead::fleet {
 
-// A figure with one writer: no read-modify-write is needed. Readers see some value that it had.
+// A value with one writer, so no atomic read-modify-write is needed. Readers may see an older value.
 template <typename T>
 class Cell {
  public:
   void add(T by) { set(value_.load(std::memory_order_relaxed) + by); }
   void set(T value) { value_.store(value, std::memory_order_relaxed); }
   T get() const { return value_.load(std::memory_order_relaxed); }
-  // For a figure that says that others were written before it.
+  // Release and acquire: who reads the value with `heard` also sees all writes made before `announce`.
   void announce(T value) { value_.store(value, std::memory_order_release); }
   T heard() const { return value_.load(std::memory_order_acquire); }
 
@@ -26,20 +26,20 @@
   std::atomic<T> value_{};
 };
 
-// Of one budget, counted since the process began; `in_use` and `beyond_reserve` as they are now, `peak` of
-// late: the most in use in the last half to whole second before `peak_at`.
+// One budget: counters since the start of the process, and the current `in_use` and `beyond_reserve`. `peak`
+// is the highest concurrent use in the last half to one second before `peak_at`.
 struct BudgetCells {
   Cell<std::uint64_t> asked;
   Cell<std::uint64_t> spent;
   Cell<std::uint64_t> bound_by_share;
-  Cell<std::uint64_t> bound_by_reserve;  // the share had run out
+  Cell<std::uint64_t> bound_by_reserve;  // the share had expired
   Cell<double> in_use;
   Cell<double> beyond_reserve;
   Cell<double> peak;
   Cell<double> peak_at;  // CLOCK_BOOTTIME, ms
 };
 
-// Of one rank, counted since the process began; as RankLoad.
+// One rank, counted since the start of the process; the fields are those of RankLoad.
 struct RankCells {
   Cell<std::uint64_t> offered;
   Cell<std::uint64_t> taken;
@@ -48,7 +48,7 @@
   Cell<std::uint64_t> failed;
 };
 
-// The traffic's thread writes, the control's reads.
+// Written by the traffic thread, read by the control thread.
 struct TrafficCells {
   TrafficCells(std::size_t budget_count, std::vector<int> rank_names)
       : budgets(budget_count), ranks(std::move(rank_names)), loads(ranks.size()) {}
@@ -56,18 +56,18 @@
   std::vector<BudgetCells> budgets;  // in the configuration's order
   const std::vector<int> ranks;
   std::vector<RankCells> loads;     // in the order of `ranks`
-  Cell<double> room;                // share of the backends' capacity that is unused
-  Cell<std::uint64_t> slots_quiet;  // generation whose closed slots are quiet, or the last before it
-  Cell<std::uint64_t> generation;   // of the snapshot in force; announced once all of it is
+  Cell<double> room;                // unused fraction of the backends' capacity, 0 to 1
+  Cell<std::uint64_t> slots_quiet;  // last generation in whose closed slots no request is in flight
+  Cell<std::uint64_t> generation;   // of the snapshot in force; announced after all of it is in force
 };
 
-// The control's thread writes, whoever shows figures reads.
+// Written by the control thread, read for the metrics.
 struct ControlCells {
-  Cell<std::uint64_t> epoch, incarnation, elected;  // as they are now; `elected` 0 or 1
+  Cell<std::uint64_t> epoch, incarnation, elected;  // current values; `elected` is 0 or 1
   Cell<std::uint64_t> joined, ended, lapsed, refused, histories, epochs, older, name_taken;
   Cell<std::uint64_t> elections, resigned, plans, unreadable, held;
   Cell<std::uint64_t> calls, calls_lost, watches, deaf;
-  Cell<std::uint64_t> left;  // 1: it left in good order
+  Cell<std::uint64_t> left;  // 1: it has left gracefully
 };
 
 }  // namespace shorelead::fleet
--- a/src/fleet/channel.h
+++ b/src/fleet/channel.h
@@ -1,6 +1,6 @@
-// What the control's thread and the traffic's share, all of it: snapshots one way, counters with a single
-// writer the other, a bell for each. Owns these; nothing else crosses between the two, and neither ever waits
-// for the other.
+// All state shared by the control thread and the traffic thread: snapshots from control to traffic, counters
+// with a single writer from traffic to control, and a wakeup event for each. Neither thread waits for the
+// other.
 #pragma once
 
 #include <atomic>
@@ -17,7 +17,8 @@
 
 namespace shorelead::fleet {
 
-// Until when one incarnation's shares may be spent. It only grows, and is 0 for good once that has ended.
+// The time until which one incarnation's shares may be spent. Only grows, until it becomes 0 for good when
+// the incarnation ends.
 struct Validity {
   std::uint64_t incarnation = 0;
   std::atomic<double> until{0};  // CLOCK_BOOTTIME, ms
@@ -31,12 +32,12 @@
 struct Channel {
   Channel(std::size_t budgets, std::vector<int> ranks) : traffic(budgets, std::move(ranks)) {}
 
-  Mailbox<Issue> issues;       // the control puts, the traffic takes
-  TrafficCells traffic;        // the traffic writes
-  ControlCells control;        // the control writes
-  Bell for_traffic;            // there is an issue
-  Bell for_control;            // one was taken, or the end is asked for
-  std::atomic<int> ending{0};  // 1: leave in good order; 2: stop
+  Mailbox<Issue> issues;       // control thread to traffic thread
+  TrafficCells traffic;        // written by the traffic thread
+  ControlCells control;        // written by the control thread
+  Bell for_traffic;            // there is a new issue
+  Bell for_control;            // an issue was taken, or `ending` was set
+  std::atomic<int> ending{0};  // 1: leave gracefully; 2: stop
 };
 
 }  // namespace shorelead::fleet
--- a/src/fleet/holding.h
+++ b/src/fleet/holding.h
@@ -1,7 +1,6 @@
-// What of a plan a process's traffic may use now, and what of it is really given up. Pure. Owns the snapshot
-// in force: a plan seen lowers and closes in it at once; raising and opening is asked for by `put_in_force`
-// alone, once the record in the store says so. It must never say that something is free that the traffic may
-// still use.
+// The part of the plan that this process's traffic may use now. No I/O. Owns the snapshot in force: a plan
+// seen lowers shares and closes slots in it immediately; only `put_in_force` raises and opens, once the
+// record in the store has it. Nothing is reported as released while the traffic may still use it.
 #pragma once
 
 #include <cstdint>
@@ -21,24 +20,24 @@
   void told(const TrafficState& traffic) { traffic_ = traffic; }
   void lower_to(const Plan& plan, const MemberId& member);
   void put_in_force(const Plan& plan, const MemberId& member);
-  void end();  // nothing is in force
+  void end();  // afterwards nothing is in force
 
-  // What a process's own file allows of a plan's shares: never beyond the smaller of the two wholes.
+  // The plan's shares as limited by the own configuration: never more than the smaller of the two totals.
   Parts own_parts(const Plan& plan, const MemberId& member) const;
-  // What its record has to say while `parts` are what it may newly spend: of a count at once also what is in
-  // use, as far as the record had it; it is free only when that has ended.
+  // What the record must report while `parts` may be newly spent: for a concurrency budget also the units
+  // still in use, as far as the record had them; they are released only when they have ended.
   Parts may_use(const Parts& parts, const Parts& recorded) const;
   const Parts& parts() const { return now_.parts; }
-  // The traffic goes by the last snapshot.
+  // Whether the traffic applies the last snapshot.
   bool followed() const { return traffic_.generation >= now_.generation; }
   bool slots_quiet() const { return followed() && traffic_.slots_quiet; }
-  // After `end`: nothing of it is used any more.
+  // After `end`: whether the traffic no longer uses any of it.
   bool over() const;
 
   std::uint64_t epoch() const { return now_.epoch; }
   bool holds() const { return now_.incarnation != 0; }
   const TrafficState& traffic() const { return traffic_; }
-  std::shared_ptr<const Snapshot> take_news();  // null: the same as before
+  std::shared_ptr<const Snapshot> take_news();  // null: unchanged
 
  private:
   friend struct ModelEye;
--- a/src/fleet/lease_keeper.cpp
+++ b/src/fleet/lease_keeper.cpp
@@ -3,8 +3,8 @@
 namespace shorelead::fleet {
 
 namespace {
-constexpr double kRenewals = 3;  // within the lease's length
-constexpr double kAgain = 20;    // tries of a call that was lost, within the lease's length
+constexpr double kRenewals = 3;  // renewals per lease length
+constexpr double kAgain = 20;    // retries of a lost call per lease length
 }  // namespace
 
 void LeaseKeeper::call(bool wanted, std::uint64_t& calls, Millis now, std::vector<MemberCall>& out) {
--- a/src/fleet/lease_keeper.h
+++ b/src/fleet/lease_keeper.h
@@ -1,5 +1,5 @@
-// A process's lease at the store: asked for, renewed in time, given back. Pure. Owns from when it surely
-// holds; it must never count from the end of a call, nor from a call whose answer is not known.
+// Acquires, renews and revokes the process's lease at the store. No I/O. Its validity counts from the start
+// of the last call whose success is known.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace shorelead::fleet {
 
-// A call that awaits its answer, or none.
+// The call waiting for its answer, if any.
 struct Underway {
   std::uint64_t call = 0;
   Millis begun = 0;
@@ -27,14 +27,16 @@
  public:
   explicit LeaseKeeper(const Sharing& sharing) : sharing_(sharing) {}
 
-  // The call that is due, if one is: a lease is asked for, renewed, or given back where `wanted` is false.
+  // Appends the call that is due, if any: grants or renews the lease, or revokes it if not `wanted`.
   void call(bool wanted, std::uint64_t& calls, Millis now, std::vector<MemberCall>& out);
 
-  bool answers(std::uint64_t call) { return underway_.ended_by(call); }  // then `begun` is that call's
+  bool answers(std::uint64_t call) {
+    return underway_.ended_by(call);
+  }  // if so, `begun` is the start of that call
   Millis begun() const { return underway_.begun; }
   void granted(std::int64_t lease);
   void renewed() { held_since_ = underway_.begun; }
-  void lost(Millis now);  // the call's answer; a lease given back, or not, runs out
+  void lost(Millis now);  // the call failed; a lease being revoked expires anyway
   void forget_call();
   void gone();
 
@@ -48,10 +50,10 @@
 
   const Sharing sharing_;
   std::int64_t lease_ = 0;
-  Millis held_since_ = 0;  // when the last call was begun that surely granted or renewed it
+  Millis held_since_ = 0;  // start of the last call known to have granted or renewed it
   Millis due_ = 0;
   Underway underway_;
-  bool gives_back_ = false;  // by the call under way
+  bool gives_back_ = false;  // the call in flight is the revocation
 };
 
 }  // namespace shorelead::fleet
--- a/src/fleet/leavers.cpp
+++ b/src/fleet/leavers.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// A plan may have lowered what its record still said when that went.
+// The maximum of record and plan: a plan may be lower than what the record still held when it disappeared.
 Parts had_by(const Record& record, const std::optional<Plan>& plan, const std::string& id) {
   Parts had = record.in_force;
   const auto given = plan ? plan->shares.find(id) : std::map<std::string, Parts>::const_iterator();
@@ -40,7 +40,7 @@
     seen_[id] = {-1, record.epoch, had_by(record, plan, id), false};
   }
   if (plan) {
-    // Not seen by us: it may have had any plan in force.
+    // Its record was never seen here: it may have had any plan in force.
     for (const auto& [id, parts] : plan->shares) seen_.try_emplace(id, Seen{-1, 1, parts, false});
   }
   for (auto it = seen_.begin(); it != seen_.end();) {
--- a/src/fleet/leavers.h
+++ b/src/fleet/leavers.h
@@ -1,6 +1,6 @@
-// Whose record is gone so lately that what it sent may still be under way at the backends. Pure: what each
-// read of the store shows, with the time in. It must never count a process as out before that time has passed
-// since a read missed it, nor suppose that it saw everybody who was there before its first read.
+// Members whose record disappeared so recently that their requests may still be in flight at the backends. No
+// I/O; fed with each read of the store and its time. A member counts until the waiting time has passed since
+// the first read without it. Members from before the first read may not be known.
 #pragma once
 
 #include <map>
@@ -20,14 +20,14 @@
   Leavers(const Sharing& sharing, const std::vector<Budget>& budgets);
 
   void read(const std::vector<Record>& records, const std::optional<Plan>& plan, Millis now);
-  void begin_anew();  // what happened meanwhile is not known
+  void begin_anew();  // forgets everything, since changes may have been missed
 
-  // Still counted, by MemberId::text(): for what they had at once, or for a slot.
-  std::map<std::string, Parts> gone() const;  // with what each had at most when it was last seen
-  // Records as they would say: with the last epoch that each was seen to have, and never 0: it may have put
-  // a plan in force after that.
+  // Members still counted, by MemberId::text(), for the concurrency budgets they held.
+  std::map<std::string, Parts> gone() const;  // each with the most it may have held when last seen
+  // Substitute records for them, with the last epoch seen of each, but at least 1: it may have put a plan in
+  // force after that.
   std::vector<Record> ghosts() const;
-  // Anybody who was there before the first read is out, seen or not.
+  // Whether every member from before the first read, seen or not, no longer counts.
   Millis wait() const { return wait_; }
   bool knows_all(Millis now) const { return first_read_ >= 0 && now - first_read_ >= wait_; }
 
@@ -35,10 +35,10 @@
   friend struct ModelEye;
 
   struct Seen {
-    Millis gone = -1;  // since when; -1 = it is there
+    Millis gone = -1;  // first read without its record; -1 = it is present
     std::uint64_t epoch = 0;
-    Parts had{};       // the most of its record and the plan
-    bool out = false;  // for so long that it no longer counts, though a plan names it still
+    Parts had{};       // per budget, the maximum of its record and the plan
+    bool out = false;  // no longer counts, though a plan may still name it
   };
   Millis wait_ = 0;
   Millis first_read_ = -1;
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr double kPuts = 3;           // of the record within a lease, though nothing changed
-constexpr double kChangedPuts = 5;    // where what it tells did ...
-constexpr Millis kLongestPut = 1000;  // ... or one in so long
-constexpr double kChanged = 0.25;     // of a figure
-constexpr double kAgain = 20;         // tries of a call that was lost or refused, within a lease
-constexpr double kSmallSteps = 25;    // puts that only lower, within a lease: what is in use ends one by one
+constexpr double kPuts = 3;           // writes of the record per lease length if nothing changed
+constexpr double kChangedPuts = 5;    // writes per lease length if the reported traffic changed ...
+constexpr Millis kLongestPut = 1000;  // ... but at least one per this time
+constexpr double kChanged = 0.25;     // relative change of a value that counts as a change
+constexpr double kAgain = 20;         // retries of a lost or refused call per lease length
+constexpr double kSmallSteps = 25;    // writes per lease length that only lower: units in use end one by one
 
 bool differ(const std::map<std::string, double>& told, const std::map<std::string, double>& now) {
   return std::any_of(now.begin(), now.end(), [&told](const auto& figure) {
@@ -113,14 +113,14 @@
   modified_ = event.revision;
   put_begun_ = put_call_.begun;
   if (phase_ == Phase::kNaming) joined();
-  // Where a newer plan was seen meanwhile what it lowers is lowered already: only that one may raise.
+  // If a newer plan was seen meanwhile, its lowering is already applied and only that plan may raise.
   if (put_epoch_ != 0 && plan_ && plan_->epoch == put_epoch_) {
     ++counters_.epochs;
     holding_.put_in_force(*plan_, id_);
   }
 }
 
-// A record under our number is ours, from a call whose answer was lost, or that was done twice.
+// A record with this incarnation was written by a call whose answer was lost, or that was executed twice.
 void Member::refused(const RecordPut& event) {
   ++counters_.refused;
   put_again_ = now_ + sharing_.lease / kAgain;
@@ -186,7 +186,7 @@
     case Phase::kLeft:
       return;
     case Phase::kEnding:
-      // As long as something is in use the record has to stand.
+      // The record has to exist while any of it is in use.
       if (lease_.lease() != 0) lease_.call(!holding_.over(), calls_, now_, out.calls);
       return;
     case Phase::kNoLease:
@@ -209,7 +209,7 @@
   }
   const bool lowers = parts != record_.in_force && now_ >= lower_again_;
   const TrafficState& traffic = holding_.traffic();
-  // Ranks' loads are the signal of a shortage: they are told as often as they may be.
+  // The loads of the ranks signal overload, so they are reported as often as allowed.
   const bool changed = !traffic.ranks.empty() || differ(record_.demand, traffic.demand) ||
                        differ(record_.spent, traffic.spent);
   if (!acknowledges && !lowers && modified_ != 0 && now_ < (changed ? put_soon_ : put_due_)) return;
--- a/src/fleet/member.h
+++ b/src/fleet/member.h
@@ -1,20 +1,20 @@
-// One process's side of the sharing: its incarnations, the plan it has seen, what its record says. Pure:
-// events with the time in, calls to the store and snapshots for the traffic out. Owns the order: lower, wait
-// for the traffic, write the record, raise. It must never hand out a raise that no record has, nor count
-// validity from the end of a call.
+// A process as a member of the fleet: its incarnations, the plan it has seen, the contents of its record. A
+// state machine without I/O: takes events with the time, returns calls to the store and snapshots for the
+// traffic. Keeps the order: lower, wait for the traffic, write the record, raise. A raise is published only
+// once the record has it, and validity counts from the start of a call.
 //
-// Why what is published never exceeds what the record in the store says, whatever answers are lost, late or
-// doubled: one call that writes the record is under way at a time, and each compares the modification that
-// the last one known to be done made. So of all calls whose fate is unknown at most one more can ever be
-// done, and then the next fails and reads what stands. Each of them says at least what was published when it
-// was begun; from then on what is published only falls, until an answer says that a later one was done; and
-// with that every earlier one is barred.
+// What is published never exceeds the record in the store, even if answers are lost, late or duplicated. Only
+// one call that writes the record is in flight at a time, and each compares the modification revision of the
+// last one known to have succeeded. So of all calls with unknown outcome at most one can still succeed; the
+// next one then fails its comparison and reads the current record. Each call writes at least what was
+// published when it started; after that the published shares only fall until the answer to a later call
+// reports success, which rules out every earlier call.
 //
-// A share whose validity lapsed is not over: when a later transaction finds the record as it was, the lease
-// never ran out, and nobody was given anything of it; it goes on. When it does not, the incarnation ends:
-// nothing is in force, the traffic is waited for, the process joins anew under another number.
+// A share whose validity has lapsed may resume: if a later transaction finds the record unchanged, the lease
+// never expired and no other process was given any of the share. Otherwise the incarnation ends: nothing is
+// in force, the traffic is waited for, and the process joins again under another incarnation number.
 //
-// Times are a clock's that goes on while the machine sleeps (CLOCK_BOOTTIME), in ms.
+// Times are in ms of a clock that keeps running while the machine is suspended (CLOCK_BOOTTIME).
 #pragma once
 
 #include <cstdint>
@@ -34,15 +34,15 @@
 namespace shorelead::fleet {
 
 struct MemberCounters {
-  std::uint64_t joined = 0;      // incarnations begun
+  std::uint64_t joined = 0;      // incarnations started
   std::uint64_t ended = 0;       // incarnations that ended: lease or record gone, history lost, left
-  std::uint64_t lapsed = 0;      // times that validity ran out
+  std::uint64_t lapsed = 0;      // times the validity expired
   std::uint64_t lost = 0;        // calls without an answer
-  std::uint64_t refused = 0;     // puts of the record whose comparison failed
-  std::uint64_t histories = 0;   // that were lost
-  std::uint64_t epochs = 0;      // put in force
-  std::uint64_t older = 0;       // plans kept out: older, or of another history
-  std::uint64_t name_taken = 0;  // tries to join under a name that another process has
+  std::uint64_t refused = 0;     // writes of the record whose comparison failed
+  std::uint64_t histories = 0;   // lost histories of the store
+  std::uint64_t epochs = 0;      // plans put in force
+  std::uint64_t older = 0;       // plans ignored: older, or of another history
+  std::uint64_t name_taken = 0;  // attempts to join under a name that another process has
 };
 
 class Member {
@@ -54,20 +54,20 @@
 
   Millis valid_until() const;
   std::uint64_t incarnation() const { return phase_ == Phase::kIn ? id_.incarnation : 0; }
-  std::uint64_t epoch() const { return holding_.epoch(); }  // in force whole
-  std::int64_t lease() const { return lease_.lease(); }     // 0 = none; the planner stands under it
-  Millis lease_until() const;                               // surely there until then
+  std::uint64_t epoch() const { return holding_.epoch(); }  // of the plan fully in force
+  std::int64_t lease() const { return lease_.lease(); }     // 0 = none; the planner campaigns under it
+  Millis lease_until() const;                               // the lease certainly exists until then
   bool left() const { return phase_ == Phase::kLeft; }      // after Leave
   const MemberCounters& counters() const { return counters_; }
 
  private:
-  friend struct ModelEye;  // the model's search of all states tells them apart by it
+  friend struct ModelEye;  // the model checker compares states through it
 
   enum class Phase {
     kNoLease,
-    kNaming,  // a lease, and no record yet
+    kNaming,  // has a lease, but no record yet
     kIn,
-    kEnding,  // nothing is in force any more; the traffic is waited for, then the lease given back
+    kEnding,  // nothing in force; waits for the traffic, then revokes the lease
     kLeft,
   };
 
@@ -82,7 +82,7 @@
   void on(const Tick&) {}
   void on(const Leave&);
 
-  bool hear(const Header& header, Millis begun);  // whether what came with it counts
+  bool hear(const Header& header, Millis begun);  // false: the answer is to be ignored
   void refused(const RecordPut& event);
   void joined();
   void end_incarnation();
@@ -106,21 +106,21 @@
   Holding holding_;
 
   MemberId id_;
-  Record record_;               // as the last call known to be done wrote it
-  std::uint64_t modified_ = 0;  // by it; 0 = there is none
-  Millis put_begun_ = -1;       // of the last such call; -1 = none
+  Record record_;               // as written by the last call known to have succeeded
+  std::uint64_t modified_ = 0;  // its modification revision; 0 = there is no record
+  Millis put_begun_ = -1;       // start of that call; -1 = none
 
   Underway put_call_;
-  Record put_;                   // that the call under way writes
-  std::uint64_t put_epoch_ = 0;  // of the plan that it acknowledges; 0 = none
-  Millis put_due_ = 0;           // the next, though nothing changed
-  Millis put_soon_ = 0;          // the next, where what is told of the traffic did
-  Millis put_again_ = 0;         // not before, whatever changed
-  Millis lower_again_ = 0;       // not before, where it only lowers
-
-  std::optional<Plan> plan_;  // the newest seen in this history
+  Record put_;                   // what the call in flight writes
+  std::uint64_t put_epoch_ = 0;  // of the plan it acknowledges; 0 = none
+  Millis put_due_ = 0;           // next write even if nothing changed
+  Millis put_soon_ = 0;          // next write if the reported traffic changed
+  Millis put_again_ = 0;         // no write before, whatever changed
+  Millis lower_again_ = 0;       // no write before if it only lowers
+
+  std::optional<Plan> plan_;  // newest seen in this history
   std::uint64_t plan_modified_ = 0;
-  bool plan_passed_ = false;  // the store has a newer one
+  bool plan_passed_ = false;  // the store has a newer plan
 };
 
 }  // namespace shorelead::fleet
--- a/src/fleet/member_events.h
+++ b/src/fleet/member_events.h
@@ -1,5 +1,4 @@
-// What passes between a process's side of the sharing (member.h), its traffic and its client of the store.
-// Pure data.
+// Events and calls between the member (member.h), the traffic and the client of the store. Plain data.
 #pragma once
 
 #include <cstdint>
@@ -16,29 +15,29 @@
 
 namespace shorelead::fleet {
 
-// What traffic goes by; immutable once published.
+// What the traffic thread applies; immutable once published.
 struct Snapshot {
-  std::uint64_t generation = 0;   // never the same twice in one process
-  std::uint64_t incarnation = 0;  // whose validity counts; with any other's nothing of it may be used
-  std::uint64_t epoch = 0;        // of the plan in force whole
+  std::uint64_t generation = 0;   // unique within one process
+  std::uint64_t incarnation = 0;  // usable only while this incarnation is valid
+  std::uint64_t epoch = 0;        // of the plan fully in force
   Parts parts;
-  CutOff cut_off;                           // the last one in force; it goes on without the store
-  std::map<std::string, SlotMap> affinity;  // what may be used: closed slots closed, opened ones open
+  CutOff cut_off;  // the last one in force; applies also while the store is unreachable
+  std::map<std::string, SlotMap> affinity;  // open slots may be used
 };
 
-// What the traffic tells, read from its cells.
+// What the traffic reports, read from its cells.
 struct TrafficState {
-  std::uint64_t generation = 0;          // of the snapshot in force there
+  std::uint64_t generation = 0;          // of the snapshot in force on the traffic thread
   std::map<std::string, double> in_use;  // by budget of kind kAtOnce: AtOnceShare::beyond_reserve
   std::map<std::string, double> demand;  // by budget
   std::map<std::string, double> spent;   // by budget
   std::map<int, RankLoad> ranks;
   double room = 1;
-  bool slots_quiet = true;  // nothing is under way in a slot that the snapshot in force has closed
+  bool slots_quiet = true;  // no request in flight in a slot that the snapshot in force has closed
 };
 
-// Calls to the store. Each is answered by exactly one event with the same `call`, or by Lost; the client
-// gives up by itself after a while, and tells Lost.
+// Calls to the store. Each is answered by exactly one event with the same `call`, or by Lost, which the
+// client also sends after its own timeout.
 struct GrantLease {
   std::uint64_t call;
   Millis length;
@@ -47,9 +46,9 @@
   std::uint64_t call;
   std::int64_t lease;
 };
-// Creates the record (`modified` == 0: only where there is none) or changes it (only where it was last
-// modified at that revision), and only where the plan was last modified at `plan_modified` unless that is 0.
-// One transaction; where a comparison fails it reads the record and the plan's modification instead.
+// In one transaction creates the record (`modified` == 0: only if there is none) or changes it (only if its
+// modification revision is `modified`), and only if the plan's modification revision is `plan_modified`,
+// unless that is 0. If a comparison fails it reads the record and the plan's modification revision instead.
 struct PutRecord {
   std::uint64_t call;
   std::int64_t lease;
@@ -70,16 +69,16 @@
 };
 struct Renewed {
   std::uint64_t call;
-  bool there;  // no: it ran out, or the store forgot it
+  bool there;  // false: it expired, or the store lost it
   Header header;
 };
 struct RecordPut {
   std::uint64_t call;
-  bool done;                    // no: a comparison failed
-  std::uint64_t revision;       // done: of the record's modification
-  std::optional<Record> own;    // not done: what stands under the name; none = nothing, or unreadable
-  std::uint64_t own_modified;   // and when it was modified; 0 = nothing stands there
-  std::uint64_t plan_modified;  // not done: when the plan was
+  bool done;                    // false: a comparison failed
+  std::uint64_t revision;       // done: new modification revision of the record
+  std::optional<Record> own;    // not done: the record under this name; nullopt = none, or unreadable
+  std::uint64_t own_modified;   // its modification revision; 0 = there is none
+  std::uint64_t plan_modified;  // not done: modification revision of the plan
   Header header;
 };
 struct Revoked {
@@ -88,34 +87,34 @@
 };
 struct Lost {
   std::uint64_t call;
-};  // no answer, or one that cannot be read; it may have been done or not, or be done later
+};  // no answer, or an unreadable one; the call may or may not take effect, also later
 struct PlanSeen {
   Plan plan;
   std::uint64_t modified;
   Header header;
   Millis begun;  // as in History::heard
-};               // as a range or watch told it
+};               // as read by a range or a watch
 struct Traffic {
   TrafficState state;
 };
-// Any other answer.
+// The header of any other answer.
 struct Heard {
   Header header;
   Millis begun;
 };
 struct Tick {};
-struct Leave {};  // the process ends in good order
+struct Leave {};  // the process shuts down gracefully
 using MemberEvent =
     std::variant<Granted, Renewed, RecordPut, Revoked, Lost, PlanSeen, Traffic, Heard, Tick, Leave>;
 
 struct MemberOut {
   std::vector<MemberCall> calls;
-  std::shared_ptr<const Snapshot> publish;  // null: nothing new
-  // The traffic uses a snapshot's parts and slots only while both hold: its incarnation is this one, and the
-  // time read at the request at hand is under `valid_until`. They are told together.
+  std::shared_ptr<const Snapshot> publish;  // null: unchanged
+  // The traffic uses a snapshot's parts and slots only while its incarnation is this one and the time read
+  // for the request at hand is before `valid_until`. Both are published together.
   std::uint64_t incarnation = 0;
   Millis valid_until = 0;  // never falls while the incarnation is the same
-  Millis next = 0;         // tick again by then
+  Millis next = 0;         // time by which the next Tick is due
 };
 
 }  // namespace shorelead::fleet
--- a/src/fleet/port.cpp
+++ b/src/fleet/port.cpp
@@ -70,7 +70,7 @@
 
 void Port::begin_reserve(Millis now, Millis before) {
   for (std::size_t n = 0; n < shares_.size(); ++n) {
-    // Only of a count at once does what was begun go on.
+    // Only units of a concurrency budget stay in use after they were spent.
     const bool lasts = budgets_[n].kind == BudgetKind::kAtOnce;
     reserve_from(n, now + (lasts ? std::max(0.0, before - budgets_[n].hold) : 0), now);
   }
@@ -84,13 +84,13 @@
   const bool another = next.incarnation != incarnation_;
   for (std::size_t n = 0; n < budgets_.size(); ++n) {
     const auto part = next.parts.find(budgets_[n].name);
-    // Of another incarnation: what was saved up of the one before is nothing of its.
+    // Another incarnation: tokens saved by the previous one do not belong to it.
     if (another) set(n, {}, now, until_now);
     set(n, part == next.parts.end() ? Part{} : part->second, now, another ? valid_until() : until_now);
     count_in_use(n, now);
   }
   incarnation_ = next.incarnation;
-  // Before the generation: who reads that finds no older word on its slots.
+  // Before the generation, so that a reader of the generation finds the matching state of the slots.
   if (!closes(next)) channel_->traffic.slots_quiet.announce(next.generation);
   channel_->traffic.generation.announce(next.generation);
   channel_->for_control.ring();
@@ -153,7 +153,7 @@
 
 RankCells* Port::rank(int rank) {
   TrafficCells& cells = channel_->traffic;
-  const auto same = static_cast<std::size_t>(rank);  // as a rule they are numbered in their order
+  const auto same = static_cast<std::size_t>(rank);  // fast path: ranks are usually numbered 0, 1, 2, ...
   if (same < cells.ranks.size() && cells.ranks[same] == rank) return &cells.loads[same];
   for (std::size_t n = 0; n < cells.ranks.size(); ++n) {
     if (cells.ranks[n] == rank) return &cells.loads[n];
--- a/src/fleet/port.h
+++ b/src/fleet/port.h
@@ -1,6 +1,7 @@
-// The traffic's end of the fleet: what may be spent, asked for and counted on one thread, the traffic's. Owns
-// the shares of all budgets and the snapshot in force. It must never lock, wait or allocate on a request's
-// path, and never go by a snapshot whose incarnation is over or whose time has run out.
+// The traffic thread's interface to the fleet: spends the shares of all budgets and counts what was spent.
+// Owns those shares and the snapshot in force. Used on the traffic thread only. Calls on a request's path
+// neither lock, wait nor allocate. A snapshot whose incarnation has ended or whose validity has expired is
+// not used.
 #pragma once
 
 #include <cstdint>
@@ -23,29 +24,30 @@
 
   static Millis now() { return boot_now(); }
 
-  // The reserve is one's alone, of all that stand in for one another: not this one's from now on; or this
-  // one's, where what was begun with it before is over within `before`. Untold it begins with the first call.
+  // Of the processes of one hot restart only one has the reserve. `cease_reserve`: this one no longer has it.
+  // `begin_reserve`: this one has it, and what a predecessor began with it ends within `before`. If neither
+  // is called, the reserve starts with the first call.
   void cease_reserve(Millis now);
   void begin_reserve(Millis now, Millis before);
 
-  // Once for each turn of the loop, and when `wake_fd` is readable: puts the newest snapshot in force, if
-  // there is a newer one. Whether there was; then slots that it closed count as busy until `slots_quiet`.
+  // Puts the newest snapshot in force; to be called once per turn of the loop and when `wake_fd` is readable.
+  // Returns whether there was a newer one; then the slots it closed count as busy until `slots_quiet`.
   bool take_up();
   int wake_fd() const { return channel_->for_traffic.fd(); }
 
-  // `now`: read for the request at hand. `budget`: its place in the configuration.
+  // `now`: read for the request at hand. `budget`: its index in the configuration.
   Spent spend(std::size_t budget, Millis now);
-  void end(std::size_t budget, Millis now);     // of so many at once: one of those spent is over
-  void taken(std::size_t budget, Millis now);   // of further attempts: a request was
-  double left(std::size_t budget, Millis now);  // of further attempts: how many may be spent
+  void end(std::size_t budget, Millis now);     // kAtOnce: releases one unit spent
+  void taken(std::size_t budget, Millis now);   // kAttempts: counts an accepted request
+  double left(std::size_t budget, Millis now);  // kAttempts: how many may be spent
 
-  // What may be gone by at `now`: null where there is none, or it ran out. The last one goes on being known.
+  // The snapshot valid at `now`, or null. `last` also returns one that has expired.
   const Snapshot* valid(Millis now) const;
   const Snapshot* last() const { return issue() == nullptr ? nullptr : issue()->snapshot.get(); }
 
-  void slots_quiet();  // nothing is under way in a slot that the snapshot in force has closed
+  void slots_quiet();  // no request is in flight in a slot that the snapshot in force has closed
   void room(double share) { channel_->traffic.room.set(share); }
-  RankCells* rank(int rank);  // null where the configuration has no such rank
+  RankCells* rank(int rank);  // null if the configuration has no such rank
   const TrafficCells& cells() const { return channel_->traffic; }
 
  private:
@@ -62,13 +64,13 @@
   const std::shared_ptr<Channel> channel_;
   const std::vector<Budget> budgets_;
   std::vector<Share> shares_;
-  struct Peak {  // the most in use since `began`, and in the half second before
+  struct Peak {  // highest concurrent use since `began`, and in the half second before it
     Millis began = 0;
     double now = 0;
     double before = 0;
   };
   std::vector<Peak> peaks_;
-  std::uint64_t incarnation_ = 0;  // of the parts that are set
+  std::uint64_t incarnation_ = 0;  // to which the parts set belong
 };
 
 }  // namespace shorelead::fleet
