--- a/src/fleet/control.cpp
+++ b/src/fleet/control.cpp
@@ -14,10 +14,10 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr Millis kReadEvery = 100;   // the traffic's cells
-constexpr Millis kReadEagerly = 20;  // while it has not followed, or what is in use has to come down
+constexpr Millis kReadEvery = 100;   // interval for reading the traffic's cells
+constexpr Millis kReadEagerly = 20;  // while the traffic has not followed, or use has to come down
 constexpr Millis kLogEvery = 1000;
-constexpr Millis kSoonest = 1;  // a tick that is due again at once must not starve the sockets
+constexpr Millis kSoonest = 1;  // lower bound of timers: a tick that is due again must not starve the sockets
 
 struct BellHandler : net::Watch::Handler {
   explicit BellHandler(std::function<void()> rung) : on_rung(std::move(rung)) {}
@@ -44,7 +44,7 @@
               [this](const PlannerEvent& event) { planner(event); },
               [this](const std::string& text) { trouble(text); }}) {
   watch_bell();
-  // Signals are the first thread's: the new one is born with all of them blocked.
+  // Signals are handled on the main thread: the new thread starts with all of them blocked.
   sigset_t all;
   sigset_t before;
   sigfillset(&all);
@@ -106,18 +106,18 @@
   tell_planner_of_lease();
 }
 
-// The parts and until when they hold are told together: a snapshot with its incarnation's validity.
+// Publishes a snapshot together with the validity of its incarnation.
 void Control::publish(const MemberOut& out) {
   const std::uint64_t incarnation = out.incarnation;
   if (validity_ && validity_->incarnation != incarnation) {
-    validity_->until.store(0, std::memory_order_release);  // it is over, whatever the traffic still has
+    validity_->until.store(0, std::memory_order_release);  // ended, whatever snapshot the traffic still has
     validity_ = nullptr;
   }
   if (!validity_) {
     validity_ = std::make_shared<Validity>();
     validity_->incarnation = incarnation;
   }
-  // A snapshot of an incarnation that has ended gets a validity that never begins.
+  // A snapshot of an ended incarnation gets a validity that is never set.
   if (incarnation != 0 && out.valid_until > validity_->until.load(std::memory_order_relaxed)) {
     validity_->until.store(out.valid_until, std::memory_order_release);
   }
--- a/src/fleet/control.h
+++ b/src/fleet/control.h
@@ -1,7 +1,7 @@
-// The thread that takes part in the fleet: a loop of its own in which the member and the planner get what the
-// store and the traffic tell, and their calls are carried out. Owns that thread and all it works with. It
-// must never touch the traffic's shares, nor make the traffic wait; without a fleet in the configuration
-// there is none of this.
+// The control thread of the fleet: an event loop that feeds the member and the planner with events from the
+// store and the traffic, and executes their calls. Owns the thread and everything used on it. It neither
+// touches the traffic thread's shares nor makes that thread wait. Only created if the configuration has a
+// fleet.
 #pragma once
 
 #include <cstdint>
@@ -25,24 +25,24 @@
   StoreSpec store;
   Sharing sharing;
   std::vector<Budget> budgets;
-  std::string name;  // of this process: no other of the fleet has it
+  std::string name;  // of this process, unique in the fleet
   std::string zone;
   double weight = 1;
-  std::vector<std::shared_ptr<PlanShaper>> shapers;  // used on the control's thread only
-  std::uint64_t seed = 0;                            // another in each process, and in each of its runs
-  std::function<void(const std::string&)> log;       // called on the control's thread
+  std::vector<std::shared_ptr<PlanShaper>> shapers;  // used on the control thread only
+  std::uint64_t seed = 0;                            // different in each process and each run
+  std::function<void(const std::string&)> log;       // called on the control thread
 };
 
 class Control {
  public:
-  // Throws std::runtime_error where the store's TLS files are of no use.
+  // Throws std::runtime_error if the store's TLS files cannot be used.
   Control(const ControlSpec& spec, std::shared_ptr<Channel> channel);
-  ~Control();  // stops at once: shares that stand run out with the lease
+  ~Control();  // stops immediately; the shares expire with the lease
   Control(const Control&) = delete;
   Control& operator=(const Control&) = delete;
 
-  // From any thread: gives everything back, for which the traffic has to take up what comes, and end what is
-  // in use. `left`, once that is done; the caller waits as long as it likes.
+  // From any thread: starts to release all shares, for which the traffic thread must keep taking up snapshots
+  // and end what is in use. `left` is true once that is done; the caller decides how long to wait.
   void leave();
   bool left() const { return channel_->control.left.heard() != 0; }
 
--- a/src/fleet/division.cpp
+++ b/src/fleet/division.cpp
@@ -7,13 +7,13 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr double kNone = 1e-9;  // less than this is rounding
+constexpr double kNone = 1e-9;  // tolerance for rounding errors
 
 double whole_units(double value) { return std::floor(value + kNone); }
 
-// Somebody that takes part in a division, in units or in parts of one.
+// One participant of a division, in units or fractions of one.
 struct Taker {
-  double least = 0;  // whatever it asks for
+  double least = 0;  // whatever its demand
   double claim = 0;
   double most = 0;
 };
@@ -34,7 +34,7 @@
   return low;
 }
 
-// Water-filling: everybody's claim up to one level, then what is over in equal parts.
+// Water-filling: every claim up to a common level, then the remainder in equal parts.
 std::vector<double> fill(const std::vector<Taker>& takers, double total) {
   const auto asked = [](const Taker& t, double l) {
     return std::min(t.most, std::max(t.least, std::min(t.claim, l)));
@@ -47,9 +47,8 @@
   return out;
 }
 
-// Whole units next to `targets`, in the order given, with the same sum up to rounding: each gets its target
-// rounded down or up. A phase that runs from 0 to 1 rounds each up as often as its target's fraction is
-// large.
+// Rounds each target down or up to whole units, keeping the sum up to rounding. Over phases from 0 to 1 each
+// target is rounded up as often as its fraction is large.
 std::vector<double> rounded(const std::vector<double>& targets, double phase, double most) {
   std::vector<double> out;
   double sum = phase;
@@ -100,7 +99,8 @@
   Millis fill = budget.window;
   if (budget.kind == BudgetKind::kRate) fill = all.amount > 0 ? 1000 * units / all.amount : 0;
   if (budget.kind == BudgetKind::kAtOnce) fill = 0;
-  // A unit stays with one process for `units` steps: most of that after it was handed over and filled.
+  // A unit stays with one process for `units` steps; most of that time is after it was transferred and
+  // filled.
   const double turns = 4 * (fill / sharing.plan_every + 2) / units;
   return static_cast<std::uint64_t>(std::ceil(std::clamp(turns, 1.0, 1e6)));
 }
@@ -126,14 +126,14 @@
                                   (had == r.in_force.end() ? 0 : had->second.amount) + reserve.amount);
     const double proven = std::max(2 * spent + 1, all.amount / n);
     double claim = std::max(0.0, figure(r.demand, budget.name) - reserve.amount);
-    // Who has just come has not been asked for anything yet, and is soon asked like the others.
+    // A new process has received no requests yet, but will soon receive as many as the others.
     if (rate && units >= n && had == r.in_force.end()) claim = std::max(claim, all.amount / n);
     takers.push_back({budget.least_part * all.amount / n, std::min(claim, proven),
                       std::max(std::min(1.0, all.amount), budget.most_part * budget.whole)});
   }
   std::vector<double> targets = fill(takers, all.amount);
 
-  // Units. A rate's burst is one for each as far as it goes, the rest as the rate.
+  // Whole units. Of a rate's burst each process gets one unit if there are enough; the rest follows the rate.
   std::vector<double> parts = targets;
   const double each = units >= n ? 1 : 0;
   if (rate) {
@@ -141,7 +141,7 @@
     for (double& p : parts) p = each + p / sum * (units - each * n);
   }
   const bool round = std::any_of(parts.begin(), parts.end(), [](double p) { return p < 1 - kNone; });
-  // Steps of a little less than one in n, so that they come between those of the round before.
+  // Steps slightly below 1/n, so that they fall between those of the previous rotation.
   const double step = static_cast<double>(turn / turns_each(budget, sharing)) / (n + 0.618);
   const std::vector<double> whole = rounded(parts, round ? step - std::floor(step) : 0, units);
   for (std::size_t k = 0; k < order.size(); ++k) {
--- a/src/fleet/division.h
+++ b/src/fleet/division.h
@@ -1,6 +1,5 @@
-// The planner's decision: who gets how much. Pure: the plan that stands, what the records say at one
-// revision, out comes the next plan or none. It must never give anybody more than the invariant of plan.h
-// leaves.
+// Computes how much of each budget every process gets. No I/O: from the current plan and the records at one
+// revision to the next plan, or none. No process gets more than the invariant of plan.h allows.
 #pragma once
 
 #include <cstdint>
@@ -16,66 +15,68 @@
 
 namespace shorelead::fleet {
 
-// What one process may spend without any plan, of `Sharing::most_processes` that are as large. Whole units,
-// of the burst where it is a rate: there one unit each where all of them together are at most half of the
-// burst; none where it would be less than a unit.
+// What one process may spend without a plan: one of `Sharing::most_processes` equal reserves. In whole units,
+// for a rate of the burst. A rate's reserve has at least one unit if that uses at most half of the burst; any
+// other reserve below one unit is nothing.
 Part reserve_of(const Budget& budget, const Sharing& sharing);
 
 // What a plan may divide: the whole less everybody's reserve; whole units, of the burst where it is a rate.
 Part divisible(const Budget& budget, const Sharing& sharing);
 
-// Divides one budget by demand, as high as possible at one level for all who ask for more (max-min): a least
-// part for each, what nobody asks for in equal parts, nobody over `most_part`. What a record claims counts up
-// to an equal part; beyond it at most twice what it spent of what it had, and a unit: who claims and does not
-// spend gains nothing, and a true demand doubles with each division. Of a rate, who has nothing yet
-// counts as if it asked for an equal part. Where somebody would have less than one
-// unit, units go round with `turn`, a step every `turns_each` of them, each process as often as its part is
-// large. The result adds up to at most `divisible`; it is in the order of `records`, whose order does not
-// matter otherwise.
+// Divides one budget by demand with max-min fairness (water-filling): a minimum part for each process, the
+// remainder that no process demands in equal parts, no process above `most_part`. Reported demand counts in
+// full up to an equal part, beyond that at most twice what the process spent of its share, plus one unit. So
+// a process that demands but does not spend gains nothing, and real growth can double with each division. For
+// a rate, a process without a share counts as demanding an equal part. If some process would get less than
+// one unit, units rotate with `turn`, one step every `turns_each` turns, each process as often as its part is
+// large. The result adds up to at most `divisible` and is in the order of `records`; that order has no other
+// influence.
 std::vector<Part> divide(const Budget& budget, const Sharing& sharing, const std::vector<Record>& records,
                          std::uint64_t turn);
 
-// Amounts are written in few digits: `value` cut to a millionth of the whole, in decimals.
+// Rounds `value` down to about a millionth of the whole in decimal digits, so that plans stay short.
 double grained(double value, double whole);
 
-// Turns between two steps of units that go round: long enough that what a process is handed can be spent.
+// Turns between two steps of the rotation: long enough that a process can spend the unit it was given.
 std::uint64_t turns_each(const Budget& budget, const Sharing& sharing);
 
 struct PlannerInput {
   std::vector<Budget> budgets;
   Sharing sharing;
-  std::optional<Plan> plan;     // that stands; none = there is none yet, or none that can be read
-  std::vector<Record> records;  // all members' at one revision at or after the plan's
+  std::optional<Plan> plan;     // the current plan; nullopt = there is none, or it is unreadable
+  std::vector<Record> records;  // of all members, at one revision not before the plan's
   std::uint64_t fence = 0;
-  // One history was heard for a whole lease, and there is neither a plan nor a record that cannot be read:
-  // else nobody gets more than his record says, or the plan that stands.
+  // The same history has been observed for a whole lease, and every plan and record can be read. Otherwise no
+  // process gets more than its record or the current plan has.
   bool may_raise = false;
-  // Though others may be raised, what counts at once may not: what a lost history's shares began may be under
-  // way for the longest `hold` more. A rate, or a count in a window, is spent when it is let through.
+  // Concurrency budgets may not be raised yet: requests admitted under a lost history may stay in flight for
+  // the longest `hold`. Rates and counts per window are spent at admission and need no such wait.
   bool at_once_waits = false;
-  // Members of the standing plan whose record is gone for less than the longest `hold`, by MemberId::text():
-  // what they had at once may still be in use at the backends, so that their parts of that kind stand.
-  // With the most that each had since it was last seen: its record's, or the plan's that stood then.
+  // Members of the current plan whose record disappeared less than the longest `hold` ago, by
+  // MemberId::text(). Their concurrent requests may still be in flight at the backends, so their parts of
+  // concurrency budgets are kept: the maximum of the record last seen and the plan at that time.
   std::map<std::string, Parts> lately_gone;
 };
 
-// The next plan with the aim of `divide`, cut to what max(record, old, new) leaves; nothing where it would
-// change nothing worth a write: nobody has use for more, or less than a unit or 5% of an equal part would
-// move. Members without a record are dropped, new ones begin at nothing. `wholes` is that of the planner's
-// file. `cut_off` and `affinity` are taken over from the old plan, for others to change.
+// The next plan: the targets of `divide`, limited to what max(record, old, new) of the others leaves. nullopt
+// if the change is not worth a write: no process can use more, or less than a unit or 5% of an equal part
+// would move. Members without a record are dropped, new ones start with nothing. `wholes` come from the
+// planner's own configuration. `cut_off` and `affinity` are copied from the old plan, for the shapers to
+// change.
 std::optional<Plan> next_plan(const PlannerInput& input, std::uint64_t turn);
 
-// Whether a plan leaves something of a budget to nobody, or a slot closed, as it does while what was lowered
-// or closed is not acknowledged: then it is worth looking again soon.
+// Whether a plan leaves part of a budget unassigned or a slot closed, as it does until members have
+// acknowledged what was lowered or closed. The planner then starts its next round sooner.
 bool unfinished(const Plan& plan, const std::vector<Budget>& budgets, const Sharing& sharing);
 
 // max(record, plan) of one process for one budget.
 Part bound_of(const Plan* plan, const Record* record, const std::string& member, const std::string& budget);
 
-// What a process may spend of its parts in a plan: where the plan was made from larger wholes than its own
-// file states, each is cut in proportion; so nobody spends beyond the smaller of the two. A budget that the
-// plan or the file lacks, or that is a rate in one of them only, gives nothing. Reserves are each file's own:
-// while two versions that differ in them run side by side, a sum may be over by the difference.
+// What a process may spend of its parts in a plan. If the plan was computed from larger totals than its own
+// configuration has, each part is cut in proportion, so that no process spends beyond the smaller of the two.
+// A budget that is missing in the plan or in the configuration, or is a rate in only one of them, gives
+// nothing. Reserves come from each process's own configuration: while two versions with different reserves
+// run side by side, the sum may exceed the whole by the difference.
 Parts usable(const Parts& parts, const std::map<std::string, Part>& wholes,
              const std::vector<Budget>& budgets);
 
--- a/src/fleet/json.h
+++ b/src/fleet/json.h
@@ -1,6 +1,6 @@
-// Private to the two documents' texts: reads fields of JSON so that the first thing wrong is the cause and
-// everything after it is nothing; writes figures that are always readable. It must never let a figure pass
-// that is negative, beyond its bound or of another type.
+// JSON helpers of the two documents. The reader keeps the first error as the cause and returns empty values
+// after it; a number that is negative, out of range or of another type is an error. The writer writes only
+// numbers that the reader accepts.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -26,20 +26,21 @@
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
 constexpr double kMost = 1e12;
-constexpr std::uint64_t kMostCount = 1'000'000'000'000'000;  // of epochs and revisions: exact as a double too
+constexpr std::uint64_t kMostCount =
+    1'000'000'000'000'000;  // of epochs and revisions; also exact as a double
 constexpr std::uint64_t kAny = UINT64_MAX;
 constexpr std::size_t kMostName = 200;
 constexpr std::size_t kMostMember = kMostName + 21;  // NAME#INCARNATION
 
-// Makes a document of a text. Numbers are read by the standard library: RapidJSON's own are either not exact
-// or, for 0e111, shift by what is undefined.
+// Parses a text into a document. Numbers are parsed by the standard library: RapidJSON's own conversion is
+// either inexact or, for 0e111, shifts by an undefined amount.
 struct Parser : rapidjson::BaseReaderHandler<rapidjson::UTF8<>, Parser> {
   explicit Parser(std::string_view text) : text(text) {}
   bool operator()(rapidjson::Document& document) {
     to = &document;
     rapidjson::MemoryStream bytes(text.data(), text.size());
     rapidjson::EncodedInputStream<rapidjson::UTF8<>, rapidjson::MemoryStream> stream(bytes);
-    // Without recursion, so that nesting costs no stack.
+    // Iterative, so that deep nesting uses no stack.
     result =
         rapidjson::Reader().Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseNumbersAsStringsFlag>(
             stream, *this);
@@ -76,7 +77,7 @@
     if (ok()) cause_ = what.empty() ? "broken" : what;
   }
 
-  // The document itself, of our form.
+  // The root object; its format version must be supported.
   const Value& root(rapidjson::Document& document, std::string_view text) {
     if (text.find('\0') != std::string_view::npos) fail("a byte 0");
     Parser parser(text);
@@ -99,7 +100,7 @@
     fail(std::string("there is no ").append(name));
     return kNothing;
   }
-  // Also of what `field` did not find: then it has no elements and no members.
+  // Empty after an error, also for a field that was not found.
   const Value& array(const Value& value, const char* what) {
     static const Value kEmpty(rapidjson::kArrayType);
     if (ok() && !value.IsArray()) fail(std::string(what).append(" is no list"));
@@ -130,13 +131,13 @@
     if (ok() && value.GetStringLength() > most) fail(std::string(what).append(" is too long a name"));
     return ok() ? std::string(value.GetString(), value.GetStringLength()) : "";
   }
-  // A number, or the amount and the burst.
+  // A number (the amount), or a list of the amount and the burst.
   Part part(const Value& value, const char* what) {
     if (!ok() || !value.IsArray()) return {figure(value, what), 0};
     if (value.Size() != 2) fail(std::string(what).append(" has not two figures"));
     return ok() ? Part{figure(value[0], what), figure(value[1], what)} : Part{};
   }
-  // Every member of an object once, as `read(reader, value)` reads it.
+  // Reads all members of an object with `read(value)`; a duplicate name is an error.
   template <typename Map, typename Read>
   void map(const Value& value, const char* what, std::size_t most, Map& out, Read read) {
     for (const auto& m : object(value, what).GetObject()) {
@@ -156,7 +157,7 @@
 inline void name(Writer& w, std::string_view value) {
   w.Key(value.data(), static_cast<rapidjson::SizeType>(value.size()));
 }
-// What could not be read again counts as its nearest bound.
+// A value out of range is written as the nearest bound.
 inline void figure(Writer& w, double value) {
   const double v = value >= 0 ? std::min(value, kMost) : 0;
   if (v == std::floor(v)) {
--- a/src/fleet/latest_header.h
+++ b/src/fleet/latest_header.h
@@ -1,7 +1,7 @@
-// The latest that a client of the store has heard of it, and what is to be believed of the next answer's
-// header. Pure. etcd answers transactions, ranges and grants with a revision of the whole store, but
-// keepalives and watches with that of the member asked, which may lag: of those only the cluster counts, and
-// a revision above all heard before. It must never make a member that lags look like a lost history.
+// The latest header that the client has received, and the effective header of the next answer. No I/O. etcd
+// answers transactions, ranges and grants with the revision of the whole store, but keepalives and watches
+// with that of the answering member, which may lag. Of those only the cluster id counts, and a revision above
+// all received before; so a lagging member does not look like a lost history.
 #pragma once
 
 #include <algorithm>
@@ -15,12 +15,12 @@
  public:
   struct Believed {
     Header header;
-    bool lost = false;  // another history stands from now on
+    bool lost = false;  // another history is current from now on
   };
-  // `whole`: the revision is the whole store's. `begun`: when the call was begun that this answers.
+  // `whole`: the revision is that of the whole store. `begun`: start of the answered call.
   Believed hear(const Header& header, Millis begun, bool whole, Millis now) {
     const bool other = latest_.cluster != 0 && header.cluster != latest_.cluster;
-    // An answer to what was asked before the last cluster was heard is of the one before it.
+    // An answer to a call from before the current cluster was first seen comes from the previous one.
     if (other && begun < heard_) return {header, false};
     const bool behind = whole && begun >= heard_ && header.revision < latest_.revision;
     if (other || behind || header.revision > latest_.revision) {
--- a/src/fleet/mailbox.h
+++ b/src/fleet/mailbox.h
@@ -1,6 +1,6 @@
-// One writer hands one reader the latest of something: by exchange of a pointer, without lock or wait. The
-// reader never frees: what it had before it hands back, and the writer frees that. Owns what lies in it on
-// either way; it must never let the reader see anything older than it has seen.
+// Passes the latest value from one writer thread to one reader thread by exchanging a pointer, lock-free and
+// wait-free for the reader's check. The reader never frees memory: it returns its previous item, which the
+// writer frees. Owns all items. The reader never sees a value older than one it has seen.
 #pragma once
 
 #include <atomic>
@@ -21,14 +21,14 @@
   Mailbox(const Mailbox&) = delete;
   Mailbox& operator=(const Mailbox&) = delete;
 
-  // The writer's thread. One that the reader never took is gone.
+  // Writer thread. Replaces a value that the reader has not taken.
   void put(T value) {
     auto next = std::make_unique<Item>(Item{std::move(value), nullptr});
     delete latest_.exchange(next.release(), std::memory_order_acq_rel);
     free_returned();
   }
 
-  // The reader's thread: whether there is a newer one than `current`. A load, as long as there is none.
+  // Reader thread: makes a newer value `current`, if there is one. Only a load if there is none.
   bool take() {
     if (latest_.load(std::memory_order_relaxed) == nullptr) return false;
     Item* const taken = latest_.exchange(nullptr, std::memory_order_acquire);
@@ -37,7 +37,7 @@
     current_ = taken;
     return true;
   }
-  // The reader's thread: the last one taken, until the next; null before the first.
+  // Reader thread: the value last taken; null before the first.
   const T* current() const { return current_ == nullptr ? nullptr : &current_->value; }
 
  private:
@@ -58,7 +58,7 @@
 
   std::atomic<Item*> latest_{nullptr};
   std::atomic<Item*> returned_{nullptr};
-  Item* current_ = nullptr;  // the reader's
+  Item* current_ = nullptr;  // used by the reader only
 };
 
 }  // namespace shorelead::fleet
--- a/src/fleet/next_plan.cpp
+++ b/src/fleet/next_plan.cpp
@@ -1,4 +1,5 @@
-// Cuts the aim of a division to what the invariant of plan.h leaves, and says whether it is worth a write.
+// Limits the targets of a division to what the invariant of plan.h allows, and decides whether the plan is
+// worth a write.
 #include <algorithm>
 #include <cmath>
 #include <numeric>
@@ -9,31 +10,31 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr double kWorth = 0.05;   // of an equal part: less is not worth a write
-constexpr double kPressed = 0.9;  // of what it may spend: who asks for more than that has use for more
-constexpr std::uint64_t kGreatestEpoch = 1e15;  // a record that says more lies
-constexpr double kNone = 1e-9;                  // rounding
+constexpr double kWorth = 0.05;   // fraction of an equal part; a smaller change is not worth a write
+constexpr double kPressed = 0.9;  // a demand above this fraction of what it may spend can use more
+constexpr std::uint64_t kGreatestEpoch = 1e15;  // a record that reports more is wrong
+constexpr double kNone = 1e-9;                  // tolerance for rounding errors
 
-// Of what may be divided: less that is with nobody is not looked after.
+// The smallest unassigned amount, of `most` divisible, that is worth assigning.
 double least_left(double most, bool units) { return std::max(units ? 1.0 : 0.0, kWorth * most) - kNone; }
 
 struct Member {
   std::string id;
-  const Record* record;        // null: gone lately
-  const Parts* had = nullptr;  // by who is gone
+  const Record* record;        // null: recently departed
+  const Parts* had = nullptr;  // what a departed member may still use
 };
 
-// One figure (amount, or burst) of one budget for all members.
+// One value (amount or burst) of one budget for all members.
 struct Column {
   std::vector<double> old, bound, aim, next;
   double most = 0;
-  bool units = false;  // whole ones only
+  bool units = false;  // whole units only
 
   double sum(const std::vector<double>& values) const {
     return std::accumulate(values.begin(), values.end(), 0.0);
   }
 
-  // Lowers always; raises in proportion out of what nobody has or may have.
+  // Always lowers; raises in proportion from what no member has or may still have.
   void cut(bool may_raise) {
     next = aim;
     double wished = 0;
@@ -51,7 +52,7 @@
       next[n] = bound[n] + raise;
     }
   }
-  // What nobody had and may now have.
+  // Newly assigned: the sum of all raises above the bounds.
   double given_on() const {
     double sum = 0;
     for (std::size_t n = 0; n < next.size(); ++n) sum += std::max(0.0, next[n] - bound[n]);
@@ -64,7 +65,7 @@
   }
 };
 
-// One budget's next parts, into `plan`. Whether that is worth a write.
+// Adds one budget's next parts to `plan`. Returns whether they are worth a write.
 bool next_parts(const Budget& budget, const PlannerInput& input, const std::vector<Member>& members,
                 std::uint64_t turn, Plan& plan) {
   const bool rate = budget.kind == BudgetKind::kRate;
@@ -104,7 +105,7 @@
     if (old.amount <= 0 && wants) idle = true;
     if (asked > 0 && asked >= kPressed * (old.amount + reserve) && wants) pressed = true;
   }
-  // Who asks for nothing gets from what is free, but nobody is lowered for it.
+  // A member without demand is raised from what is free, but no other member is lowered for it.
   pressed = pressed || (idle && amount.most - amount.sum(amount.bound) >= worth);
   amount.cut(input.may_raise && !(input.at_once_waits && budget.kind == BudgetKind::kAtOnce));
   burst.cut(input.may_raise);
@@ -116,7 +117,7 @@
   const bool over = amount.sum(amount.bound) > amount.most * (1 + kNone) + kNone ||
                     burst.sum(burst.bound) > burst.most + kNone;
   const bool moves = amount.moved() >= worth - kNone || (rate && burst.moved() >= 1);
-  // An earlier plan left it to nobody, as it was not known to be free; there is no need for anybody to press.
+  // An earlier plan left this unassigned until it was known to be free; it is assigned even without demand.
   const bool gives_on = amount.given_on() >= least_left(amount.most, amount.units);
   return (over && amount.moved() + burst.moved() > 0) || (pressed && moves) || gives_on;
 }
--- a/src/fleet/plan_text.cpp
+++ b/src/fleet/plan_text.cpp
@@ -1,5 +1,5 @@
-// A plan as JSON. Names of budgets and of backends stand once, in tables; a member's shares are a list in the
-// order of the budgets, a map's slots a list of backends by index, their epochs in runs of one value.
+// A plan as JSON. Names of budgets and backends are written once, in tables. A member's shares are a list in
+// the order of the budgets, a map's slots a list of backend indexes, their epochs are run-length encoded.
 #include <algorithm>
 #include <set>
 
@@ -29,7 +29,7 @@
   return static_cast<unsigned>(std::lower_bound(all.begin(), all.end(), name) - all.begin());
 }
 
-// `open`: everything of a slot that is so says its backend; the closed ones stand again, with who opens next.
+// An open slot is fully described by its backend; the closed ones are listed again with their next owner.
 void write(Writer& w, const SlotMap& map) {
   std::set<std::string> backends;
   for (const Slot& s : map.slots) {
@@ -45,7 +45,7 @@
   w.StartArray();
   for (const Slot& s : map.slots) w.Uint(index(all, s.backend));
   w.EndArray();
-  w.Key("closed");  // slot, who opens next, ...
+  w.Key("closed");  // pairs of slot and next owner
   w.StartArray();
   for (unsigned n = 0; n < map.slots.size(); ++n) {
     if (map.slots[n].open) continue;
@@ -53,7 +53,7 @@
     w.Uint(index(all, map.slots[n].to));
   }
   w.EndArray();
-  w.Key("since");  // epoch, of so many slots, ...
+  w.Key("since");  // pairs of epoch and number of slots
   w.StartArray();
   for (std::size_t n = 0; n < map.slots.size();) {
     std::size_t to = n;
--- a/src/fleet/plan_watch.cpp
+++ b/src/fleet/plan_watch.cpp
@@ -14,7 +14,7 @@
 constexpr Millis kMostCall = 1000;
 constexpr Millis kFirstPause = 50;
 constexpr Millis kMostPause = 1000;
-constexpr Millis kDeafAfter = 300;            // that a watch may be behind a range
+constexpr Millis kDeafAfter = 300;            // time that a watch may lag behind a range
 constexpr std::size_t kMostLine = 16U << 20;  // bytes
 
 }  // namespace
@@ -40,7 +40,7 @@
   loop_.cancel(deaf_at_);
 }
 
-// Both keys, and whatever may stand between them.
+// The range covers both keys and any key between them.
 void PlanWatch::fetch() {
   if (fetching_) {
     fetch_again_ = true;
@@ -68,7 +68,7 @@
   }
   const std::uint64_t age = age_;
   const Header header = listener_.heard({page->header.cluster, page->header.revision}, begun, true);
-  if (age != age_) return;  // another history: all is asked anew
+  if (age != age_) return;  // another history: everything is fetched again
   std::uint64_t planner = 0;
   for (const registry::KeyValue& item : page->items) {
     if (item.key == plan_key_) tell(item, header, begun);
@@ -130,14 +130,14 @@
   again();
 }
 
-// Whether the watch still stands.
+// Returns whether the watch is still open.
 bool PlanWatch::line(std::string text) {
   std::string cause;
   const auto said = registry::parse_line(std::move(text), cause);
   if (!said || said->canceled) {
     listener_.trouble("the watch is over: " + (said ? "canceled " + said->reason : cause));
     close();
-    again();  // with a range: what was compacted is not told again
+    again();  // starts with a range: compacted revisions are not sent again
     return false;
   }
   pause_ = 0;
@@ -188,7 +188,7 @@
   planner_told_ = false;
   pause_ = 0;
   close();
-  // Not from within the answer that told it.
+  // Deferred, since this is called while the answer that showed the loss is processed.
   loop_.cancel(again_at_);
   again_at_ = loop_.after(0, [this] {
     again_at_ = 0;
--- a/src/fleet/plan_watch.h
+++ b/src/fleet/plan_watch.h
@@ -1,6 +1,6 @@
-// What stands at the plan's and the planner's keys, told as soon as it changes: a watch, resumed where it
-// ended, and a range where it is silent or known to have missed something. Owns the stream and what was told.
-// It must never tell an older plan after a newer one, but in another history.
+// Reports the values of the plan's and the planner's keys as soon as they change: by a watch, resumed at its
+// last revision, and by a range request when the watch is silent or has missed something. Owns the stream.
+// Within one history an older plan is never reported after a newer one.
 #pragma once
 
 #include <cstdint>
@@ -23,8 +23,8 @@
   struct Listener {
     std::function<void(PlanSeen)> plan;
     std::function<void(PlannerSeen)> planner;
-    // Of a range's or a watch's answer; what is then to be believed of it. `latest`: it was of the whole
-    // store.
+    // Called with the header of each answer to a range or watch; returns the effective header. `latest`: the
+    // revision is that of the whole store, not of one member.
     std::function<Header(const Header&, Millis begun, bool latest)> heard;
     std::function<void(const std::string&)> trouble;
   };
@@ -39,9 +39,9 @@
   PlanWatch& operator=(const PlanWatch&) = delete;
 
   void begin() { fetch(); }
-  // An answer of the whole store says when the plan was last modified (0: there is none).
+  // Takes the plan's modification revision from another answer (0: there is no plan); fetches a newer plan.
   void plan_stands(std::uint64_t modified);
-  void begin_anew();  // the history was lost
+  void begin_anew();  // restarts after the history was lost
   const Counters& counters() const { return counters_; }
 
  private:
@@ -53,8 +53,8 @@
   void tell(const membership::registry::KeyValue& item, const Header& header, Millis begun);
   void tell_planner(std::uint64_t created);
   void close();
-  void again();  // later and later
-  void alive();  // something was said: silence counts from now
+  void again();  // retries with exponential backoff
+  void alive();  // restarts the timer for a silent watch
 
   net::Loop& loop_;
   StoreLines& lines_;
@@ -65,25 +65,25 @@
   Random random_;
   Counters counters_;
   std::unique_ptr<membership::registry::Exchange> watch_;
-  std::string text_;        // of the watch, not yet a whole line
-  Millis last_line_ = 0;    // when the message before was heard
-  std::uint64_t next_ = 0;  // revision from which on the watch is told
-  std::uint64_t told_ = 0;  // the plan's modification that was told
+  std::string text_;        // received from the watch, not yet a complete line
+  Millis last_line_ = 0;    // arrival of the previous message
+  std::uint64_t next_ = 0;  // start revision of the next watch
+  std::uint64_t told_ = 0;  // modification revision of the plan last reported
   std::uint64_t told_by_watch_ = 0;
   std::uint64_t planner_ = 0;
   bool planner_told_ = false;
   bool fetching_ = false;
   bool fetch_again_ = false;
-  std::uint64_t age_ = 0;  // answers to what was asked in an earlier history count for nothing
+  std::uint64_t age_ = 0;  // number of restarts; an answer to a request from before the last one is ignored
   Millis pause_ = 0;
   net::Loop::TimerId silent_at_ = 0;
   net::Loop::TimerId again_at_ = 0;
   net::Loop::TimerId deaf_at_ = 0;
 };
 
-// A call's time limit.
+// The time limit of a call.
 Millis call_within(const Sharing& sharing);
-// Keys of a fleet.
+// Keys of a fleet in the store.
 std::string planner_key(const Sharing& sharing);
 std::string plan_key(const Sharing& sharing);
 std::string members_prefix(const Sharing& sharing);
--- a/src/fleet/planner.cpp
+++ b/src/fleet/planner.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-constexpr double kAgain = 20;    // tries of a call that was lost, within a lease
-constexpr double kSpread = 0.1;  // of a lease, over which processes stand once there is no planner
-constexpr std::uint64_t kGreatestEpoch = 1e15;  // a record that says more lies
-constexpr double kLooksAgain = 0.25;            // of a round, after a plan that left something to nobody
-constexpr double kGivesWay = 10;  // leases, to processes that read the plan that this one cannot
+constexpr double kAgain = 20;                   // retries of a lost call per lease length
+constexpr double kSpread = 0.1;                 // fraction of a lease over which campaigns are spread
+constexpr std::uint64_t kGreatestEpoch = 1e15;  // a record that reports more is wrong
+constexpr double kLooksAgain = 0.25;  // fraction of a round, after a plan that left something unassigned
+constexpr double kGivesWay =
+    10;  // lease lengths without a campaign, so that a process that can read the plan wins
 
 bool same_but_for_number(Plan a, const Plan& b) {
   a.epoch = b.epoch;
@@ -62,7 +63,7 @@
 }
 
 void Planner::on(const LeaseValid& event) {
-  // The election stands under the lease that it was made with.
+  // An election is valid only under the lease it was made with.
   if (elected() && event.lease != lease_) resign();
   if (event.lease != lease_) value_ = name_ + "/" + std::to_string(random_.next());
   lease_ = event.lease;
@@ -102,7 +103,8 @@
   if (!underway_.ended_by(event.call) || !hear(event.header, underway_.begun)) return;
   ++(event.done ? counters_.plans : counters_.refused);
   if (!event.done) read_at_ = now_;
-  // Not after a whole round: by then all that hear it have long lowered what is to be given on.
+  // Sooner than after a whole round: all members that see the plan have lowered their shares well before
+  // that.
   if (event.done && unfinished_) read_at_ = std::min(read_at_, now_ + sharing_.plan_every * kLooksAgain);
 }
 
@@ -136,7 +138,7 @@
 }
 
 std::optional<Plan> Planner::plan_from(const AllRead& read, bool may_raise) {
-  // A copy's maps tell nothing of who has what open; its shares are taken over and only fall.
+  // A plan from a restored backup does not show who has which slot open. Its shares are used, but only fall.
   const bool ours = read.plan && read.plan->history == history_.cluster();
   const Plan* standing = ours ? &*read.plan : nullptr;
   const bool nothing_under_way =
@@ -181,7 +183,7 @@
     read_at_ = now_ + sharing_.plan_every;
     out.calls.push_back(ReadAll{calls_});
   } else if (!elected() && lease_ != 0 && now_ < lease_until_) {
-    // Not all at once: who comes first finds nobody there.
+    // Spread out, so that not all processes campaign at the same time.
     if (stand_at_ < 0) stand_at_ = now_ + sharing_.lease * kSpread * random_.unit();
     if (now_ < stand_at_ || now_ < gives_way_) return;
     underway_ = {++calls_, now_};
--- a/src/fleet/planner.h
+++ b/src/fleet/planner.h
@@ -1,12 +1,12 @@
-// One process's side of planning: it stands for election, plans while it is the planner, and resigns. Pure:
-// events with the time in, calls to the store out. Owns the candidacy and nothing of the plan itself: each
-// round begins with what one read of the store shows. It must never write a plan but by a transaction that
-// compares its own election and the plan that it read; nor raise a share, or open a slot, while shares of a
-// history that was lost, or of a record or plan that it cannot read, may be in force.
+// Leader election and planning in one process: campaigns, plans while it is the planner, and resigns. A state
+// machine without I/O: takes events with the time, returns calls to the store. Owns the candidacy but keeps
+// no plan: each round starts from one read of the store. A plan is written only by a transaction that
+// compares the planner's own election and the plan that was read. No share is raised and no slot opened while
+// shares of a lost history, or of a record or plan that cannot be read, may be in force.
 //
-// Two planners at once (one was paused) are harmless: of two plans made from one only the first is written.
-// What else changes between the read and the write only falls: a record raises at most to what the plan says
-// that the write compares, and a process that joined meanwhile has nothing.
+// Two planners at the same time (one was suspended) are harmless: of two plans computed from the same plan
+// only the first is written. Everything else that changes between the read and the write can only fall: a
+// record rises at most to the plan that the write compares, and a process that joined in between has nothing.
 #pragma once
 
 #include <cstdint>
@@ -31,13 +31,13 @@
   std::uint64_t elected = 0;
   std::uint64_t resigned = 0;
   std::uint64_t plans = 0;       // written
-  std::uint64_t refused = 0;     // not written: a comparison failed
-  std::uint64_t unreadable = 0;  // reads that showed a plan or a record that cannot be read
-  std::uint64_t held = 0;        // rounds in which nothing could be raised
+  std::uint64_t refused = 0;     // not written, since a comparison failed
+  std::uint64_t unreadable = 0;  // reads that returned an unreadable plan or record
+  std::uint64_t held = 0;        // rounds in which raising was not allowed
 };
 
-// Changes that others make to a plan before it is written: the cut-off, the maps of slots. Each is pure.
-// Slots that may not be open yet are closed after it (slots.h).
+// Extension point that changes a plan before it is written: the cut-off, the slot maps. Implementations do no
+// I/O. Slots that may not be open yet are closed afterwards (slots.h).
 struct PlanShaper {
   virtual ~PlanShaper() = default;
   virtual void shape(Plan& next, const Plan* standing, const std::vector<Record>& records, Millis now) = 0;
@@ -53,7 +53,7 @@
   const PlannerCounters& counters() const { return counters_; }
 
  private:
-  friend struct ModelEye;  // the model's search of all states tells them apart by it
+  friend struct ModelEye;  // the model checker compares states through it
 
   void on(const Elected& event);
   void on(const AllRead& event);
@@ -65,11 +65,11 @@
   void on(const HeardHistory& event) { hear(event.header, event.begun); }
   void on(const PlannerTick&) {}
 
-  bool hear(const Header& header, Millis begun);  // whether what came with it counts
+  bool hear(const Header& header, Millis begun);  // false: the answer is to be ignored
   void resign();
   void call_store(PlannerOut& out);
   std::optional<Plan> plan_from(const AllRead& read, bool may_raise);
-  bool all_known(const AllRead& read);  // what is in force
+  bool all_known(const AllRead& read);  // whether everything in force is known
 
   const std::string name_;
   const Sharing sharing_;
@@ -85,16 +85,16 @@
   Millis lease_until_ = 0;
 
   std::uint64_t fence_ = 0;  // 0 = not elected
-  std::string value_;        // that it stands with under its lease
-  Millis stand_at_ = -1;     // next; -1 = not thought of yet
-  Millis gives_way_ = 0;     // it does not stand until then: the plan is of a newer form
+  std::string value_;        // written to the planner key when it campaigns; one per lease
+  Millis stand_at_ = -1;     // time of the next campaign; -1 = not scheduled
+  Millis gives_way_ = 0;     // no campaign until then: the plan is of a newer format version
   Underway underway_;
-  std::uint64_t leave_ = 0;  // fence of an election that is to be given back
+  std::uint64_t leave_ = 0;  // fence of an election to resign from; 0 = none
   Millis read_at_ = 0;
-  bool unfinished_ = false;   // the plan put last: something waits for records to follow
-  Millis broken_since_ = -1;  // the plan that stands cannot be read; -1 = it can
+  bool unfinished_ = false;   // the plan written last waits for records to follow
+  Millis broken_since_ = -1;  // since when the current plan cannot be read; -1 = it can
   Leavers leavers_;
-  std::optional<PutPlan> put_;  // that comes next
+  std::optional<PutPlan> put_;  // the next write
 };
 
 }  // namespace shorelead::fleet
--- a/src/fleet/planner_events.h
+++ b/src/fleet/planner_events.h
@@ -1,4 +1,4 @@
-// What passes between a process's planner (planner.h) and its client of the store. Pure data.
+// Events and calls between the planner (planner.h) and the client of the store. Plain data.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,26 @@
 
 namespace shorelead::fleet {
 
-// Creates P/planner under the process's lease, where there is none; else reads it, in one transaction.
+// In one transaction creates P/planner under the process's lease if it does not exist, and otherwise reads
+// it.
 struct Elect {
   std::uint64_t call;
   std::int64_t lease;
-  std::string value;  // one for each lease: who reads its own has been elected
+  std::string value;  // one per lease: a process that reads its own value has been elected
 };
-// All records, the plan and P/planner's creation, at one revision.
+// Reads all records, the plan and P/planner's create revision, at one revision.
 struct ReadAll {
   std::uint64_t call;
 };
-// Only where P/planner was created at `fence` and the plan last modified at `modified` (0: there is none).
+// Writes the plan only if P/planner's create revision is `fence` and the plan's modification revision is
+// `modified` (0: there is no plan).
 struct PutPlan {
   std::uint64_t call;
   Plan plan;
   std::uint64_t fence;
   std::uint64_t modified;
 };
-// Removes P/planner, only where it was created at `fence`.
+// Removes P/planner only if its create revision is `fence`.
 struct Abdicate {
   std::uint64_t call;
   std::uint64_t fence;
@@ -39,18 +41,18 @@
 
 struct Elected {
   std::uint64_t call;
-  std::uint64_t created;  // create revision of P/planner as it stands now
-  std::string value;      // its value
+  std::uint64_t created;  // current create revision of P/planner
+  std::string value;      // its current value
   Header header;
 };
 struct AllRead {
   std::uint64_t call;
-  std::uint64_t planner_created;  // 0 = nobody is planner
-  std::optional<Plan> plan;       // none: none there, or unreadable
-  std::uint64_t plan_modified;    // 0 = none there
-  bool newer_form;                // the plan is one of a newer version of the program
+  std::uint64_t planner_created;  // 0 = there is no planner
+  std::optional<Plan> plan;       // nullopt: there is none, or it is unreadable
+  std::uint64_t plan_modified;    // modification revision; 0 = there is none
+  bool newer_form;                // the plan has a newer format version
   std::vector<Record> records;
-  std::size_t unreadable;  // records left out
+  std::size_t unreadable;  // records left out because they are unreadable
   Header header;
 };
 struct PlanPut {
@@ -65,17 +67,18 @@
 struct CallLost {
   std::uint64_t call;
 };
-// Of the process's own lease (Member::lease, lease_until); 0 or past = it has none.
+// The process's own lease (Member::lease, lease_until); 0 or a past time = none.
 struct LeaseValid {
   std::int64_t lease;
   Millis until;
 };
-// A watch told that P/planner was created (its create revision) or is gone (0).
+// A watch reported that P/planner was created (its create revision) or removed (0).
 struct PlannerSeen {
   std::uint64_t created;
 };
-// Of every other answer's header, also while another process plans: who has heard one history for a whole
-// lease may raise at once; anybody else waits so long, since shares of a lost history may still be in force.
+// The header of any other answer, also while another process is the planner. A process that has observed one
+// history for a whole lease may raise immediately; any other waits that long, since shares of a lost history
+// may still be in force.
 struct HeardHistory {
   Header header;
   Millis begun;  // as in History::heard
--- a/src/fleet/record_reading.h
+++ b/src/fleet/record_reading.h
@@ -1,4 +1,4 @@
-// One read of everything in the store, as a planner takes it. Pure.
+// Parses one read of all keys of the fleet for the planner. No I/O.
 #pragma once
 
 #include <functional>
@@ -9,8 +9,8 @@
 
 namespace shorelead::fleet {
 
-// Of a transaction's three ranges: P/planner, P/plan, P/members/. The call and the header are left to the
-// caller. `trouble` is told of what cannot be read.
+// Parses a transaction's three ranges: P/planner, P/plan, P/members/. The caller sets the call and the
+// header. `trouble` is called with a message for each unreadable value.
 AllRead read_all(const membership::registry::TxnAnswer& answer,
                  const std::function<void(const std::string&)>& trouble);
 
--- a/src/fleet/slots.cpp
+++ b/src/fleet/slots.cpp
@@ -10,13 +10,13 @@
 }
 
 void hold_slots(Plan& next, const Plan* standing, const std::vector<Record>& records, bool may_open) {
-  // No plan counts: only who has nothing in force at all can be sure to have no slot open.
+  // Without a plan of this history only a member with nothing in force certainly has no slot open.
   const std::uint64_t gone_since = standing != nullptr ? standing->epoch : next.epoch;
   for (auto& [rule, map] : next.affinity) {
     const SlotMap* before = nullptr;
     if (standing != nullptr) {
       const auto it = standing->affinity.find(rule);
-      // Another number of slots: the same key is in another slot.
+      // With another number of slots the same key falls into another slot.
       if (it != standing->affinity.end() && it->second.slots.size() == map.slots.size()) before = &it->second;
     }
     const bool resized = standing != nullptr && before == nullptr && standing->affinity.contains(rule);
--- a/src/fleet/slots.h
+++ b/src/fleet/slots.h
@@ -1,5 +1,5 @@
-// When a plan may say that a slot is open. Pure. Whoever shapes the maps (rules of affinity) asks for any
-// map; this closes in it what may not be open yet, so that no two processes send to two backends for one
+// Decides when a plan may have a slot open. No I/O. The shapers (affinity rules) may ask for any map; this
+// closes the slots that may not be open yet, so that no two processes send to different backends for one
 // slot.
 #pragma once
 
@@ -9,14 +9,14 @@
 
 namespace shorelead::fleet {
 
-// Whether nobody can have a slot in force but as `since` or a later epoch had it: records at one revision, at
-// or after that of the plan before. An epoch of 0 has nothing in force.
+// Whether every member with a plan in force has that of epoch `since` or a later one. `records` are read at
+// one revision, not before that of the previous plan. A record with epoch 0 has no plan in force.
 bool all_have(const std::vector<Record>& records, std::uint64_t since);
 
-// Closes each slot of `next` that may not be open yet, and carries `since` on. A slot stays open at the
-// backend where it stands open; it opens at any backend once it stands closed, or does not stand at all, and
-// every record has that in force. Where nothing may open (`may_open` false: what stood before may be unknown)
-// only what stands open stays so. `standing`: null where there is none that counts.
+// Closes each slot of `next` that may not be open yet, and keeps `since` up to date. A slot that is open
+// stays open on its backend. It opens on any backend once it is closed in, or missing from, the current plan
+// and every record has that in force. If `may_open` is false (the previous assignment may be unknown), only
+// slots that are open stay open. `standing`: the current plan, or null if there is none of this history.
 void hold_slots(Plan& next, const Plan* standing, const std::vector<Record>& records, bool may_open);
 
 }  // namespace shorelead::fleet
--- a/src/fleet/store.h
+++ b/src/fleet/store.h
@@ -1,7 +1,6 @@
-// The client of the store of keys: carries out what a member and a planner call for, and watches the plan.
-// Owns the calls under way and the highest revision heard. It must never answer a call more or less than
-// once, nor within the call itself, nor take an answer of one that it gave up; whether anything is to be done
-// it leaves to others.
+// The client of the key-value store (etcd): executes the calls of the member and the planner, and watches the
+// plan. Owns the calls in flight and the latest header. Every call is answered exactly once, and never
+// synchronously; an answer that arrives after the timeout is dropped. Makes no decisions of its own.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +28,7 @@
     std::uint64_t calls = 0, lost = 0, refused = 0, unreadable = 0;
   };
 
-  // Throws std::runtime_error where TLS is asked for and its files are of no use.
+  // Throws std::runtime_error if TLS is configured and its files cannot be used.
   Store(net::Loop& loop, const StoreSpec& spec, const Sharing& sharing, std::uint64_t seed,
         Listener listener);
 
@@ -55,9 +54,9 @@
 
   void post(const std::string& path, const std::string& body, std::function<void(Reply, Millis begun)> done);
   void txn(membership::registry::Txn txn, Answered answered, Failed failed);
-  // What is to be believed of an answer's header, for both; tells the watch where a history was lost.
+  // The effective header of an answer; restarts the watch if a history was lost.
   Header heard(const Header& header, Millis begun, bool whole);
-  // Of what answers the one, the other hears as well.
+  // An answer to one of the two is also reported to the other, for its view of the history.
   Header to_member(const Header& header, Millis begun) {
     listener_.planner(HeardHistory{header, begun});
     return header;
--- a/src/fleet/store_lines.h
+++ b/src/fleet/store_lines.h
@@ -1,6 +1,6 @@
-// Calls to a store's members over HTTP: a few connections to one member at a time, the next one when it
-// fails. Owns the connections and which member is asked. It must never know what is asked or answered, nor
-// call back more or less than once for each call, nor within the call itself.
+// HTTP connections to the members of the store: a few to one member at a time, failing over to the next. Owns
+// the connections and the choice of the member. Independent of the contents of calls. Calls back exactly once
+// per call, and never synchronously.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -23,7 +23,7 @@
   std::optional<net::TlsFiles> tls;
 };
 
-// Status 0: none came, or not whole, in time.
+// Status 0: no complete answer within the time limit.
 struct Reply {
   int status = 0;
   std::string body;
@@ -32,23 +32,23 @@
 class StoreLines {
  public:
   using Trouble = std::function<void(const std::string&)>;
-  // Throws std::runtime_error where TLS is asked for and its files are of no use.
+  // Throws std::runtime_error if TLS is configured and its files cannot be used.
   StoreLines(net::Loop& loop, StoreSpec spec, Trouble trouble);
   ~StoreLines();
   StoreLines(const StoreLines&) = delete;
   StoreLines& operator=(const StoreLines&) = delete;
 
   void post(const std::string& path, const std::string& body, Millis within, std::function<void(Reply)> done);
-  // A stream from the member that is asked now, which the caller owns.
+  // A stream from the current member, owned by the caller.
   std::unique_ptr<membership::registry::Exchange> stream(membership::registry::Exchange::Listener listener);
   std::size_t endpoint() const { return endpoint_; }
-  void leave(std::size_t endpoint);  // it is of no use: the next one, if it is still the one that is asked
+  void leave(std::size_t endpoint);  // fails over to the next member if `endpoint` is still the current one
 
  private:
   struct Line {
     std::size_t endpoint;
     std::unique_ptr<membership::registry::Exchange> exchange;
-    std::function<void(Reply)> done;  // of the call under way, or none
+    std::function<void(Reply)> done;  // of the call in flight, or empty
   };
   using Place = std::list<std::unique_ptr<Line>>::iterator;
 
--- a/src/fleet/traffic_reading.cpp
+++ b/src/fleet/traffic_reading.cpp
@@ -6,11 +6,11 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr Millis kSpan = 1000;      // that rates are of, where they have changed
-constexpr Millis kLongSpan = 8000;  // where chance alone explains what differs from it
-constexpr double kChance = 3;       // standard deviations of a Poisson count
-constexpr Millis kBetween = 90;     // samples at least
-constexpr std::size_t kOfRank = 5;  // cells
+constexpr Millis kSpan = 1000;      // window for rates that have changed
+constexpr Millis kLongSpan = 8000;  // window for rates whose change random variation explains
+constexpr double kChance = 3;       // threshold, in standard deviations of a Poisson count
+constexpr Millis kBetween = 90;     // minimum time between samples
+constexpr std::size_t kOfRank = 5;  // cells per rank
 
 }  // namespace
 
@@ -41,8 +41,9 @@
   return *found;
 }
 
-// Counts wobble by their root. What the last second differs from a long span by no more than that is the long
-// span's: else every division would follow chance, and what it moves is nobody's while it moves.
+// Random counts vary by about their square root. If the last second differs from the long span by no more
+// than that, the rate of the long span is used. Otherwise every division would follow random variation, and
+// what it moves is unusable while it moves.
 double TrafficReading::steady(std::size_t count, const Sample& latest) const {
   const auto rate = [&](const Sample& old, double& seconds) {
     seconds = std::max(latest.at - old.at, kSpan / 2) / 1000;
@@ -56,7 +57,7 @@
 
 TrafficState TrafficReading::read(Millis now) {
   TrafficState state;
-  // First: whatever is read behind it was written with, or after, that generation.
+  // Read first: everything read after it was written in that generation or a later one.
   state.generation = cells_.generation.heard();
   state.slots_quiet = cells_.slots_quiet.heard() >= state.generation;
   state.room = cells_.room.get();
@@ -82,7 +83,7 @@
       for (const Sample& sample : samples_) {
         if (sample.at >= now - kSpan) most = std::max(most, sample.in_use[n]);
       }
-      // As many as would be in use had all that asked been let in; who was let in nothing asks for all.
+      // The concurrent use if all requests had been admitted; with none admitted, the whole is demanded.
       const double wished = spent > 0 ? most * asked / spent : most + asked;
       state.demand[budget.name] = std::min(wished, std::max(budget.whole, most));
       state.spent[budget.name] = most;
--- a/src/fleet/traffic_reading.h
+++ b/src/fleet/traffic_reading.h
@@ -1,5 +1,6 @@
-// What the traffic's cells say, as a member reports it: rates as they are but for chance, what is in use now.
-// Pure but for the cells it reads. It must never tell a generation in force with figures from before it.
+// Turns the traffic thread's cells into the state that the member reports: rates smoothed against random
+// variation, and current use. The values belong to the reported generation or a later one, never an earlier
+// one.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +22,12 @@
  private:
   struct Sample {
     Millis at;
-    std::vector<double> counts;  // asked, spent of each budget, then five of each rank
+    std::vector<double> counts;  // asked and spent of each budget, then five values per rank
     std::vector<double> in_use;
   };
   Sample sample(Millis now) const;
-  double steady(std::size_t count, const Sample& latest) const;  // a second
-  // The oldest sample kept that is at least so old, or the oldest.
+  double steady(std::size_t count, const Sample& latest) const;  // rate per second
+  // The sample at least `span` old, or the oldest one.
   const Sample& before(Millis now, Millis span) const;
 
   const std::vector<Budget> budgets_;
