--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -44,7 +44,7 @@
   std::visit([this](const auto& one) { begin_call(one); }, call);
 }
 
-// What is to be believed of an answer's header; the watch begins anew where a history was lost.
+// Returns the effective header of an answer; restarts the watch if a history was lost.
 Header Store::heard(const Header& header, Millis begun, bool whole) {
   const LatestHeader::Believed told = latest_.hear(header, begun, whole, boot_now());
   if (told.lost) watch_.begin_anew();
@@ -84,7 +84,7 @@
 }
 
 void Store::begin_call(const GrantLease& call) {
-  // In whole seconds, never less than was asked for.
+  // etcd takes whole seconds; rounded up, so that the lease is never shorter than requested.
   const auto seconds = static_cast<std::int64_t>(std::ceil(call.length / 1000));
   post("/v3/lease/grant", registry::grant_request(seconds),
        [this, call, seconds](const Reply& reply, Millis begun) {
@@ -134,7 +134,7 @@
            const Header told = heard(plain(*header), begun, true);
            return listener_.member(Revoked{call.call, to_member(told, begun)});
          }
-         // One that is not there any more is as good as given back.
+         // A lease that no longer exists counts as revoked.
          if (reply.status != 200 && refusal(reply).code == registry::kNotFound && latest_.any()) {
            return listener_.member(Revoked{call.call, latest_.get()});
          }
@@ -150,7 +150,7 @@
   if (call.plan_modified != 0) {
     asked.compare.push_back({plan_key_, Compare::Of::kChanged, call.plan_modified});
   }
-  // Each answer says whether there is a newer plan, in case the watch does not.
+  // Every answer shows whether there is a newer plan, in case the watch misses it.
   asked.success = {registry::Put{key, text_of(call.record), call.lease}, registry::Get{plan_key_, "", true}};
   asked.failure = {registry::Get{key, "", false}, registry::Get{plan_key_, "", true}};
   txn(
@@ -170,7 +170,7 @@
         watch_.plan_stands(plan_modified);
       },
       [this, call](const registry::Refusal& refusal) {
-        // Without its lease the record is gone as well.
+        // Without the lease the record is gone as well.
         if (refusal.code != registry::kNotFound || !latest_.any()) {
           return listener_.member(Lost{call.call});
         }
--- a/src/fleet/store_lines.cpp
+++ b/src/fleet/store_lines.cpp
@@ -26,7 +26,7 @@
 
 StoreLines::~StoreLines() = default;
 
-// As the files are now; the old ones where they are of no use.
+// The TLS context of the current key files, or the previous one if they cannot be used.
 std::shared_ptr<const net::TlsContext> StoreLines::keys() {
 #ifdef SHORELEAD_TLS
   std::string cause;
@@ -40,7 +40,7 @@
   return std::find_if(lines_.begin(), lines_.end(), [line](const auto& one) { return one.get() == line; });
 }
 
-// It may be the one that called.
+// Destroys the connection later, since the call may come from one of its own callbacks.
 void StoreLines::drop(Place place) {
   loop_.later([line = std::shared_ptr<Line>(std::move(*place))] {});
   lines_.erase(place);
@@ -89,7 +89,7 @@
     trouble_("an answer of over 8 MiB");
     reply = {};
   }
-  // 5xx: this member cannot, another may.
+  // 5xx: another member may be able to answer.
   if (done && (reply.status == 0 || reply.status >= 500)) leave(line->endpoint);
   if (reply.status == 0) drop(place);
   if (done) done(std::move(reply));
--- a/src/fleet/traffic_reading.cpp
+++ b/src/fleet/traffic_reading.cpp
@@ -83,7 +83,7 @@
       for (const Sample& sample : samples_) {
         if (sample.at >= now - kSpan) most = std::max(most, sample.in_use[n]);
       }
-      // The concurrent use if all requests had been admitted; with none admitted, the whole is demanded.
+      // The concurrent use if all requests had been admitted; with none admitted, every request counts.
       const double wished = spent > 0 ? most * asked / spent : most + asked;
       state.demand[budget.name] = std::min(wished, std::max(budget.whole, most));
       state.spent[budget.name] = most;
