--- a/src/fleet/channel.h
+++ b/src/fleet/channel.h
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "base/millis.h"
-#include "fleet/bell.h"
 #include "fleet/cells.h"
 #include "fleet/mailbox.h"
 #include "fleet/member_events.h"
+#include "fleet/wakeup_event.h"
 
 namespace shorelead::fleet {
 
@@ -35,8 +35,8 @@
   Mailbox<Issue> issues;       // control thread to traffic thread
   TrafficCells traffic;        // written by the traffic thread
   ControlCells control;        // written by the control thread
-  Bell for_traffic;            // there is a new issue
-  Bell for_control;            // an issue was taken, or `ending` was set
+  WakeupEvent for_traffic;     // there is a new issue
+  WakeupEvent for_control;     // an issue was taken, or `ending` was set
   std::atomic<int> ending{0};  // 1: leave gracefully; 2: stop
 };
 
--- a/src/fleet/control.cpp
+++ b/src/fleet/control.cpp
@@ -19,10 +19,10 @@
 constexpr Millis kLogEvery = 1000;
 constexpr Millis kSoonest = 1;  // lower bound of timers: a tick that is due again must not starve the sockets
 
-struct BellHandler : net::Watch::Handler {
-  explicit BellHandler(std::function<void()> rung) : on_rung(std::move(rung)) {}
-  void on_readable() override { on_rung(); }
-  std::function<void()> on_rung;
+struct WakeupHandler : net::Watch::Handler {
+  explicit WakeupHandler(std::function<void()> callback) : on_wakeup(std::move(callback)) {}
+  void on_readable() override { on_wakeup(); }
+  std::function<void()> on_wakeup;
 };
 
 int copy_of(int fd) {
@@ -43,7 +43,7 @@
              {[this](const MemberEvent& event) { member(event); },
               [this](const PlannerEvent& event) { planner(event); },
               [this](const std::string& text) { trouble(text); }}) {
-  watch_bell();
+  watch_wakeup();
   // Signals are handled on the main thread: the new thread starts with all of them blocked.
   sigset_t all;
   sigset_t before;
@@ -60,26 +60,26 @@
 
 Control::~Control() {
   channel_->ending.store(2, std::memory_order_release);
-  channel_->for_control.ring();
+  channel_->for_control.notify();
   thread_.join();
 }
 
 void Control::leave() {
   int none = 0;
   channel_->ending.compare_exchange_strong(none, 1, std::memory_order_acq_rel);
-  channel_->for_control.ring();
+  channel_->for_control.notify();
 }
 
-void Control::watch_bell() {
-  bell_ = std::make_unique<net::Descriptor>(copy_of(channel_->for_control.fd()));
-  bell_handler_ = std::make_unique<BellHandler>([this] {
-    channel_->for_control.hush();
+void Control::watch_wakeup() {
+  wakeup_ = std::make_unique<net::Descriptor>(copy_of(channel_->for_control.fd()));
+  wakeup_handler_ = std::make_unique<WakeupHandler>([this] {
+    channel_->for_control.reset();
     const int ending = channel_->ending.load(std::memory_order_acquire);
     if (ending == 2) return loop_.stop();
     if (ending == 1 && !std::exchange(leaving_, true)) member(Leave{});
     read_traffic();
   });
-  bell_watch_ = std::make_unique<net::Watch>(loop_, *bell_, *bell_handler_, true, false);
+  wakeup_watch_ = std::make_unique<net::Watch>(loop_, *wakeup_, *wakeup_handler_, true, false);
 }
 
 void Control::run() {
@@ -125,7 +125,7 @@
   generation_ = out.publish->generation;
   const bool its = out.publish->incarnation == incarnation;
   channel_->issues.put({out.publish, its ? validity_ : std::make_shared<Validity>()});
-  channel_->for_traffic.ring();
+  channel_->for_traffic.notify();
 }
 
 void Control::tell_planner_of_lease() {
--- a/src/fleet/control.h
+++ b/src/fleet/control.h
@@ -48,7 +48,7 @@
 
  private:
   void run();
-  void watch_bell();
+  void watch_wakeup();
   void member(const MemberEvent& event);
   void planner(const PlannerEvent& event);
   void publish(const MemberOut& out);
@@ -64,9 +64,9 @@
   Planner planner_;
   TrafficReading reading_;
   Store store_;
-  std::unique_ptr<net::Descriptor> bell_;
-  std::unique_ptr<net::Watch> bell_watch_;
-  std::unique_ptr<net::Watch::Handler> bell_handler_;
+  std::unique_ptr<net::Descriptor> wakeup_;
+  std::unique_ptr<net::Watch> wakeup_watch_;
+  std::unique_ptr<net::Watch::Handler> wakeup_handler_;
   std::shared_ptr<Validity> validity_;
   std::uint64_t generation_ = 0;  // last published
   LeaseValid told_lease_{0, 0};
--- a/src/fleet/port.cpp
+++ b/src/fleet/port.cpp
@@ -93,7 +93,7 @@
   // Before the generation, so that a reader of the generation finds the matching state of the slots.
   if (!closes(next)) channel_->traffic.slots_quiet.announce(next.generation);
   channel_->traffic.generation.announce(next.generation);
-  channel_->for_control.ring();
+  channel_->for_control.notify();
   return true;
 }
 
--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -75,7 +75,7 @@
   control_ = std::make_unique<fleet::Control>(spec, channel_);
   wake_fd_ = std::make_unique<net::Descriptor>(::dup(port_.wake_fd()));
   on_wake_ = std::make_unique<WakeHandler>([this] {
-    channel_->for_traffic.hush();
+    channel_->for_traffic.reset();
     apply_snapshot();
   });
   watch_ = std::make_unique<net::Watch>(loop_, *wake_fd_, *on_wake_, true, false);
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -16,7 +16,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/bell.h"
+#include "fleet/wakeup_event.h"
 #include "handover/ban_file.h"
 #include "peer.h"
 
@@ -55,13 +55,13 @@
     void on_readable() override { loop.stop(); }
     net::Loop& loop;
   } stop_loop{loop};
-  fleet::Bell end;
+  fleet::WakeupEvent end;
   net::Descriptor end_descriptor{::dup(end.fd())};
   net::Watch watch{loop, end_descriptor, stop_loop, true, false};
   std::thread thread{[this] { loop.run(); }};
   int listening() const { return clients.fd(); }
   ~PredecessorProcess() {
-    end.ring();  // stops the loop in its own thread; otherwise it would wait for its next event
+    end.notify();  // stops the loop in its own thread; otherwise it would wait for its next event
     thread.join();
   }
 };
