--- a/src/fleet/next_plan.cpp
+++ b/src/fleet/next_plan.cpp
@@ -10,10 +10,10 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr double kWorth = 0.05;   // fraction of an equal part; a smaller change is not worth a write
-constexpr double kPressed = 0.9;  // a demand above this fraction of what it may spend can use more
-constexpr std::uint64_t kGreatestEpoch = 1e15;  // a record that reports more is wrong
-constexpr double kNone = 1e-9;                  // tolerance for rounding errors
+constexpr double kWorth = 0.05;            // fraction of an equal part; a smaller change is not worth a write
+constexpr double kPressed = 0.9;           // a demand above this fraction of what it may spend can use more
+constexpr std::uint64_t kMaxEpoch = 1e15;  // a record that reports more is wrong
+constexpr double kNone = 1e-9;             // tolerance for rounding errors
 
 // The smallest unassigned amount, of `most` divisible, that is worth assigning.
 double least_left(double most, bool units) { return std::max(units ? 1.0 : 0.0, kWorth * most) - kNone; }
@@ -131,7 +131,7 @@
   for (const Record& r : input.records) {
     members.push_back({r.id.text(), &r, nullptr});
     here.insert(members.back().id);
-    if (r.epoch < kGreatestEpoch) next.epoch = std::max(next.epoch, r.epoch);
+    if (r.epoch < kMaxEpoch) next.epoch = std::max(next.epoch, r.epoch);
   }
   if (input.plan) {
     for (const auto& [id, parts] : input.plan->shares) {
--- a/src/fleet/planner.cpp
+++ b/src/fleet/planner.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr double kAgain = 20;                   // retries of a lost call per lease length
-constexpr double kSpread = 0.1;                 // fraction of a lease over which campaigns are spread
-constexpr std::uint64_t kGreatestEpoch = 1e15;  // a record that reports more is wrong
-constexpr double kLooksAgain = 0.25;  // fraction of a round, after a plan that left something unassigned
-constexpr double kGivesWay =
+constexpr double kAgain = 20;              // retries of a lost call per lease length
+constexpr double kCampaignSpread = 0.1;    // fraction of a lease over which campaigns are spread
+constexpr std::uint64_t kMaxEpoch = 1e15;  // a record that reports more is wrong
+constexpr double kEarlyRound = 0.25;       // fraction of a round, after a plan that left something unassigned
+constexpr double kCampaignPauseLeases =
     10;  // lease lengths without a campaign, so that a process that can read the plan wins
 
 bool same_but_for_number(Plan a, const Plan& b) {
@@ -40,7 +40,7 @@
   PlannerOut out;
   call_store(out);
   out.next = now_ + sharing_.lease / kAgain;
-  if (underway_.call == 0) out.next = std::min(out.next, std::max(now_, elected() ? read_at_ : stand_at_));
+  if (underway_.call == 0) out.next = std::min(out.next, std::max(now_, elected() ? read_at_ : campaign_at_));
   return out;
 }
 
@@ -49,7 +49,7 @@
   if (told == History::Told::kLost) {
     if (elected()) resign();
     put_.reset();
-    leave_ = 0;
+    resign_fence_ = 0;
     broken_since_ = -1;
   }
   return told == History::Told::kSame || told == History::Told::kFirst;
@@ -59,7 +59,7 @@
   ++counters_.resigned;
   fence_ = 0;
   put_.reset();
-  stand_at_ = now_ + sharing_.lease * (1 + kSpread * random_.unit());
+  campaign_at_ = now_ + sharing_.lease * (1 + kCampaignSpread * random_.unit());
 }
 
 void Planner::on(const LeaseValid& event) {
@@ -73,14 +73,14 @@
 
 void Planner::on(const PlannerSeen& event) {
   if (event.created == 0 && !elected()) {
-    stand_at_ = now_ + sharing_.lease * kSpread * random_.unit();
+    campaign_at_ = now_ + sharing_.lease * kCampaignSpread * random_.unit();
   }
   if (event.created > fence_ && elected()) resign();
 }
 
-void Planner::on(const Elected& event) {
+void Planner::on(const CampaignResult& event) {
   if (!underway_.ended_by(event.call) || !hear(event.header, underway_.begun)) return;
-  stand_at_ = now_ + sharing_.lease * (1 + kSpread * random_.unit());
+  campaign_at_ = now_ + sharing_.lease * (1 + kCampaignSpread * random_.unit());
   if (event.value != value_ || now_ >= lease_until_) return;
   fence_ = event.created;
   leavers_.begin_anew();
@@ -88,15 +88,15 @@
   ++counters_.elected;
 }
 
-void Planner::on(const Abdicated& event) {
-  if (underway_.ended_by(event.call) && hear(event.header, underway_.begun)) leave_ = 0;
+void Planner::on(const Resigned& event) {
+  if (underway_.ended_by(event.call) && hear(event.header, underway_.begun)) resign_fence_ = 0;
 }
 
 void Planner::on(const CallLost& event) {
   if (!underway_.ended_by(event.call)) return;
   put_.reset();
   read_at_ = now_ + sharing_.lease / kAgain;
-  stand_at_ = std::max(stand_at_, read_at_);
+  campaign_at_ = std::max(campaign_at_, read_at_);
 }
 
 void Planner::on(const PlanPut& event) {
@@ -105,7 +105,7 @@
   if (!event.done) read_at_ = now_;
   // Sooner than after a whole round: all members that see the plan have lowered their shares well before
   // that.
-  if (event.done && unfinished_) read_at_ = std::min(read_at_, now_ + sharing_.plan_every * kLooksAgain);
+  if (event.done && unfinished_) read_at_ = std::min(read_at_, now_ + sharing_.plan_every * kEarlyRound);
 }
 
 void Planner::on(const AllRead& event) {
@@ -113,9 +113,9 @@
   if (event.planner_created != fence_) return resign();
   if (event.plan_modified != 0 && !event.plan && event.newer_form) {
     ++counters_.unreadable;
-    leave_ = fence_;
+    resign_fence_ = fence_;
     resign();
-    gives_way_ = now_ + sharing_.lease * kGivesWay;
+    no_campaign_until_ = now_ + sharing_.lease * kCampaignPauseLeases;
     read_at_ = now_;
     return;
   }
@@ -149,7 +149,7 @@
   Plan next = next_plan(input, turn).value_or(read.plan.value_or(Plan{}));
   next.epoch = (read.plan ? read.plan->epoch : 0) + 1;
   for (const Record& record : read.records) {
-    if (record.epoch < kGreatestEpoch) next.epoch = std::max(next.epoch, record.epoch + 1);
+    if (record.epoch < kMaxEpoch) next.epoch = std::max(next.epoch, record.epoch + 1);
   }
   next.fence = fence_;
   next.history = history_.cluster();
@@ -159,7 +159,7 @@
   hold_slots(next, standing, with_ghosts, nothing_under_way && leavers_.knows_all(now_));
   if (standing != nullptr && same_but_for_number(next, *standing) &&
       std::all_of(read.records.begin(), read.records.end(), [&](const Record& record) {
-        return record.epoch <= standing->epoch || record.epoch >= kGreatestEpoch;
+        return record.epoch <= standing->epoch || record.epoch >= kMaxEpoch;
       })) {
     return std::nullopt;
   }
@@ -169,10 +169,10 @@
 
 void Planner::call_store(PlannerOut& out) {
   if (underway_.call != 0) return;
-  if (leave_ != 0) {
+  if (resign_fence_ != 0) {
     if (now_ < read_at_) return;
     underway_ = {++calls_, now_};
-    out.calls.push_back(Abdicate{calls_, leave_});
+    out.calls.push_back(Resign{calls_, resign_fence_});
   } else if (elected() && put_) {
     underway_ = {++calls_, now_};
     put_->call = calls_;
@@ -184,10 +184,10 @@
     out.calls.push_back(ReadAll{calls_});
   } else if (!elected() && lease_ != 0 && now_ < lease_until_) {
     // Spread out, so that not all processes campaign at the same time.
-    if (stand_at_ < 0) stand_at_ = now_ + sharing_.lease * kSpread * random_.unit();
-    if (now_ < stand_at_ || now_ < gives_way_) return;
+    if (campaign_at_ < 0) campaign_at_ = now_ + sharing_.lease * kCampaignSpread * random_.unit();
+    if (now_ < campaign_at_ || now_ < no_campaign_until_) return;
     underway_ = {++calls_, now_};
-    out.calls.push_back(Elect{calls_, lease_, value_});
+    out.calls.push_back(Campaign{calls_, lease_, value_});
   }
 }
 
--- a/src/fleet/planner.h
+++ b/src/fleet/planner.h
@@ -55,10 +55,10 @@
  private:
   friend struct ModelEye;  // the model checker compares states through it
 
-  void on(const Elected& event);
+  void on(const CampaignResult& event);
   void on(const AllRead& event);
   void on(const PlanPut& event);
-  void on(const Abdicated& event);
+  void on(const Resigned& event);
   void on(const CallLost& event);
   void on(const LeaseValid& event);
   void on(const PlannerSeen& event);
@@ -84,12 +84,12 @@
   std::int64_t lease_ = 0;
   Millis lease_until_ = 0;
 
-  std::uint64_t fence_ = 0;  // 0 = not elected
-  std::string value_;        // written to the planner key when it campaigns; one per lease
-  Millis stand_at_ = -1;     // time of the next campaign; -1 = not scheduled
-  Millis gives_way_ = 0;     // no campaign until then: the plan is of a newer format version
+  std::uint64_t fence_ = 0;       // 0 = not elected
+  std::string value_;             // written to the planner key when it campaigns; one per lease
+  Millis campaign_at_ = -1;       // time of the next campaign; -1 = not scheduled
+  Millis no_campaign_until_ = 0;  // no campaign until then: the plan is of a newer format version
   Underway underway_;
-  std::uint64_t leave_ = 0;  // fence of an election to resign from; 0 = none
+  std::uint64_t resign_fence_ = 0;  // fence of an election to resign from; 0 = none
   Millis read_at_ = 0;
   bool unfinished_ = false;   // the plan written last waits for records to follow
   Millis broken_since_ = -1;  // since when the current plan cannot be read; -1 = it can
--- a/src/fleet/planner_events.h
+++ b/src/fleet/planner_events.h
@@ -15,7 +15,7 @@
 
 // In one transaction creates P/planner under the process's lease if it does not exist, and otherwise reads
 // it.
-struct Elect {
+struct Campaign {
   std::uint64_t call;
   std::int64_t lease;
   std::string value;  // one per lease: a process that reads its own value has been elected
@@ -33,13 +33,13 @@
   std::uint64_t modified;
 };
 // Removes P/planner only if its create revision is `fence`.
-struct Abdicate {
+struct Resign {
   std::uint64_t call;
   std::uint64_t fence;
 };
-using PlannerCall = std::variant<Elect, ReadAll, PutPlan, Abdicate>;
+using PlannerCall = std::variant<Campaign, ReadAll, PutPlan, Resign>;
 
-struct Elected {
+struct CampaignResult {
   std::uint64_t call;
   std::uint64_t created;  // current create revision of P/planner
   std::string value;      // its current value
@@ -60,7 +60,7 @@
   bool done;
   Header header;
 };
-struct Abdicated {
+struct Resigned {
   std::uint64_t call;
   Header header;
 };
@@ -84,8 +84,8 @@
   Millis begun;  // as in History::heard
 };
 struct PlannerTick {};
-using PlannerEvent = std::variant<Elected, AllRead, PlanPut, Abdicated, CallLost, LeaseValid, PlannerSeen,
-                                  HeardHistory, PlannerTick>;
+using PlannerEvent = std::variant<CampaignResult, AllRead, PlanPut, Resigned, CallLost, LeaseValid,
+                                  PlannerSeen, HeardHistory, PlannerTick>;
 
 struct PlannerOut {
   std::vector<PlannerCall> calls;
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -178,7 +178,7 @@
       });
 }
 
-void Store::begin_call(const Elect& call) {
+void Store::begin_call(const Campaign& call) {
   registry::Txn asked;
   asked.compare = {{planner_key_, Compare::Of::kCreated, 0}};
   asked.success = {registry::Put{planner_key_, call.value, call.lease},
@@ -188,12 +188,12 @@
       std::move(asked),
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
         const registry::Page& page = answer.pages.back();
-        Elected elected{call.call, 0, "", to_planner(heard(plain(answer.header), begun, true), begun)};
+        CampaignResult result{call.call, 0, "", to_planner(heard(plain(answer.header), begun, true), begun)};
         if (!page.items.empty()) {
-          elected.created = page.items[0].created;
-          elected.value = page.items[0].value;
+          result.created = page.items[0].created;
+          result.value = page.items[0].value;
         }
-        listener_.planner(elected);
+        listener_.planner(result);
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
 }
@@ -227,14 +227,14 @@
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
 }
 
-void Store::begin_call(const Abdicate& call) {
+void Store::begin_call(const Resign& call) {
   registry::Txn asked;
   asked.compare = {{planner_key_, Compare::Of::kCreated, call.fence}};
   asked.success = {registry::Delete{planner_key_}};
   txn(
       std::move(asked),
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
-        listener_.planner(Abdicated{call.call, to_planner(heard(plain(answer.header), begun, true), begun)});
+        listener_.planner(Resigned{call.call, to_planner(heard(plain(answer.header), begun, true), begun)});
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
 }
--- a/src/fleet/store.h
+++ b/src/fleet/store.h
@@ -47,10 +47,10 @@
   void begin_call(const RenewLease& call);
   void begin_call(const RevokeLease& call);
   void begin_call(const PutRecord& call);
-  void begin_call(const Elect& call);
+  void begin_call(const Campaign& call);
   void begin_call(const ReadAll& call);
   void begin_call(const PutPlan& call);
-  void begin_call(const Abdicate& call);
+  void begin_call(const Resign& call);
 
   void post(const std::string& path, const std::string& body, std::function<void(Reply, Millis begun)> done);
   void txn(membership::registry::Txn txn, Answered answered, Failed failed);
--- a/tests/fleet/model_store.cpp
+++ b/tests/fleet/model_store.cpp
@@ -87,12 +87,12 @@
 
 std::optional<PlannerEvent> Store::execute(const PlannerCall& call, Millis now) {
   expire(now);
-  if (const auto* elect = std::get_if<Elect>(&call)) {
+  if (const auto* campaign = std::get_if<Campaign>(&call)) {
     if (!state.leader) {
-      if (!state.leases.contains(elect->lease)) return std::nullopt;
-      state.leader = {elect->value, ++state.revision, elect->lease};
+      if (!state.leases.contains(campaign->lease)) return std::nullopt;
+      state.leader = {campaign->value, ++state.revision, campaign->lease};
     }
-    return Elected{elect->call, state.leader->created, state.leader->value, header()};
+    return CampaignResult{campaign->call, state.leader->created, state.leader->value, header()};
   }
   if (const auto* read = std::get_if<ReadAll>(&call)) {
     AllRead answer{};
@@ -109,12 +109,12 @@
     const bool written = done(*wanted);
     return PlanPut{wanted->call, written, header()};
   }
-  const auto& abdicate = std::get<Abdicate>(call);
-  if (state.leader && state.leader->created == abdicate.fence) {
+  const auto& resign = std::get<Resign>(call);
+  if (state.leader && state.leader->created == resign.fence) {
     state.leader.reset();
     ++state.revision;
   }
-  return Abdicated{abdicate.call, header()};
+  return Resigned{resign.call, header()};
 }
 
 }  // namespace shorelead::fleet::model
--- a/tests/fleet/planner_test.cpp
+++ b/tests/fleet/planner_test.cpp
@@ -45,17 +45,17 @@
 struct Talk {
   Planner planner{"a", sharing(), {units()}, {std::make_shared<OneSlot>()}, 3};
   Millis now = 0;
-  std::optional<Elect> elect;
+  std::optional<Campaign> campaign;
   std::optional<ReadAll> read;
   std::optional<PutPlan> put;
-  std::optional<Abdicate> abdicate;
+  std::optional<Resign> resign;
 
   void tell(const PlannerEvent& event) {
     for (const PlannerCall& call : planner.handle(event, now).calls) {
-      if (const auto* it = std::get_if<Elect>(&call)) elect = *it;
+      if (const auto* it = std::get_if<Campaign>(&call)) campaign = *it;
       if (const auto* it = std::get_if<ReadAll>(&call)) read = *it;
       if (const auto* it = std::get_if<PutPlan>(&call)) put = *it;
-      if (const auto* it = std::get_if<Abdicate>(&call)) abdicate = *it;
+      if (const auto* it = std::get_if<Resign>(&call)) resign = *it;
     }
   }
   // A read that shows this, `after` the last.
@@ -74,7 +74,7 @@
     tell(LeaseValid{5, 1e6});
     now = 400;
     tell(PlannerTick{});
-    tell(Elected{elect->call, 50, elect->value, kHere});
+    tell(CampaignResult{campaign->call, 50, campaign->value, kHere});
     EXPECT_TRUE(planner.elected());
   }
 };
@@ -124,13 +124,13 @@
   talk.show(3600, std::nullopt, {record("a", 1, 1, 9)}, true);
   EXPECT_FALSE(talk.put.has_value());
   EXPECT_FALSE(talk.planner.elected());
-  ASSERT_TRUE(talk.abdicate.has_value());
-  EXPECT_EQ(talk.abdicate->fence, 50u);
-  talk.tell(Abdicated{talk.abdicate->call, kHere});
-  talk.elect.reset();
+  ASSERT_TRUE(talk.resign.has_value());
+  EXPECT_EQ(talk.resign->fence, 50u);
+  talk.tell(Resigned{talk.resign->call, kHere});
+  talk.campaign.reset();
   talk.now += 3500;
   talk.tell(PlannerSeen{0});
-  EXPECT_FALSE(talk.elect.has_value());
+  EXPECT_FALSE(talk.campaign.has_value());
 }
 
 TEST(Planner, ABrokenPlanIsOverwrittenAfterALeaseAboveAllEpochs) {
--- a/tests/fleet/search_print.cpp
+++ b/tests/fleet/search_print.cpp
@@ -106,7 +106,7 @@
     ink.number(static_cast<std::uint64_t>(it.lease_));
     ink.moment(it.lease_until_);
     ink.number(it.fence_ == 0 ? 2 : store.leader && store.leader->created == it.fence_);
-    ink.moment(it.stand_at_);
+    ink.moment(it.campaign_at_);
     ink.moment(it.read_at_);
     ink.number(it.unfinished_);
     ink.moment(it.history_.since());
@@ -174,9 +174,9 @@
     }
     const auto& planner = std::get<PlannerEvent>(event);
     ink.number(100 + planner.index());
-    if (const auto* elected = std::get_if<Elected>(&planner)) {
-      ink.number(store.leader && store.leader->created == elected->created);
-      ink.text(elected->value.substr(0, 1));
+    if (const auto* result = std::get_if<CampaignResult>(&planner)) {
+      ink.number(store.leader && store.leader->created == result->created);
+      ink.text(result->value.substr(0, 1));
     }
     if (const auto* put = std::get_if<PlanPut>(&planner)) ink.number(put->done);
     if (const auto* read = std::get_if<AllRead>(&planner)) {
