--- a/src/fleet/history.cpp
+++ b/src/fleet/history.cpp
@@ -14,26 +14,26 @@
   return floor;
 }
 
-History::Told History::heard(const Header& header, Millis begun, Millis now) {
+History::Observation History::observe(const Header& header, Millis begun, Millis now) {
   if (cluster_ == 0) {
     cluster_ = header.cluster;
     since_ = now;
     marks_ = {{header.revision, now}};
-    return Told::kFirst;
+    return Observation::kFirst;
   }
   if (header.cluster == cluster_ && header.revision >= floor(begun)) {
     if (header.revision > marks_.back().revision) {
       if (marks_.size() == kMarks) marks_.erase(marks_.begin());
       marks_.push_back({header.revision, now});
     }
-    return Told::kSame;
+    return Observation::kSame;
   }
   // A call started before the first answer of this history may have been answered by the previous one.
-  if (header.cluster != cluster_ && begun < since_) return Told::kLate;
+  if (header.cluster != cluster_ && begun < since_) return Observation::kLate;
   cluster_ = header.cluster;
   since_ = now;
   marks_ = {{header.revision, now}};
-  return Told::kLost;
+  return Observation::kLost;
 }
 
 }  // namespace shorelead::fleet
--- a/src/fleet/history.h
+++ b/src/fleet/history.h
@@ -23,14 +23,14 @@
 
 class History {
  public:
-  enum class Told {
+  enum class Observation {
     kSame,
     kFirst,  // the first answer
     kLate,   // from an earlier history: the answer is to be ignored
     kLost,   // another history is current from now on
   };
   // `begun`: when the answered call was started; for a watch, when the previous message arrived.
-  Told heard(const Header& header, Millis begun, Millis now);
+  Observation observe(const Header& header, Millis begun, Millis now);
 
   std::uint64_t cluster() const { return cluster_; }  // 0 = none yet
   Millis since() const { return since_; }             // when the first answer of this history arrived
--- a/src/fleet/latest_header.h
+++ b/src/fleet/latest_header.h
@@ -13,19 +13,19 @@
 
 class LatestHeader {
  public:
-  struct Believed {
+  struct EffectiveHeader {
     Header header;
     bool lost = false;  // another history is current from now on
   };
   // `whole`: the revision is that of the whole store. `begun`: start of the answered call.
-  Believed hear(const Header& header, Millis begun, bool whole, Millis now) {
+  EffectiveHeader observe(const Header& header, Millis begun, bool whole, Millis now) {
     const bool other = latest_.cluster != 0 && header.cluster != latest_.cluster;
     // An answer to a call from before the current cluster was first seen comes from the previous one.
-    if (other && begun < heard_) return {header, false};
-    const bool behind = whole && begun >= heard_ && header.revision < latest_.revision;
+    if (other && begun < observed_at_) return {header, false};
+    const bool behind = whole && begun >= observed_at_ && header.revision < latest_.revision;
     if (other || behind || header.revision > latest_.revision) {
       latest_ = header;
-      heard_ = now;
+      observed_at_ = now;
     }
     return {whole ? header : Header{header.cluster, std::max(header.revision, latest_.revision)},
             other || behind};
@@ -35,7 +35,7 @@
 
  private:
   Header latest_;
-  Millis heard_ = 0;
+  Millis observed_at_ = 0;
 };
 
 }  // namespace shorelead::fleet
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -15,10 +15,10 @@
 constexpr double kAgain = 20;         // retries of a lost or refused call per lease length
 constexpr double kSmallSteps = 25;    // writes per lease length that only lower: units in use end one by one
 
-bool differ(const std::map<std::string, double>& told, const std::map<std::string, double>& now) {
-  return std::any_of(now.begin(), now.end(), [&told](const auto& figure) {
-    const auto it = told.find(figure.first);
-    const double before = it == told.end() ? 0 : it->second;
+bool differ(const std::map<std::string, double>& reported, const std::map<std::string, double>& now) {
+  return std::any_of(now.begin(), now.end(), [&reported](const auto& figure) {
+    const auto it = reported.find(figure.first);
+    const double before = it == reported.end() ? 0 : it->second;
     return std::abs(figure.second - before) > kChanged * std::max(before, figure.second);
   });
 }
@@ -59,20 +59,20 @@
   return out;
 }
 
-bool Member::hear(const Header& header, Millis begun) {
-  const History::Told told = history_.heard(header, begun, now_);
-  if (told == History::Told::kLost) {
+bool Member::observe(const Header& header, Millis begun) {
+  const History::Observation observed = history_.observe(header, begun, now_);
+  if (observed == History::Observation::kLost) {
     ++counters_.histories;
     plan_.reset();
     plan_modified_ = 0;
     plan_passed_ = false;
     if (phase_ != Phase::kLeft) end_incarnation();
   }
-  return told == History::Told::kSame || told == History::Told::kFirst;
+  return observed == History::Observation::kSame || observed == History::Observation::kFirst;
 }
 
 void Member::on(const Granted& event) {
-  if (!lease_.answers(event.call) || !hear(event.header, lease_.begun())) return;
+  if (!lease_.answers(event.call) || !observe(event.header, lease_.begun())) return;
   lease_.granted(event.lease);
   id_.incarnation = random_.next();
   phase_ = Phase::kNaming;
@@ -80,7 +80,7 @@
 }
 
 void Member::on(const Renewed& event) {
-  if (!lease_.answers(event.call) || !hear(event.header, lease_.begun())) return;
+  if (!lease_.answers(event.call) || !observe(event.header, lease_.begun())) return;
   if (event.there) {
     lease_.renewed();
   } else {
@@ -92,7 +92,7 @@
 void Member::on(const Revoked& event) {
   if (!lease_.answers(event.call)) return;
   lease_.gone();
-  hear(event.header, lease_.begun());
+  observe(event.header, lease_.begun());
 }
 
 void Member::on(const Lost& event) {
@@ -107,7 +107,7 @@
 }
 
 void Member::on(const RecordPut& event) {
-  if (!put_call_.ended_by(event.call) || !hear(event.header, put_call_.begun)) return;
+  if (!put_call_.ended_by(event.call) || !observe(event.header, put_call_.begun)) return;
   if (!event.done) return refused(event);
   record_ = std::move(put_);
   modified_ = event.revision;
@@ -141,7 +141,7 @@
 }
 
 void Member::on(const PlanSeen& event) {
-  hear(event.header, event.begun);
+  observe(event.header, event.begun);
   const std::uint64_t in_force = std::max(holding_.epoch(), record_.epoch);
   if (event.header.cluster != history_.cluster() || event.plan.history != history_.cluster() ||
       event.modified < plan_modified_ || event.plan.epoch < in_force) {
--- a/src/fleet/member.h
+++ b/src/fleet/member.h
@@ -78,11 +78,11 @@
   void on(const Lost& event);
   void on(const PlanSeen& event);
   void on(const Traffic& event) { holding_.told(event.state); }
-  void on(const Heard& event) { hear(event.header, event.begun); }
+  void on(const HeaderObserved& event) { observe(event.header, event.begun); }
   void on(const Tick&) {}
   void on(const Leave&);
 
-  bool hear(const Header& header, Millis begun);  // false: the answer is to be ignored
+  bool observe(const Header& header, Millis begun);  // false: the answer is to be ignored
   void refused(const RecordPut& event);
   void joined();
   void end_incarnation();
--- a/src/fleet/member_events.h
+++ b/src/fleet/member_events.h
@@ -92,20 +92,20 @@
   Plan plan;
   std::uint64_t modified;
   Header header;
-  Millis begun;  // as in History::heard
+  Millis begun;  // as in History::observe
 };               // as read by a range or a watch
 struct Traffic {
   TrafficState state;
 };
 // The header of any other answer.
-struct Heard {
+struct HeaderObserved {
   Header header;
   Millis begun;
 };
 struct Tick {};
 struct Leave {};  // the process shuts down gracefully
 using MemberEvent =
-    std::variant<Granted, Renewed, RecordPut, Revoked, Lost, PlanSeen, Traffic, Heard, Tick, Leave>;
+    std::variant<Granted, Renewed, RecordPut, Revoked, Lost, PlanSeen, Traffic, HeaderObserved, Tick, Leave>;
 
 struct MemberOut {
   std::vector<MemberCall> calls;
--- a/src/fleet/plan_watch.cpp
+++ b/src/fleet/plan_watch.cpp
@@ -67,7 +67,7 @@
     return again();
   }
   const std::uint64_t age = age_;
-  const Header header = listener_.heard({page->header.cluster, page->header.revision}, begun, true);
+  const Header header = listener_.header_received({page->header.cluster, page->header.revision}, begun, true);
   if (age != age_) return;  // another history: everything is fetched again
   std::uint64_t planner = 0;
   for (const registry::KeyValue& item : page->items) {
@@ -143,7 +143,8 @@
   pause_ = 0;
   const Millis begun = std::exchange(last_line_, boot_now());
   const std::uint64_t age = age_;
-  const Header header = listener_.heard({said->header.cluster, said->header.revision}, begun, false);
+  const Header header =
+      listener_.header_received({said->header.cluster, said->header.revision}, begun, false);
   if (age != age_) return false;
   for (const registry::Event& event : said->events) {
     if (event.item.key == planner_key_) tell_planner(event.deleted ? 0 : event.item.created);
--- a/src/fleet/plan_watch.h
+++ b/src/fleet/plan_watch.h
@@ -25,7 +25,7 @@
     std::function<void(PlannerSeen)> planner;
     // Called with the header of each answer to a range or watch; returns the effective header. `latest`: the
     // revision is that of the whole store, not of one member.
-    std::function<Header(const Header&, Millis begun, bool latest)> heard;
+    std::function<Header(const Header&, Millis begun, bool latest)> header_received;
     std::function<void(const std::string&)> trouble;
   };
   struct Counters {
--- a/src/fleet/planner.cpp
+++ b/src/fleet/planner.cpp
@@ -44,15 +44,15 @@
   return out;
 }
 
-bool Planner::hear(const Header& header, Millis begun) {
-  const History::Told told = history_.heard(header, begun, now_);
-  if (told == History::Told::kLost) {
+bool Planner::observe(const Header& header, Millis begun) {
+  const History::Observation observed = history_.observe(header, begun, now_);
+  if (observed == History::Observation::kLost) {
     if (elected()) resign();
     put_.reset();
     resign_fence_ = 0;
     broken_since_ = -1;
   }
-  return told == History::Told::kSame || told == History::Told::kFirst;
+  return observed == History::Observation::kSame || observed == History::Observation::kFirst;
 }
 
 void Planner::resign() {
@@ -79,7 +79,7 @@
 }
 
 void Planner::on(const CampaignResult& event) {
-  if (!underway_.ended_by(event.call) || !hear(event.header, underway_.begun)) return;
+  if (!underway_.ended_by(event.call) || !observe(event.header, underway_.begun)) return;
   campaign_at_ = now_ + sharing_.lease * (1 + kCampaignSpread * random_.unit());
   if (event.value != value_ || now_ >= lease_until_) return;
   fence_ = event.created;
@@ -89,7 +89,7 @@
 }
 
 void Planner::on(const Resigned& event) {
-  if (underway_.ended_by(event.call) && hear(event.header, underway_.begun)) resign_fence_ = 0;
+  if (underway_.ended_by(event.call) && observe(event.header, underway_.begun)) resign_fence_ = 0;
 }
 
 void Planner::on(const CallLost& event) {
@@ -100,7 +100,7 @@
 }
 
 void Planner::on(const PlanPut& event) {
-  if (!underway_.ended_by(event.call) || !hear(event.header, underway_.begun)) return;
+  if (!underway_.ended_by(event.call) || !observe(event.header, underway_.begun)) return;
   ++(event.done ? counters_.plans : counters_.refused);
   if (!event.done) read_at_ = now_;
   // Sooner than after a whole round: all members that see the plan have lowered their shares well before
@@ -109,7 +109,7 @@
 }
 
 void Planner::on(const AllRead& event) {
-  if (!underway_.ended_by(event.call) || !hear(event.header, underway_.begun) || !elected()) return;
+  if (!underway_.ended_by(event.call) || !observe(event.header, underway_.begun) || !elected()) return;
   if (event.planner_created != fence_) return resign();
   if (event.plan_modified != 0 && !event.plan && event.newer_form) {
     ++counters_.unreadable;
--- a/src/fleet/planner.h
+++ b/src/fleet/planner.h
@@ -62,10 +62,10 @@
   void on(const CallLost& event);
   void on(const LeaseValid& event);
   void on(const PlannerSeen& event);
-  void on(const HeardHistory& event) { hear(event.header, event.begun); }
+  void on(const HistoryObserved& event) { observe(event.header, event.begun); }
   void on(const PlannerTick&) {}
 
-  bool hear(const Header& header, Millis begun);  // false: the answer is to be ignored
+  bool observe(const Header& header, Millis begun);  // false: the answer is to be ignored
   void resign();
   void call_store(PlannerOut& out);
   std::optional<Plan> plan_from(const AllRead& read, bool may_raise);
--- a/src/fleet/planner_events.h
+++ b/src/fleet/planner_events.h
@@ -79,13 +79,13 @@
 // The header of any other answer, also while another process is the planner. A process that has observed one
 // history for a whole lease may raise immediately; any other waits that long, since shares of a lost history
 // may still be in force.
-struct HeardHistory {
+struct HistoryObserved {
   Header header;
-  Millis begun;  // as in History::heard
+  Millis begun;  // as in History::observe
 };
 struct PlannerTick {};
 using PlannerEvent = std::variant<CampaignResult, AllRead, PlanPut, Resigned, CallLost, LeaseValid,
-                                  PlannerSeen, HeardHistory, PlannerTick>;
+                                  PlannerSeen, HistoryObserved, PlannerTick>;
 
 struct PlannerOut {
   std::vector<PlannerCall> calls;
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -30,10 +30,10 @@
              {[this](const PlanSeen& seen) { listener_.member(seen); },
               [this](const PlannerSeen& seen) { listener_.planner(seen); },
               [this](const Header& header, Millis begun, bool latest) {
-                const Header told = heard(header, begun, latest);
-                listener_.member(Heard{told, begun});
-                listener_.planner(HeardHistory{told, begun});
-                return told;
+                const Header effective = effective_header(header, begun, latest);
+                listener_.member(HeaderObserved{effective, begun});
+                listener_.planner(HistoryObserved{effective, begun});
+                return effective;
               },
               [this](const std::string& text) { listener_.trouble(text); }}) {}
 
@@ -45,10 +45,10 @@
 }
 
 // Returns the effective header of an answer; restarts the watch if a history was lost.
-Header Store::heard(const Header& header, Millis begun, bool whole) {
-  const LatestHeader::Believed told = latest_.hear(header, begun, whole, boot_now());
-  if (told.lost) watch_.begin_anew();
-  return told.header;
+Header Store::effective_header(const Header& header, Millis begun, bool whole) {
+  const LatestHeader::EffectiveHeader effective = latest_.observe(header, begun, whole, boot_now());
+  if (effective.lost) watch_.begin_anew();
+  return effective.header;
 }
 
 void Store::post(const std::string& path, const std::string& body,
@@ -98,7 +98,7 @@
            listener_.trouble("the store gives leases of " + std::to_string(granted->seconds) +
                              " s only: ask for shorter ones");
          } else {
-           const Header header = heard(plain(granted->header), begun, true);
+           const Header header = effective_header(plain(granted->header), begun, true);
            return listener_.member(Granted{call.call, granted->id, to_member(header, begun)});
          }
          listener_.member(Lost{call.call});
@@ -118,7 +118,7 @@
          } else if (kept->seconds > 0 && static_cast<Millis>(kept->seconds) * 1000 < sharing_.lease) {
            listener_.trouble("a lease was renewed for less than its length");
          } else {
-           const Header header = heard(plain(kept->header), begun, false);
+           const Header header = effective_header(plain(kept->header), begun, false);
            return listener_.member(Renewed{call.call, kept->seconds > 0, to_member(header, begun)});
          }
          listener_.member(Lost{call.call});
@@ -131,8 +131,8 @@
          std::string cause;
          const auto header = reply.status == 200 ? registry::parse_revoked(reply.body, cause) : std::nullopt;
          if (header) {
-           const Header told = heard(plain(*header), begun, true);
-           return listener_.member(Revoked{call.call, to_member(told, begun)});
+           const Header effective = effective_header(plain(*header), begun, true);
+           return listener_.member(Revoked{call.call, to_member(effective, begun)});
          }
          // A lease that no longer exists counts as revoked.
          if (reply.status != 200 && refusal(reply).code == registry::kNotFound && latest_.any()) {
@@ -164,7 +164,7 @@
           put.own = parse_record(answer.pages[0].items[0].value, cause);
           put.own_modified = answer.pages[0].items[0].revision;
         }
-        put.header = to_member(heard(plain(answer.header), begun, true), begun);
+        put.header = to_member(effective_header(plain(answer.header), begun, true), begun);
         const std::uint64_t plan_modified = put.plan_modified;
         listener_.member(put);
         watch_.plan_stands(plan_modified);
@@ -188,7 +188,8 @@
       std::move(asked),
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
         const registry::Page& page = answer.pages.back();
-        CampaignResult result{call.call, 0, "", to_planner(heard(plain(answer.header), begun, true), begun)};
+        CampaignResult result{call.call, 0, "",
+                              to_planner(effective_header(plain(answer.header), begun, true), begun)};
         if (!page.items.empty()) {
           result.created = page.items[0].created;
           result.value = page.items[0].value;
@@ -207,7 +208,7 @@
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
         AllRead all = read_all(answer, [this](const std::string& text) { listener_.trouble(text); });
         all.call = call.call;
-        all.header = to_planner(heard(plain(answer.header), begun, true), begun);
+        all.header = to_planner(effective_header(plain(answer.header), begun, true), begun);
         listener_.planner(all);
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
@@ -221,7 +222,7 @@
   txn(
       std::move(asked),
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
-        const Header header = to_planner(heard(plain(answer.header), begun, true), begun);
+        const Header header = to_planner(effective_header(plain(answer.header), begun, true), begun);
         listener_.planner(PlanPut{call.call, answer.succeeded, header});
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
@@ -234,7 +235,8 @@
   txn(
       std::move(asked),
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
-        listener_.planner(Resigned{call.call, to_planner(heard(plain(answer.header), begun, true), begun)});
+        listener_.planner(
+            Resigned{call.call, to_planner(effective_header(plain(answer.header), begun, true), begun)});
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
 }
--- a/src/fleet/store.h
+++ b/src/fleet/store.h
@@ -55,14 +55,14 @@
   void post(const std::string& path, const std::string& body, std::function<void(Reply, Millis begun)> done);
   void txn(membership::registry::Txn txn, Answered answered, Failed failed);
   // The effective header of an answer; restarts the watch if a history was lost.
-  Header heard(const Header& header, Millis begun, bool whole);
+  Header effective_header(const Header& header, Millis begun, bool whole);
   // An answer to one of the two is also reported to the other, for its view of the history.
   Header to_member(const Header& header, Millis begun) {
-    listener_.planner(HeardHistory{header, begun});
+    listener_.planner(HistoryObserved{header, begun});
     return header;
   }
   Header to_planner(const Header& header, Millis begun) {
-    listener_.member(Heard{header, begun});
+    listener_.member(HeaderObserved{header, begun});
     return header;
   }
   membership::registry::Refusal refusal(const Reply& reply);
--- a/tests/fleet/member_test.cpp
+++ b/tests/fleet/member_test.cpp
@@ -123,11 +123,11 @@
   Talk talk(4);
   const Millis begun = talk.now = 300;
   talk.now = 310;
-  talk.tell(Heard{{1, 130}, 305});
+  talk.tell(HeaderObserved{{1, 130}, 305});
   talk.now = 320;
-  talk.tell(Heard{{1, 120}, begun});
+  talk.tell(HeaderObserved{{1, 120}, begun});
   EXPECT_EQ(talk.member.counters().histories, 0u);
-  talk.tell(Heard{{1, 120}, 315});
+  talk.tell(HeaderObserved{{1, 120}, 315});
   EXPECT_EQ(talk.member.counters().histories, 1u);
 }
 
--- a/tests/fleet/model_process.cpp
+++ b/tests/fleet/model_process.cpp
@@ -42,9 +42,9 @@
   if (header.cluster != 0) heard_ = header.cluster;
   if (const auto* answer = std::get_if<MemberEvent>(&event)) {
     member(*answer, at, send);
-    if (header.cluster != 0) planner(HeardHistory{header, begun}, at, send);
+    if (header.cluster != 0) planner(HistoryObserved{header, begun}, at, send);
   } else {
-    if (header.cluster != 0) member(Heard{header, begun}, at, send);
+    if (header.cluster != 0) member(HeaderObserved{header, begun}, at, send);
     planner(std::get<PlannerEvent>(event), at, send);
   }
 }
--- a/tests/fleet/search_node.cpp
+++ b/tests/fleet/search_node.cpp
@@ -83,7 +83,7 @@
 void Node::answer(int process, const AnyEvent& event, Millis begun) {
   if (const auto* answer = std::get_if<MemberEvent>(&event)) {
     member(process, *answer);
-    planner(process, HeardHistory{store->header(), begun});
+    planner(process, HistoryObserved{store->header(), begun});
   } else {
     planner(process, std::get<PlannerEvent>(event));
   }
