--- a/src/fleet/holding.cpp
+++ b/src/fleet/held_budgets.cpp
@@ -1,4 +1,4 @@
-#include "fleet/holding.h"
+#include "fleet/held_budgets.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,20 +7,20 @@
 
 namespace shorelead::fleet {
 
-Holding::Holding(const Sharing& sharing, std::vector<Budget> budgets)
+HeldBudgets::HeldBudgets(const Sharing& sharing, std::vector<Budget> budgets)
     : sharing_(sharing), budgets_(std::move(budgets)) {}
 
-Parts Holding::own_parts(const Plan& plan, const MemberId& member) const {
+Parts HeldBudgets::own_parts(const Plan& plan, const MemberId& member) const {
   const auto given = plan.shares.find(member.text());
   return given == plan.shares.end() ? Parts{} : usable(given->second, plan.wholes, budgets_);
 }
 
-double Holding::in_use(const Budget& budget) const {
+double HeldBudgets::in_use(const Budget& budget) const {
   const auto it = traffic_.in_use.find(budget.name);
   return it == traffic_.in_use.end() ? 0 : it->second;
 }
 
-Parts Holding::may_use(const Parts& parts, const Parts& recorded) const {
+Parts HeldBudgets::parts_to_record(const Parts& parts, const Parts& recorded) const {
   Parts used = parts;
   for (const Budget& budget : budgets_) {
     if (budget.kind != BudgetKind::kAtOnce) continue;
@@ -32,22 +32,22 @@
   return used;
 }
 
-bool Holding::over() const {
+bool HeldBudgets::over() const {
   if (!slots_quiet()) return false;
   return std::all_of(budgets_.begin(), budgets_.end(), [this](const Budget& budget) {
     return budget.kind != BudgetKind::kAtOnce || in_use(budget) <= 0;
   });
 }
 
-void Holding::publish(Snapshot next) {
+void HeldBudgets::publish(Snapshot next) {
   next.generation = now_.generation + 1;
   now_ = std::move(next);
-  news_ = std::make_shared<const Snapshot>(now_);
+  changed_ = std::make_shared<const Snapshot>(now_);
 }
 
-std::shared_ptr<const Snapshot> Holding::take_news() { return std::exchange(news_, nullptr); }
+std::shared_ptr<const Snapshot> HeldBudgets::take_changed() { return std::exchange(changed_, nullptr); }
 
-void Holding::lower_to(const Plan& plan, const MemberId& member) {
+void HeldBudgets::lower_to(const Plan& plan, const MemberId& member) {
   Snapshot next = now_;
   const Parts parts = own_parts(plan, member);
   for (auto it = next.parts.begin(); it != next.parts.end();) {
@@ -72,7 +72,7 @@
   if (next.parts != now_.parts || next.affinity != now_.affinity) publish(std::move(next));
 }
 
-void Holding::put_in_force(const Plan& plan, const MemberId& member) {
+void HeldBudgets::put_in_force(const Plan& plan, const MemberId& member) {
   Snapshot next;
   next.incarnation = member.incarnation;
   next.epoch = plan.epoch;
@@ -82,7 +82,7 @@
   publish(std::move(next));
 }
 
-void Holding::end() {
+void HeldBudgets::end() {
   if (!holds()) return;
   Snapshot next = now_;
   next.incarnation = 0;
--- a/src/fleet/holding.h
+++ b/src/fleet/held_budgets.h
@@ -13,11 +13,11 @@
 
 namespace shorelead::fleet {
 
-class Holding {
+class HeldBudgets {
  public:
-  Holding(const Sharing& sharing, std::vector<Budget> budgets);
+  HeldBudgets(const Sharing& sharing, std::vector<Budget> budgets);
 
-  void told(const TrafficState& traffic) { traffic_ = traffic; }
+  void set_traffic(const TrafficState& traffic) { traffic_ = traffic; }
   void lower_to(const Plan& plan, const MemberId& member);
   void put_in_force(const Plan& plan, const MemberId& member);
   void end();  // afterwards nothing is in force
@@ -26,18 +26,18 @@
   Parts own_parts(const Plan& plan, const MemberId& member) const;
   // What the record must report while `parts` may be newly spent: for a concurrency budget also the units
   // still in use, as far as the record had them; they are released only when they have ended.
-  Parts may_use(const Parts& parts, const Parts& recorded) const;
+  Parts parts_to_record(const Parts& parts, const Parts& recorded) const;
   const Parts& parts() const { return now_.parts; }
   // Whether the traffic applies the last snapshot.
-  bool followed() const { return traffic_.generation >= now_.generation; }
-  bool slots_quiet() const { return followed() && traffic_.slots_quiet; }
+  bool applied_by_traffic() const { return traffic_.generation >= now_.generation; }
+  bool slots_quiet() const { return applied_by_traffic() && traffic_.slots_quiet; }
   // After `end`: whether the traffic no longer uses any of it.
   bool over() const;
 
   std::uint64_t epoch() const { return now_.epoch; }
   bool holds() const { return now_.incarnation != 0; }
   const TrafficState& traffic() const { return traffic_; }
-  std::shared_ptr<const Snapshot> take_news();  // null: unchanged
+  std::shared_ptr<const Snapshot> take_changed();  // null: unchanged
 
  private:
   friend struct ModelEye;
@@ -48,7 +48,7 @@
   const Sharing sharing_;
   const std::vector<Budget> budgets_;
   Snapshot now_;
-  std::shared_ptr<const Snapshot> news_;
+  std::shared_ptr<const Snapshot> changed_;
   TrafficState traffic_;
 };
 
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -32,7 +32,7 @@
       sharing_(sharing),
       random_(seed),
       lease_(sharing),
-      holding_(sharing, std::move(budgets)),
+      held_(sharing, std::move(budgets)),
       id_{std::move(name), 0} {}
 
 Millis Member::valid_until() const {
@@ -52,7 +52,7 @@
   std::visit([this](const auto& it) { on(it); }, event);
   MemberOut out;
   call_store(out);
-  out.publish = holding_.take_news();
+  out.publish = held_.take_changed();
   out.incarnation = incarnation();
   out.valid_until = valid_until();
   out.next = next();
@@ -116,7 +116,7 @@
   // If a newer plan was seen meanwhile, its lowering is already applied and only that plan may raise.
   if (put_epoch_ != 0 && plan_ && plan_->epoch == put_epoch_) {
     ++counters_.epochs;
-    holding_.put_in_force(*plan_, id_);
+    held_.put_in_force(*plan_, id_);
   }
 }
 
@@ -142,7 +142,7 @@
 
 void Member::on(const PlanSeen& event) {
   observe(event.header, event.begun);
-  const std::uint64_t in_force = std::max(holding_.epoch(), record_.epoch);
+  const std::uint64_t in_force = std::max(held_.epoch(), record_.epoch);
   if (event.header.cluster != history_.cluster() || event.plan.history != history_.cluster() ||
       event.modified < plan_modified_ || event.plan.epoch < in_force) {
     ++counters_.older;
@@ -152,7 +152,7 @@
   plan_ = event.plan;
   plan_modified_ = event.modified;
   plan_passed_ = false;
-  if (phase_ == Phase::kIn) holding_.lower_to(*plan_, id_);
+  if (phase_ == Phase::kIn) held_.lower_to(*plan_, id_);
 }
 
 void Member::on(const Leave&) {
@@ -175,11 +175,11 @@
   record_ = {};
   modified_ = 0;
   put_begun_ = -1;
-  holding_.end();
+  held_.end();
 }
 
 void Member::call_store(MemberOut& out) {
-  if (phase_ == Phase::kEnding && holding_.over() && lease_.lease() == 0 && !lease_.waits()) {
+  if (phase_ == Phase::kEnding && held_.over() && lease_.lease() == 0 && !lease_.waits()) {
     phase_ = leaving_ ? Phase::kLeft : Phase::kNoLease;
   }
   switch (phase_) {
@@ -187,7 +187,7 @@
       return;
     case Phase::kEnding:
       // The record has to exist while any of it is in use.
-      if (lease_.lease() != 0) lease_.call(!holding_.over(), calls_, now_, out.calls);
+      if (lease_.lease() != 0) lease_.call(!held_.over(), calls_, now_, out.calls);
       return;
     case Phase::kNoLease:
     case Phase::kNaming:
@@ -199,16 +199,16 @@
 
 void Member::put_record(MemberOut& out) {
   if (put_call_.call != 0 || now_ < put_again_) return;
-  const bool acknowledges = phase_ == Phase::kIn && plan_ && !plan_passed_ &&
-                            plan_->epoch > holding_.epoch() && holding_.slots_quiet();
+  const bool acknowledges =
+      phase_ == Phase::kIn && plan_ && !plan_passed_ && plan_->epoch > held_.epoch() && held_.slots_quiet();
   Parts parts = record_.in_force;
   if (acknowledges) {
-    parts = holding_.may_use(holding_.own_parts(*plan_, id_), record_.in_force);
-  } else if (holding_.followed()) {
-    parts = holding_.may_use(holding_.parts(), record_.in_force);
+    parts = held_.parts_to_record(held_.own_parts(*plan_, id_), record_.in_force);
+  } else if (held_.applied_by_traffic()) {
+    parts = held_.parts_to_record(held_.parts(), record_.in_force);
   }
   const bool lowers = parts != record_.in_force && now_ >= lower_again_;
-  const TrafficState& traffic = holding_.traffic();
+  const TrafficState& traffic = held_.traffic();
   // The loads of the ranks signal overload, so they are reported as often as allowed.
   const bool changed = !traffic.ranks.empty() || differ(record_.demand, traffic.demand) ||
                        differ(record_.spent, traffic.spent);
--- a/src/fleet/member.h
+++ b/src/fleet/member.h
@@ -24,8 +24,8 @@
 
 #include "base/millis.h"
 #include "base/random.h"
+#include "fleet/held_budgets.h"
 #include "fleet/history.h"
-#include "fleet/holding.h"
 #include "fleet/lease_keeper.h"
 #include "fleet/member_events.h"
 #include "fleet/plan.h"
@@ -54,10 +54,10 @@
 
   Millis valid_until() const;
   std::uint64_t incarnation() const { return phase_ == Phase::kIn ? id_.incarnation : 0; }
-  std::uint64_t epoch() const { return holding_.epoch(); }  // of the plan fully in force
-  std::int64_t lease() const { return lease_.lease(); }     // 0 = none; the planner campaigns under it
-  Millis lease_until() const;                               // the lease certainly exists until then
-  bool left() const { return phase_ == Phase::kLeft; }      // after Leave
+  std::uint64_t epoch() const { return held_.epoch(); }  // of the plan fully in force
+  std::int64_t lease() const { return lease_.lease(); }  // 0 = none; the planner campaigns under it
+  Millis lease_until() const;                            // the lease certainly exists until then
+  bool left() const { return phase_ == Phase::kLeft; }   // after Leave
   const MemberCounters& counters() const { return counters_; }
 
  private:
@@ -77,7 +77,7 @@
   void on(const Revoked& event);
   void on(const Lost& event);
   void on(const PlanSeen& event);
-  void on(const Traffic& event) { holding_.told(event.state); }
+  void on(const Traffic& event) { held_.set_traffic(event.state); }
   void on(const HeaderObserved& event) { observe(event.header, event.begun); }
   void on(const Tick&) {}
   void on(const Leave&);
@@ -103,7 +103,7 @@
   std::uint64_t calls_ = 0;
   History history_;
   LeaseKeeper lease_;
-  Holding holding_;
+  HeldBudgets held_;
 
   MemberId id_;
   Record record_;               // as written by the last call known to have succeeded
--- a/tests/fleet/search_print.cpp
+++ b/tests/fleet/search_print.cpp
@@ -80,8 +80,8 @@
     ink.moment(it.lease_.held_since_);
     ink.moment(it.lease_.due_);
     ink.number(it.lease_.underway_.call != 0 ? 1 + it.lease_.gives_back_ : 0);
-    ink.snapshot(it.holding_.now_);
-    ink.number(it.holding_.followed());
+    ink.snapshot(it.held_.now_);
+    ink.number(it.held_.applied_by_traffic());
     ink.number(it.id_.incarnation != 0);
     ink.record(it.record_);
     ink.number(it.modified_ == 0 ? 2 : kept != store.records.end() && kept->second.modified == it.modified_);
