--- a/src/fleet/leavers.cpp
+++ b/src/fleet/departed_members.cpp
@@ -1,16 +1,16 @@
-#include "fleet/leavers.h"
+#include "fleet/departed_members.h"
 
 #include <algorithm>
 
 namespace shorelead::fleet {
 
-Leavers::Leavers(const Sharing& sharing, const std::vector<Budget>& budgets) {
+DepartedMembers::DepartedMembers(const Sharing& sharing, const std::vector<Budget>& budgets) {
   wait_ = sharing.longest;
   for (const Budget& budget : budgets) wait_ = std::max(wait_, budget.hold);
   wait_ *= 1 + 2 * sharing.drift;
 }
 
-void Leavers::begin_anew() {
+void DepartedMembers::reset() {
   first_read_ = -1;
   seen_.clear();
 }
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-void Leavers::read(const std::vector<Record>& records, const std::optional<Plan>& plan, Millis now) {
+void DepartedMembers::read(const std::vector<Record>& records, const std::optional<Plan>& plan, Millis now) {
   if (first_read_ < 0) first_read_ = now;
   std::set<std::string> there;
   for (const Record& record : records) {
@@ -51,7 +51,7 @@
   }
 }
 
-std::map<std::string, Parts> Leavers::gone() const {
+std::map<std::string, Parts> DepartedMembers::gone() const {
   std::map<std::string, Parts> gone;
   for (const auto& [id, seen] : seen_) {
     if (seen.gone >= 0 && !seen.out) gone[id] = seen.had;
@@ -59,16 +59,16 @@
   return gone;
 }
 
-std::vector<Record> Leavers::ghosts() const {
-  std::vector<Record> ghosts;
+std::vector<Record> DepartedMembers::substitute_records() const {
+  std::vector<Record> substitute_records;
   for (const auto& [id, seen] : seen_) {
     if (seen.gone < 0 || seen.out) continue;
-    Record ghost;
-    ghost.id.name = id;
-    ghost.epoch = std::max<std::uint64_t>(seen.epoch, 1);
-    ghosts.push_back(std::move(ghost));
+    Record substitute;
+    substitute.id.name = id;
+    substitute.epoch = std::max<std::uint64_t>(seen.epoch, 1);
+    substitute_records.push_back(std::move(substitute));
   }
-  return ghosts;
+  return substitute_records;
 }
 
 }  // namespace shorelead::fleet
--- a/src/fleet/leavers.h
+++ b/src/fleet/departed_members.h
@@ -15,18 +15,18 @@
 
 namespace shorelead::fleet {
 
-class Leavers {
+class DepartedMembers {
  public:
-  Leavers(const Sharing& sharing, const std::vector<Budget>& budgets);
+  DepartedMembers(const Sharing& sharing, const std::vector<Budget>& budgets);
 
   void read(const std::vector<Record>& records, const std::optional<Plan>& plan, Millis now);
-  void begin_anew();  // forgets everything, since changes may have been missed
+  void reset();  // forgets everything, since changes may have been missed
 
   // Members still counted, by MemberId::text(), for the concurrency budgets they held.
   std::map<std::string, Parts> gone() const;  // each with the most it may have held when last seen
   // Substitute records for them, with the last epoch seen of each, but at least 1: it may have put a plan in
   // force after that.
-  std::vector<Record> ghosts() const;
+  std::vector<Record> substitute_records() const;
   // Whether every member from before the first read, seen or not, no longer counts.
   Millis wait() const { return wait_; }
   bool knows_all(Millis now) const { return first_read_ >= 0 && now - first_read_ >= wait_; }
--- a/src/fleet/plan_watch.cpp
+++ b/src/fleet/plan_watch.cpp
@@ -182,7 +182,7 @@
   alive();
 }
 
-void PlanWatch::begin_anew() {
+void PlanWatch::restart() {
   ++age_;
   told_ = 0;
   told_by_watch_ = 0;
--- a/src/fleet/plan_watch.h
+++ b/src/fleet/plan_watch.h
@@ -41,7 +41,7 @@
   void begin() { fetch(); }
   // Takes the plan's modification revision from another answer (0: there is no plan); fetches a newer plan.
   void plan_stands(std::uint64_t modified);
-  void begin_anew();  // restarts after the history was lost
+  void restart();  // restarts after the history was lost
   const Counters& counters() const { return counters_; }
 
  private:
--- a/src/fleet/planner.cpp
+++ b/src/fleet/planner.cpp
@@ -31,7 +31,7 @@
       budgets_(std::move(budgets)),
       shapers_(std::move(shapers)),
       random_(seed),
-      leavers_(sharing, budgets_) {}
+      departed_(sharing, budgets_) {}
 
 PlannerOut Planner::handle(const PlannerEvent& event, Millis now) {
   now_ = std::max(now_, now);
@@ -83,7 +83,7 @@
   campaign_at_ = now_ + sharing_.lease * (1 + kCampaignSpread * random_.unit());
   if (event.value != value_ || now_ >= lease_until_) return;
   fence_ = event.created;
-  leavers_.begin_anew();
+  departed_.reset();
   read_at_ = now_;
   ++counters_.elected;
 }
@@ -119,7 +119,7 @@
     read_at_ = now_;
     return;
   }
-  leavers_.read(event.records, event.plan, now_);
+  departed_.read(event.records, event.plan, now_);
   const bool may_raise = all_known(event);
   if (!may_raise) ++counters_.held;
   if (broken_since_ >= 0 && now_ - broken_since_ < sharing_.lease) return;
@@ -142,9 +142,9 @@
   const bool ours = read.plan && read.plan->history == history_.cluster();
   const Plan* standing = ours ? &*read.plan : nullptr;
   const bool nothing_under_way =
-      may_raise && leavers_.knows_all(now_) && now_ - history_.since() >= sharing_.lease + leavers_.wait();
+      may_raise && departed_.knows_all(now_) && now_ - history_.since() >= sharing_.lease + departed_.wait();
   const PlannerInput input{budgets_, sharing_,  read.plan,          read.records,
-                           fence_,   may_raise, !nothing_under_way, leavers_.gone()};
+                           fence_,   may_raise, !nothing_under_way, departed_.gone()};
   const auto turn = static_cast<std::uint64_t>(now_ / sharing_.plan_every);
   Plan next = next_plan(input, turn).value_or(read.plan.value_or(Plan{}));
   next.epoch = (read.plan ? read.plan->epoch : 0) + 1;
@@ -154,9 +154,9 @@
   next.fence = fence_;
   next.history = history_.cluster();
   for (const auto& shaper : shapers_) shaper->shape(next, standing, read.records, now_);
-  std::vector<Record> with_ghosts = leavers_.ghosts();
-  with_ghosts.insert(with_ghosts.end(), read.records.begin(), read.records.end());
-  hold_slots(next, standing, with_ghosts, nothing_under_way && leavers_.knows_all(now_));
+  std::vector<Record> with_departed = departed_.substitute_records();
+  with_departed.insert(with_departed.end(), read.records.begin(), read.records.end());
+  hold_slots(next, standing, with_departed, nothing_under_way && departed_.knows_all(now_));
   if (standing != nullptr && same_but_for_number(next, *standing) &&
       std::all_of(read.records.begin(), read.records.end(), [&](const Record& record) {
         return record.epoch <= standing->epoch || record.epoch >= kMaxEpoch;
--- a/src/fleet/planner.h
+++ b/src/fleet/planner.h
@@ -17,10 +17,10 @@
 
 #include "base/millis.h"
 #include "base/random.h"
+#include "fleet/departed_members.h"
 #include "fleet/division.h"
 #include "fleet/history.h"
 #include "fleet/lease_keeper.h"
-#include "fleet/leavers.h"
 #include "fleet/plan.h"
 #include "fleet/planner_events.h"
 #include "fleet/spec.h"
@@ -93,7 +93,7 @@
   Millis read_at_ = 0;
   bool unfinished_ = false;   // the plan written last waits for records to follow
   Millis broken_since_ = -1;  // since when the current plan cannot be read; -1 = it can
-  Leavers leavers_;
+  DepartedMembers departed_;
   std::optional<PutPlan> put_;  // the next write
 };
 
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -47,7 +47,7 @@
 // Returns the effective header of an answer; restarts the watch if a history was lost.
 Header Store::effective_header(const Header& header, Millis begun, bool whole) {
   const LatestHeader::EffectiveHeader effective = latest_.observe(header, begun, whole, boot_now());
-  if (effective.lost) watch_.begin_anew();
+  if (effective.lost) watch_.restart();
   return effective.header;
 }
 
