--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -95,7 +95,7 @@
   observe(event.header, lease_.begun());
 }
 
-void Member::on(const Lost& event) {
+void Member::on(const MemberCallLost& event) {
   if (lease_.answers(event.call)) {
     ++counters_.lost;
     lease_.lost(now_);
--- a/src/fleet/member.h
+++ b/src/fleet/member.h
@@ -75,7 +75,7 @@
   void on(const Renewed& event);
   void on(const RecordPut& event);
   void on(const Revoked& event);
-  void on(const Lost& event);
+  void on(const MemberCallLost& event);
   void on(const PlanSeen& event);
   void on(const Traffic& event) { held_.set_traffic(event.state); }
   void on(const HeaderObserved& event) { observe(event.header, event.begun); }
--- a/src/fleet/member_events.h
+++ b/src/fleet/member_events.h
@@ -36,8 +36,8 @@
   bool slots_quiet = true;  // no request in flight in a slot that the snapshot in force has closed
 };
 
-// Calls to the store. Each is answered by exactly one event with the same `call`, or by Lost, which the
-// client also sends after its own timeout.
+// Calls to the store. Each is answered by exactly one event with the same `call`, or by MemberCallLost, which
+// the client also sends after its own timeout.
 struct GrantLease {
   std::uint64_t call;
   Millis length;
@@ -85,7 +85,7 @@
   std::uint64_t call;
   Header header;
 };
-struct Lost {
+struct MemberCallLost {
   std::uint64_t call;
 };  // no answer, or an unreadable one; the call may or may not take effect, also later
 struct PlanSeen {
@@ -104,8 +104,8 @@
 };
 struct Tick {};
 struct Leave {};  // the process shuts down gracefully
-using MemberEvent =
-    std::variant<Granted, Renewed, RecordPut, Revoked, Lost, PlanSeen, Traffic, HeaderObserved, Tick, Leave>;
+using MemberEvent = std::variant<Granted, Renewed, RecordPut, Revoked, MemberCallLost, PlanSeen, Traffic,
+                                 HeaderObserved, Tick, Leave>;
 
 struct MemberOut {
   std::vector<MemberCall> calls;
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -101,7 +101,7 @@
            const Header header = effective_header(plain(granted->header), begun, true);
            return listener_.member(Granted{call.call, granted->id, to_member(header, begun)});
          }
-         listener_.member(Lost{call.call});
+         listener_.member(MemberCallLost{call.call});
        });
 }
 
@@ -121,7 +121,7 @@
            const Header header = effective_header(plain(kept->header), begun, false);
            return listener_.member(Renewed{call.call, kept->seconds > 0, to_member(header, begun)});
          }
-         listener_.member(Lost{call.call});
+         listener_.member(MemberCallLost{call.call});
        });
 }
 
@@ -138,7 +138,7 @@
          if (reply.status != 200 && refusal(reply).code == registry::kNotFound && latest_.any()) {
            return listener_.member(Revoked{call.call, latest_.get()});
          }
-         listener_.member(Lost{call.call});
+         listener_.member(MemberCallLost{call.call});
        });
 }
 
@@ -172,7 +172,7 @@
       [this, call](const registry::Refusal& refusal) {
         // Without the lease the record is gone as well.
         if (refusal.code != registry::kNotFound || !latest_.any()) {
-          return listener_.member(Lost{call.call});
+          return listener_.member(MemberCallLost{call.call});
         }
         listener_.member(RecordPut{call.call, false, 0, {}, 0, 0, latest_.get()});
       });
--- a/tests/fleet/member_test.cpp
+++ b/tests/fleet/member_test.cpp
@@ -138,7 +138,7 @@
   talk.see(2, 6, 20);
   const PutRecord lost = *std::exchange(talk.put, std::nullopt);
   talk.now = 1100;
-  talk.tell(Lost{lost.call});
+  talk.tell(MemberCallLost{lost.call});
   talk.now = 1300;
   talk.tell(Tick{});
   ASSERT_TRUE(talk.put.has_value());
--- a/tests/fleet/model_world.cpp
+++ b/tests/fleet/model_world.cpp
@@ -138,8 +138,9 @@
       if (process->asked.erase(number) == 0) return;
       const std::uint64_t id = call_of(call);
       const bool member = std::holds_alternative<MemberCall>(call);
-      process->answer(member ? AnyEvent(MemberEvent(Lost{id})) : AnyEvent(PlannerEvent(CallLost{id})), begun,
-                      time_.now(), sender(process));
+      process->answer(
+          member ? AnyEvent(MemberEvent(MemberCallLost{id})) : AnyEvent(PlannerEvent(CallLost{id})), begun,
+          time_.now(), sender(process));
     });
   });
 }
--- a/tests/fleet/search_node.cpp
+++ b/tests/fleet/search_node.cpp
@@ -131,7 +131,7 @@
     messages[i].own().given_up = true;
   }
   if (core) {
-    member(process, Lost{id});
+    member(process, MemberCallLost{id});
   } else {
     planner(process, CallLost{id});
   }
