--- a/src/fleet/control.cpp
+++ b/src/fleet/control.cpp
@@ -14,10 +14,11 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr Millis kReadEvery = 100;   // interval for reading the traffic's cells
-constexpr Millis kReadEagerly = 20;  // while the traffic has not followed, or use has to come down
+constexpr Millis kReadEvery = 100;            // interval for reading the traffic's cells
+constexpr Millis kReadEveryWhileBehind = 20;  // while the traffic has not followed, or use has to come down
 constexpr Millis kLogEvery = 1000;
-constexpr Millis kSoonest = 1;  // lower bound of timers: a tick that is due again must not starve the sockets
+constexpr Millis kMinTimer =
+    1;  // lower bound of timers: a tick that is due again must not starve the sockets
 
 struct WakeupHandler : net::Watch::Handler {
   explicit WakeupHandler(std::function<void()> callback) : on_wakeup(std::move(callback)) {}
@@ -98,7 +99,7 @@
   publish(out);
   for (const MemberCall& call : out.calls) store_.carry_out(call);
   loop_.cancel(member_at_);
-  member_at_ = loop_.after(std::max(kSoonest, out.next - now), [this] {
+  member_at_ = loop_.after(std::max(kMinTimer, out.next - now), [this] {
     member_at_ = 0;
     member(Tick{});
   });
@@ -140,7 +141,7 @@
   const PlannerOut out = planner_.handle(event, now);
   for (const PlannerCall& call : out.calls) store_.carry_out(call);
   loop_.cancel(planner_at_);
-  planner_at_ = loop_.after(std::max(kSoonest, out.next - now), [this] {
+  planner_at_ = loop_.after(std::max(kMinTimer, out.next - now), [this] {
     planner_at_ = 0;
     planner(PlannerTick{});
   });
@@ -153,7 +154,7 @@
   member(Traffic{std::move(state)});
   show();
   loop_.cancel(traffic_at_);
-  traffic_at_ = loop_.after(eager ? kReadEagerly : kReadEvery, [this] {
+  traffic_at_ = loop_.after(eager ? kReadEveryWhileBehind : kReadEvery, [this] {
     traffic_at_ = 0;
     read_traffic();
   });
--- a/src/fleet/division.cpp
+++ b/src/fleet/division.cpp
@@ -7,9 +7,9 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr double kNone = 1e-9;  // tolerance for rounding errors
+constexpr double kTolerance = 1e-9;  // tolerance for rounding errors
 
-double whole_units(double value) { return std::floor(value + kNone); }
+double whole_units(double value) { return std::floor(value + kTolerance); }
 
 // One participant of a division, in units or fractions of one.
 struct Taker {
@@ -73,8 +73,8 @@
 }  // namespace
 
 double grained(double value, double whole) {
-  const double grains = std::pow(10, 6 - std::floor(std::log10(std::max(kNone, whole))));
-  return std::floor(value * grains + kNone) / grains;
+  const double grains = std::pow(10, 6 - std::floor(std::log10(std::max(kTolerance, whole))));
+  return std::floor(value * grains + kTolerance) / grains;
 }
 
 Part reserve_of(const Budget& budget, const Sharing& sharing) {
@@ -137,10 +137,10 @@
   std::vector<double> parts = targets;
   const double each = units >= n ? 1 : 0;
   if (rate) {
-    const double sum = std::max(kNone, std::accumulate(targets.begin(), targets.end(), 0.0));
+    const double sum = std::max(kTolerance, std::accumulate(targets.begin(), targets.end(), 0.0));
     for (double& p : parts) p = each + p / sum * (units - each * n);
   }
-  const bool round = std::any_of(parts.begin(), parts.end(), [](double p) { return p < 1 - kNone; });
+  const bool round = std::any_of(parts.begin(), parts.end(), [](double p) { return p < 1 - kTolerance; });
   // Steps slightly below 1/n, so that they fall between those of the previous rotation.
   const double step = static_cast<double>(turn / turns_each(budget, sharing)) / (n + 0.618);
   const std::vector<double> whole = rounded(parts, round ? step - std::floor(step) : 0, units);
--- a/src/fleet/history.cpp
+++ b/src/fleet/history.cpp
@@ -3,7 +3,7 @@
 namespace shorelead::fleet {
 
 namespace {
-constexpr std::size_t kMarks = 16;  // an older answer is compared with the oldest of these
+constexpr std::size_t kMaxMarks = 16;  // an older answer is compared with the oldest of these
 }
 
 std::uint64_t History::floor(Millis begun) const {
@@ -23,7 +23,7 @@
   }
   if (header.cluster == cluster_ && header.revision >= floor(begun)) {
     if (header.revision > marks_.back().revision) {
-      if (marks_.size() == kMarks) marks_.erase(marks_.begin());
+      if (marks_.size() == kMaxMarks) marks_.erase(marks_.begin());
       marks_.push_back({header.revision, now});
     }
     return Observation::kSame;
--- a/src/fleet/json.h
+++ b/src/fleet/json.h
@@ -25,12 +25,11 @@
 using Value = rapidjson::Value;
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-constexpr double kMost = 1e12;
-constexpr std::uint64_t kMostCount =
-    1'000'000'000'000'000;  // of epochs and revisions; also exact as a double
-constexpr std::uint64_t kAny = UINT64_MAX;
-constexpr std::size_t kMostName = 200;
-constexpr std::size_t kMostMember = kMostName + 21;  // NAME#INCARNATION
+constexpr double kMaxValue = 1e12;
+constexpr std::uint64_t kMaxCount = 1'000'000'000'000'000;  // of epochs and revisions; also exact as a double
+constexpr std::uint64_t kNoLimit = UINT64_MAX;
+constexpr std::size_t kMaxNameLength = 200;
+constexpr std::size_t kMaxMemberIdLength = kMaxNameLength + 21;  // NAME#INCARNATION
 
 // Parses a text into a document. Numbers are parsed by the standard library: RapidJSON's own conversion is
 // either inexact or, for 0e111, shifts by an undefined amount.
@@ -87,8 +86,9 @@
            rapidjson::GetParseError_En(parser.result.Code()));
     }
     if (ok() && !document.IsObject()) fail("no JSON object");
-    const std::uint64_t form = count(document, "form", kAny);
-    if (form > kForm) fail("form " + std::to_string(form) + " is newer than " + std::to_string(kForm));
+    const std::uint64_t form = count(document, "form", kNoLimit);
+    if (form > kFormatVersion)
+      fail("form " + std::to_string(form) + " is newer than " + std::to_string(kFormatVersion));
     if (form == 0) fail("form 0 is none");
     return document;
   }
@@ -114,7 +114,7 @@
   double figure(const Value& value, const char* what) {
     if (ok() && !value.IsNumber()) fail(std::string(what).append(" is no number"));
     const double v = ok() ? value.GetDouble() : 0;
-    if (!(v >= 0 && v <= kMost)) fail(std::string(what).append(" is negative or beyond 1e12"));
+    if (!(v >= 0 && v <= kMaxValue)) fail(std::string(what).append(" is negative or beyond 1e12"));
     return ok() ? v : 0;
   }
   std::uint64_t whole(const Value& value, const char* what, std::uint64_t most) {
@@ -123,10 +123,10 @@
     if (v > most) fail(std::string(what).append(" is beyond ").append(std::to_string(most)));
     return ok() ? v : 0;
   }
-  std::uint64_t count(const Value& object, const char* name, std::uint64_t most = kMostCount) {
+  std::uint64_t count(const Value& object, const char* name, std::uint64_t most = kMaxCount) {
     return whole(field(object, name), name, most);
   }
-  std::string text(const Value& value, const char* what, std::size_t most = kMostName) {
+  std::string text(const Value& value, const char* what, std::size_t most = kMaxNameLength) {
     if (ok() && !value.IsString()) fail(std::string(what).append(" is no text"));
     if (ok() && value.GetStringLength() > most) fail(std::string(what).append(" is too long a name"));
     return ok() ? std::string(value.GetString(), value.GetStringLength()) : "";
@@ -159,7 +159,7 @@
 }
 // A value out of range is written as the nearest bound.
 inline void figure(Writer& w, double value) {
-  const double v = value >= 0 ? std::min(value, kMost) : 0;
+  const double v = value >= 0 ? std::min(value, kMaxValue) : 0;
   if (v == std::floor(v)) {
     w.Uint64(static_cast<std::uint64_t>(v));
   } else {
--- a/src/fleet/lease_keeper.cpp
+++ b/src/fleet/lease_keeper.cpp
@@ -3,8 +3,8 @@
 namespace shorelead::fleet {
 
 namespace {
-constexpr double kRenewals = 3;  // renewals per lease length
-constexpr double kAgain = 20;    // retries of a lost call per lease length
+constexpr double kRenewalsPerLease = 3;  // renewals per lease length
+constexpr double kRetriesPerLease = 20;  // retries of a lost call per lease length
 }  // namespace
 
 void LeaseKeeper::call(bool wanted, std::uint64_t& calls, Millis now, std::vector<MemberCall>& out) {
@@ -13,7 +13,7 @@
   if (wanted && now < due_) return;
   underway_ = {++calls, now};
   gives_back_ = !wanted;
-  due_ = now + sharing_.lease / kRenewals;
+  due_ = now + sharing_.lease / kRenewalsPerLease;
   if (!wanted) {
     out.push_back(RevokeLease{calls, lease_});
   } else if (lease_ == 0) {
@@ -29,7 +29,7 @@
 }
 
 void LeaseKeeper::lost(Millis now) {
-  due_ = now + sharing_.lease / kAgain;
+  due_ = now + sharing_.lease / kRetriesPerLease;
   if (gives_back_) lease_ = 0;
 }
 
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -8,18 +8,19 @@
 
 namespace {
 
-constexpr double kPuts = 3;           // writes of the record per lease length if nothing changed
-constexpr double kChangedPuts = 5;    // writes per lease length if the reported traffic changed ...
-constexpr Millis kLongestPut = 1000;  // ... but at least one per this time
-constexpr double kChanged = 0.25;     // relative change of a value that counts as a change
-constexpr double kAgain = 20;         // retries of a lost or refused call per lease length
-constexpr double kSmallSteps = 25;    // writes per lease length that only lower: units in use end one by one
+constexpr double kIdlePutsPerLease = 3;     // writes of the record per lease length if nothing changed
+constexpr double kChangedPutsPerLease = 5;  // writes per lease length if the reported traffic changed ...
+constexpr Millis kMaxPutInterval = 1000;    // ... but at least one per this time
+constexpr double kRelativeChange = 0.25;    // relative change of a value that counts as a change
+constexpr double kRetriesPerLease = 20;     // retries of a lost or refused call per lease length
+constexpr double kLoweringPutsPerLease =
+    25;  // writes per lease length that only lower: units in use end one by one
 
 bool differ(const std::map<std::string, double>& reported, const std::map<std::string, double>& now) {
   return std::any_of(now.begin(), now.end(), [&reported](const auto& figure) {
     const auto it = reported.find(figure.first);
     const double before = it == reported.end() ? 0 : it->second;
-    return std::abs(figure.second - before) > kChanged * std::max(before, figure.second);
+    return std::abs(figure.second - before) > kRelativeChange * std::max(before, figure.second);
   });
 }
 
@@ -102,7 +103,7 @@
   }
   if (put_call_.ended_by(event.call)) {
     ++counters_.lost;
-    put_again_ = now_ + sharing_.lease / kAgain;
+    put_again_ = now_ + sharing_.lease / kRetriesPerLease;
   }
 }
 
@@ -123,7 +124,7 @@
 // A record with this incarnation was written by a call whose answer was lost, or that was executed twice.
 void Member::refused(const RecordPut& event) {
   ++counters_.refused;
-  put_again_ = now_ + sharing_.lease / kAgain;
+  put_again_ = now_ + sharing_.lease / kRetriesPerLease;
   const bool ours = event.own && event.own->id == id_;
   if (ours && event.own_modified == modified_) {
     if (plan_ && plan_->epoch == put_epoch_) plan_passed_ = true;
@@ -134,7 +135,7 @@
     if (phase_ == Phase::kNaming) joined();
   } else if (phase_ == Phase::kNaming) {
     ++counters_.name_taken;
-    put_again_ = now_ + std::min(sharing_.lease / kChangedPuts, kLongestPut);
+    put_again_ = now_ + std::min(sharing_.lease / kChangedPutsPerLease, kMaxPutInterval);
   } else {
     end_incarnation();
   }
@@ -220,16 +221,16 @@
   put_epoch_ = acknowledges ? plan_->epoch : 0;
   put_call_ = {++calls_, now_};
   const double spread = 0.9 + 0.1 * random_.unit();
-  put_due_ = now_ + sharing_.lease / kPuts * spread;
-  put_soon_ = now_ + std::min(sharing_.lease / kChangedPuts, kLongestPut) * spread;
-  lower_again_ = now_ + sharing_.lease / kSmallSteps;
+  put_due_ = now_ + sharing_.lease / kIdlePutsPerLease * spread;
+  put_soon_ = now_ + std::min(sharing_.lease / kChangedPutsPerLease, kMaxPutInterval) * spread;
+  lower_again_ = now_ + sharing_.lease / kLoweringPutsPerLease;
   out.calls.push_back(PutRecord{calls_, lease_.lease(), put_, modified_, acknowledges ? plan_modified_ : 0});
 }
 
 Millis Member::next() const {
   if (phase_ == Phase::kLeft) return now_ + sharing_.lease;
-  if (phase_ == Phase::kEnding) return now_ + sharing_.lease / kAgain;
-  Millis next = now_ + sharing_.lease / kAgain;
+  if (phase_ == Phase::kEnding) return now_ + sharing_.lease / kRetriesPerLease;
+  Millis next = now_ + sharing_.lease / kRetriesPerLease;
   if (!lease_.waits()) next = std::min(next, std::max(lease_.due(), now_));
   if (put_call_.call == 0) next = std::min(next, std::max({put_due_, put_again_, now_}));
   return next;
--- a/src/fleet/next_plan.cpp
+++ b/src/fleet/next_plan.cpp
@@ -10,13 +10,15 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr double kWorth = 0.05;            // fraction of an equal part; a smaller change is not worth a write
-constexpr double kPressed = 0.9;           // a demand above this fraction of what it may spend can use more
+constexpr double kMinChange = 0.05;        // fraction of an equal part; a smaller change is not worth a write
+constexpr double kHighUse = 0.9;           // a demand above this fraction of what it may spend can use more
 constexpr std::uint64_t kMaxEpoch = 1e15;  // a record that reports more is wrong
-constexpr double kNone = 1e-9;             // tolerance for rounding errors
+constexpr double kTolerance = 1e-9;        // tolerance for rounding errors
 
 // The smallest unassigned amount, of `most` divisible, that is worth assigning.
-double least_left(double most, bool units) { return std::max(units ? 1.0 : 0.0, kWorth * most) - kNone; }
+double least_left(double most, bool units) {
+  return std::max(units ? 1.0 : 0.0, kMinChange * most) - kTolerance;
+}
 
 struct Member {
   std::string id;
@@ -39,7 +41,7 @@
     next = aim;
     double wished = 0;
     for (std::size_t n = 0; n < aim.size(); ++n) wished += std::max(0.0, aim[n] - bound[n]);
-    const double free = std::max(0.0, most - sum(bound) + (units ? kNone : 0));
+    const double free = std::max(0.0, most - sum(bound) + (units ? kTolerance : 0));
     const double share = !may_raise || wished <= 0 ? 0 : std::min(1.0, free / wished);
     double given = 0, due = 0;
     for (std::size_t n = 0; n < aim.size(); ++n) {
@@ -47,7 +49,7 @@
       due += (aim[n] - bound[n]) * share;
       const double to = bound[n] + (aim[n] - bound[n]) * share;
       const double raise =
-          units ? std::floor(due + kNone) - given : std::max(0.0, grained(to, most) - bound[n]);
+          units ? std::floor(due + kTolerance) - given : std::max(0.0, grained(to, most) - bound[n]);
       given += raise;
       next[n] = bound[n] + raise;
     }
@@ -79,7 +81,7 @@
   burst.units = true;
   const double reserve = reserve_of(budget, input.sharing).amount;
   const double equal = all.amount / static_cast<double>(std::max<std::size_t>(1, members.size()));
-  const double worth = rate ? kWorth * equal : std::max(1.0, kWorth * equal);
+  const double worth = rate ? kMinChange * equal : std::max(1.0, kMinChange * equal);
   bool pressed = false;
   bool idle = false;
   for (std::size_t n = 0; n < members.size(); ++n) {
@@ -101,9 +103,9 @@
     if (m.record == nullptr) continue;
     const auto demand = m.record->demand.find(budget.name);
     const double asked = demand == m.record->demand.end() ? 0 : demand->second;
-    const bool wants = aim.amount - old.amount >= std::max(worth, kWorth * old.amount) - kNone;
+    const bool wants = aim.amount - old.amount >= std::max(worth, kMinChange * old.amount) - kTolerance;
     if (old.amount <= 0 && wants) idle = true;
-    if (asked > 0 && asked >= kPressed * (old.amount + reserve) && wants) pressed = true;
+    if (asked > 0 && asked >= kHighUse * (old.amount + reserve) && wants) pressed = true;
   }
   // A member without demand is raised from what is free, but no other member is lowered for it.
   pressed = pressed || (idle && amount.most - amount.sum(amount.bound) >= worth);
@@ -114,9 +116,9 @@
     if (rate && part.burst < 1) part = {};
     if (part.amount > 0) plan.shares[members[n].id][budget.name] = part;
   }
-  const bool over = amount.sum(amount.bound) > amount.most * (1 + kNone) + kNone ||
-                    burst.sum(burst.bound) > burst.most + kNone;
-  const bool moves = amount.moved() >= worth - kNone || (rate && burst.moved() >= 1);
+  const bool over = amount.sum(amount.bound) > amount.most * (1 + kTolerance) + kTolerance ||
+                    burst.sum(burst.bound) > burst.most + kTolerance;
+  const bool moves = amount.moved() >= worth - kTolerance || (rate && burst.moved() >= 1);
   // An earlier plan left this unassigned until it was known to be free; it is assigned even without demand.
   const bool gives_on = amount.given_on() >= least_left(amount.most, amount.units);
   return (over && amount.moved() + burst.moved() > 0) || (pressed && moves) || gives_on;
--- a/src/fleet/plan_text.cpp
+++ b/src/fleet/plan_text.cpp
@@ -13,8 +13,8 @@
 using json::Value;
 using json::Writer;
 
-constexpr std::size_t kMostSlots = 65536;
-constexpr std::uint64_t kMostRank = 1U << 30;
+constexpr std::size_t kMaxSlots = 65536;
+constexpr std::uint64_t kMaxRank = 1U << 30;
 
 using Names = std::vector<std::string>;  // sorted
 
@@ -69,17 +69,17 @@
 SlotMap read_map(Reader& r, const Value& value) {
   SlotMap out;
   const Value& map = r.object(value, "a rule's map");
-  out.backends = r.count(map, "boxes", json::kAny);
+  out.backends = r.count(map, "boxes", json::kNoLimit);
   Names all;
   for (const Value& v : r.array(r.field(map, "names"), "names").GetArray()) all.push_back(r.text(v, "a box"));
   const auto backend = [&](const Value& v) {
-    const std::uint64_t n = r.whole(v, "a slot's box", kMostSlots);
+    const std::uint64_t n = r.whole(v, "a slot's box", kMaxSlots);
     if (n >= all.size()) r.fail("a slot's box has no name");
     return r.ok() ? all[n] : "";
   };
   const Value& slots = r.array(r.field(map, "slots"), "slots");
   const std::size_t size = slots.Size();
-  if (size > kMostSlots) r.fail("more than 65536 slots");
+  if (size > kMaxSlots) r.fail("more than 65536 slots");
   if ((size & (size - 1)) != 0) r.fail("slots are no power of two");
   for (const Value& v : slots.GetArray()) {
     if (!r.ok()) return {};
@@ -89,15 +89,15 @@
   const Value& since = r.array(r.field(map, "since"), "since");
   if (closed.Size() % 2 != 0 || since.Size() % 2 != 0) r.fail("a pair is not whole");
   for (unsigned n = 0; r.ok() && n < closed.Size(); n += 2) {
-    const std::uint64_t slot = r.whole(closed[n], "a closed slot", kMostSlots);
+    const std::uint64_t slot = r.whole(closed[n], "a closed slot", kMaxSlots);
     const std::string to = backend(closed[n + 1]);
     if (slot >= size || (r.ok() && !out.slots[slot].open)) r.fail("a closed slot is none, or stands twice");
     if (r.ok()) out.slots[slot].open = false, out.slots[slot].to = to;
   }
   std::size_t at = 0;
   for (unsigned n = 0; r.ok() && n < since.Size(); n += 2) {
-    const std::uint64_t epoch = r.whole(since[n], "a slot's epoch", json::kMostCount);
-    const std::size_t run = r.whole(since[n + 1], "a run of slots", kMostSlots);
+    const std::uint64_t epoch = r.whole(since[n], "a slot's epoch", json::kMaxCount);
+    const std::size_t run = r.whole(since[n + 1], "a run of slots", kMaxSlots);
     if (run > size - at) r.fail("epochs of more slots than there are");
     for (std::size_t k = 0; r.ok() && k < run; ++k) out.slots[at++].since = epoch;
   }
@@ -117,7 +117,7 @@
   const Names all(budgets.begin(), budgets.end());
   w.StartObject();
   w.Key("form");
-  w.Int(kForm);
+  w.Int(kFormatVersion);
   w.Key("epoch");
   w.Uint64(plan.epoch);
   w.Key("fence");
@@ -167,13 +167,13 @@
   Plan out;
   out.epoch = r.count(root, "epoch");
   out.fence = r.count(root, "fence");
-  out.history = r.count(root, "history", json::kAny);
-  r.map(r.field(root, "wholes"), "wholes", json::kMostName, out.wholes,
+  out.history = r.count(root, "history", json::kNoLimit);
+  r.map(r.field(root, "wholes"), "wholes", json::kMaxNameLength, out.wholes,
         [&](const Value& v) { return r.part(v, "a whole"); });
   Names all;
   for (const Value& v : r.array(r.field(root, "budgets"), "budgets").GetArray())
     all.push_back(r.text(v, "a budget"));
-  r.map(r.field(root, "shares"), "shares", json::kMostMember, out.shares, [&](const Value& v) {
+  r.map(r.field(root, "shares"), "shares", json::kMaxMemberIdLength, out.shares, [&](const Value& v) {
     Parts parts;
     const Value& list = r.array(v, "a member's shares");
     if (list.Size() != all.size()) r.fail("a member has not as many shares as there are budgets");
@@ -186,10 +186,10 @@
   const Value& cut_off = r.array(r.field(root, "cut_off"), "cut_off");
   if (cut_off.Size() != 2) r.fail("cut_off has not two figures");
   if (r.ok()) {
-    out.cut_off.rank = static_cast<int>(r.whole(cut_off[0], "the cut-off's rank", kMostRank));
+    out.cut_off.rank = static_cast<int>(r.whole(cut_off[0], "the cut-off's rank", kMaxRank));
     out.cut_off.share = r.figure(cut_off[1], "the cut-off's share");
   }
-  r.map(r.field(root, "affinity"), "affinity", json::kMostName, out.affinity,
+  r.map(r.field(root, "affinity"), "affinity", json::kMaxNameLength, out.affinity,
         [&](const Value& v) { return read_map(r, v); });
   if (!r.ok()) return std::nullopt;
   return out;
--- a/src/fleet/plan_watch.cpp
+++ b/src/fleet/plan_watch.cpp
@@ -13,9 +13,9 @@
 
 constexpr Millis kMostCall = 1000;
 constexpr Millis kFirstPause = 50;
-constexpr Millis kMostPause = 1000;
-constexpr Millis kDeafAfter = 300;            // time that a watch may lag behind a range
-constexpr std::size_t kMostLine = 16U << 20;  // bytes
+constexpr Millis kMaxPause = 1000;
+constexpr Millis kMaxWatchLag = 300;              // time that a watch may lag behind a range
+constexpr std::size_t kMaxLineBytes = 16U << 20;  // bytes
 
 }  // namespace
 
@@ -81,7 +81,7 @@
     return open();
   }
   if (told_ > told_by_watch_ && deaf_at_ == 0) {
-    deaf_at_ = loop_.after(kDeafAfter, [this] {
+    deaf_at_ = loop_.after(kMaxWatchLag, [this] {
       deaf_at_ = 0;
       if (told_by_watch_ >= told_ || !watch_) return;
       ++counters_.deaf;
@@ -125,7 +125,7 @@
     if (one.find_first_not_of(" \t\r") != std::string::npos && !line(std::move(one))) return;
   }
   text_.erase(0, from);
-  if (text_.size() <= kMostLine) return;
+  if (text_.size() <= kMaxLineBytes) return;
   close();
   again();
 }
@@ -203,7 +203,7 @@
 }
 
 void PlanWatch::again() {
-  pause_ = std::min(std::max(kFirstPause, pause_ * 2), kMostPause);
+  pause_ = std::min(std::max(kFirstPause, pause_ * 2), kMaxPause);
   loop_.cancel(again_at_);
   again_at_ = loop_.after(pause_ * (0.5 + 0.5 * random_.unit()), [this] {
     again_at_ = 0;
--- a/src/fleet/planner.cpp
+++ b/src/fleet/planner.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kAgain = 20;              // retries of a lost call per lease length
+constexpr double kRetriesPerLease = 20;    // retries of a lost call per lease length
 constexpr double kCampaignSpread = 0.1;    // fraction of a lease over which campaigns are spread
 constexpr std::uint64_t kMaxEpoch = 1e15;  // a record that reports more is wrong
 constexpr double kEarlyRound = 0.25;       // fraction of a round, after a plan that left something unassigned
@@ -39,7 +39,7 @@
   std::visit([this](const auto& it) { on(it); }, event);
   PlannerOut out;
   call_store(out);
-  out.next = now_ + sharing_.lease / kAgain;
+  out.next = now_ + sharing_.lease / kRetriesPerLease;
   if (underway_.call == 0) out.next = std::min(out.next, std::max(now_, elected() ? read_at_ : campaign_at_));
   return out;
 }
@@ -95,7 +95,7 @@
 void Planner::on(const CallLost& event) {
   if (!underway_.ended_by(event.call)) return;
   put_.reset();
-  read_at_ = now_ + sharing_.lease / kAgain;
+  read_at_ = now_ + sharing_.lease / kRetriesPerLease;
   campaign_at_ = std::max(campaign_at_, read_at_);
 }
 
--- a/src/fleet/port.cpp
+++ b/src/fleet/port.cpp
@@ -9,7 +9,7 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr Millis kPeak = 500;
+constexpr Millis kPeakWindow = 500;
 
 bool closes(const Snapshot& snapshot) {
   for (const auto& [rule, map] : snapshot.affinity) {
@@ -139,7 +139,7 @@
   if (share == nullptr) return;
   BudgetCells& cells = channel_->traffic.budgets[budget];
   Peak& peak = peaks_[budget];
-  if (now - peak.began > kPeak) peak = {now, 0, now - peak.began > 2 * kPeak ? 0 : peak.now};
+  if (now - peak.began > kPeakWindow) peak = {now, 0, now - peak.began > 2 * kPeakWindow ? 0 : peak.now};
   peak.now = std::max(peak.now, static_cast<double>(share->in_use()));
   cells.in_use.set(share->in_use());
   cells.beyond_reserve.set(share->beyond_reserve(now));
--- a/src/fleet/record_text.cpp
+++ b/src/fleet/record_text.cpp
@@ -9,7 +9,7 @@
 using json::Value;
 using json::Writer;
 
-constexpr std::uint64_t kMostRank = 1U << 30;
+constexpr std::uint64_t kMaxRank = 1U << 30;
 
 void figures(Writer& w, const char* name, const std::map<std::string, double>& values) {
   w.Key(name);
@@ -28,7 +28,7 @@
   Writer w(buffer);
   w.StartObject();
   w.Key("form");
-  w.Int(kForm);
+  w.Int(kFormatVersion);
   w.Key("name");
   json::text(w, record.id.name);
   w.Key("incarnation");
@@ -69,15 +69,15 @@
   rapidjson::Document document;
   const Value& root = r.root(document, text);
   Record out;
-  out.id = {r.text(r.field(root, "name"), "name"), r.count(root, "incarnation", json::kAny)};
+  out.id = {r.text(r.field(root, "name"), "name"), r.count(root, "incarnation", json::kNoLimit)};
   out.zone = r.text(r.field(root, "zone"), "zone");
   out.weight = r.figure(r.field(root, "weight"), "weight");
   out.epoch = r.count(root, "epoch");
-  r.map(r.field(root, "in_force"), "in_force", json::kMostName, out.in_force,
+  r.map(r.field(root, "in_force"), "in_force", json::kMaxNameLength, out.in_force,
         [&](const Value& v) { return r.part(v, "in_force"); });
-  r.map(r.field(root, "demand"), "demand", json::kMostName, out.demand,
+  r.map(r.field(root, "demand"), "demand", json::kMaxNameLength, out.demand,
         [&](const Value& v) { return r.figure(v, "demand"); });
-  r.map(r.field(root, "spent"), "spent", json::kMostName, out.spent,
+  r.map(r.field(root, "spent"), "spent", json::kMaxNameLength, out.spent,
         [&](const Value& v) { return r.figure(v, "spent"); });
   for (const Value& load : r.array(r.field(root, "ranks"), "ranks").GetArray()) {
     if (r.array(load, "rank").Size() != 6) r.fail("a rank has not six figures");
@@ -85,7 +85,7 @@
     RankLoad to;
     double* const figures[] = {&to.offered, &to.taken, &to.in_time, &to.refused, &to.failed};
     for (unsigned n = 0; n < 5; ++n) *figures[n] = r.figure(load[n + 1], "a rank's figure");
-    if (!out.ranks.emplace(static_cast<int>(r.whole(load[0], "rank", kMostRank)), to).second) {
+    if (!out.ranks.emplace(static_cast<int>(r.whole(load[0], "rank", kMaxRank)), to).second) {
       r.fail("a rank stands twice");
     }
   }
--- a/src/fleet/store_lines.cpp
+++ b/src/fleet/store_lines.cpp
@@ -9,7 +9,7 @@
 
 using membership::registry::Exchange;
 
-constexpr std::size_t kMostAnswer = 8U << 20;  // bytes
+constexpr std::size_t kMaxAnswerBytes = 8U << 20;  // bytes
 
 }  // namespace
 
@@ -85,7 +85,7 @@
   const auto place = find(line);
   if (place == lines_.end()) return;
   const auto done = std::exchange(line->done, nullptr);
-  if (reply.body.size() > kMostAnswer) {
+  if (reply.body.size() > kMaxAnswerBytes) {
     trouble_("an answer of over 8 MiB");
     reply = {};
   }
--- a/src/fleet/traffic_reading.cpp
+++ b/src/fleet/traffic_reading.cpp
@@ -6,16 +6,16 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr Millis kSpan = 1000;      // window for rates that have changed
-constexpr Millis kLongSpan = 8000;  // window for rates whose change random variation explains
-constexpr double kChance = 3;       // threshold, in standard deviations of a Poisson count
-constexpr Millis kBetween = 90;     // minimum time between samples
-constexpr std::size_t kOfRank = 5;  // cells per rank
+constexpr Millis kShortWindow = 1000;     // window for rates that have changed
+constexpr Millis kLongWindow = 8000;      // window for rates whose change random variation explains
+constexpr double kDeviations = 3;         // threshold, in standard deviations of a Poisson count
+constexpr Millis kSampleInterval = 90;    // minimum time between samples
+constexpr std::size_t kCellsPerRank = 5;  // cells per rank
 
 }  // namespace
 
 TrafficReading::TrafficReading(const std::vector<Budget>& budgets, const TrafficCells& cells)
-    : budgets_(budgets), cells_(cells), longest_(kLongSpan) {
+    : budgets_(budgets), cells_(cells), longest_(kLongWindow) {
   for (const Budget& budget : budgets_) longest_ = std::max(longest_, budget.window);
 }
 
@@ -24,7 +24,7 @@
   for (const BudgetCells& cell : cells_.budgets) {
     sample.counts.push_back(static_cast<double>(cell.asked.get()));
     sample.counts.push_back(static_cast<double>(cell.spent.get()));
-    const bool lately = now - cell.peak_at.get() < kSpan;
+    const bool lately = now - cell.peak_at.get() < kShortWindow;
     sample.in_use.push_back(std::max(cell.in_use.get(), lately ? cell.peak.get() : 0.0));
   }
   for (const RankCells& cell : cells_.loads) {
@@ -46,13 +46,13 @@
 // what it moves is unusable while it moves.
 double TrafficReading::steady(std::size_t count, const Sample& latest) const {
   const auto rate = [&](const Sample& old, double& seconds) {
-    seconds = std::max(latest.at - old.at, kSpan / 2) / 1000;
+    seconds = std::max(latest.at - old.at, kShortWindow / 2) / 1000;
     return (latest.counts[count] - old.counts[count]) / seconds;
   };
   double seconds = 0;
-  const double longer = rate(before(latest.at, kLongSpan), seconds);
-  const double now = rate(before(latest.at, kSpan), seconds);
-  return std::abs(now - longer) * seconds <= kChance * std::sqrt(longer * seconds) + 1 ? longer : now;
+  const double longer = rate(before(latest.at, kLongWindow), seconds);
+  const double now = rate(before(latest.at, kShortWindow), seconds);
+  return std::abs(now - longer) * seconds <= kDeviations * std::sqrt(longer * seconds) + 1 ? longer : now;
 }
 
 TrafficState TrafficReading::read(Millis now) {
@@ -62,14 +62,14 @@
   state.slots_quiet = cells_.slots_quiet.heard() >= state.generation;
   state.room = cells_.room.get();
   const Sample latest = sample(now);
-  if (samples_.empty() || now - samples_.back().at >= kBetween) samples_.push_back(latest);
+  if (samples_.empty() || now - samples_.back().at >= kSampleInterval) samples_.push_back(latest);
   while (samples_.size() > 2 && samples_[1].at <= now - longest_) samples_.pop_front();
 
   for (std::size_t n = 0; n < budgets_.size(); ++n) {
     const Budget& budget = budgets_[n];
     state.in_use[budget.name] = cells_.budgets[n].beyond_reserve.get();
     const bool windowed = budget.kind == BudgetKind::kAttempts;
-    const Sample& old = before(now, windowed ? budget.window : kSpan);
+    const Sample& old = before(now, windowed ? budget.window : kShortWindow);
     const double asked = latest.counts[2 * n] - old.counts[2 * n];
     const double spent = latest.counts[2 * n + 1] - old.counts[2 * n + 1];
     if (windowed) {
@@ -81,7 +81,7 @@
     } else {
       double most = latest.in_use[n];
       for (const Sample& sample : samples_) {
-        if (sample.at >= now - kSpan) most = std::max(most, sample.in_use[n]);
+        if (sample.at >= now - kShortWindow) most = std::max(most, sample.in_use[n]);
       }
       // The concurrent use if all requests had been admitted; with none admitted, every request counts.
       const double wished = spent > 0 ? most * asked / spent : most + asked;
@@ -89,10 +89,10 @@
       state.spent[budget.name] = most;
     }
   }
-  const Sample& old = before(now, kSpan);
-  const double seconds = std::max(now - old.at, kSpan / 2) / 1000;
+  const Sample& old = before(now, kShortWindow);
+  const double seconds = std::max(now - old.at, kShortWindow / 2) / 1000;
   for (std::size_t n = 0; n < cells_.ranks.size(); ++n) {
-    const std::size_t at = 2 * budgets_.size() + kOfRank * n;
+    const std::size_t at = 2 * budgets_.size() + kCellsPerRank * n;
     const auto rate = [&](std::size_t k) { return (latest.counts[at + k] - old.counts[at + k]) / seconds; };
     state.ranks[cells_.ranks[n]] = {rate(0), rate(1), rate(2), rate(3), rate(4)};
   }
