--- a/bench/fleet_control/control.cpp
+++ b/bench/fleet_control/control.cpp
@@ -75,7 +75,7 @@
   }
   // As many as come at random in `seconds` at that part of the whole, equal for all.
   void traffic(double load, double seconds, int processes, Random& random) {
-    port->take_up();
+    port->take_snapshot();
     const Millis now = Port::now();
     for (std::size_t b = 0; b < budgets.size(); ++b) {
       const bool at_once = budgets[b].kind == BudgetKind::kAtOnce;
--- a/bench/fleet_port/admission.cpp
+++ b/bench/fleet_port/admission.cpp
@@ -62,7 +62,7 @@
     validity->incarnation = 7;
     validity->until = fleet::boot_now() + 1e9;
     channel->issues.put({snapshot, validity});
-    port.take_up();
+    port.take_snapshot();
     fleet::SlotMap map;
     for (std::size_t n = 0; n < 4096; ++n) map.slots.push_back({std::to_string(n * 7919 % 50), true, "", 1});
     seats = affinity::Seats(map, [](const std::string& name) { return std::stoi(name); });
--- a/bench/fleet_port/fleet_port.cpp
+++ b/bench/fleet_port/fleet_port.cpp
@@ -107,13 +107,13 @@
       port.taken(2, Port::now());
       return port.spend(2, Port::now()) == Spent::kYes;
     default:
-      return !port.take_up();
+      return !port.take_snapshot();
   }
 }
 
 void measure(benchmark::State& state, Step which, bool disturbed) {
   Bench bench;
-  bench.port.take_up();
+  bench.port.take_snapshot();
   for (int n = 0; n < 200000; ++n) step(bench, which);  // rings have grown
   std::atomic<bool> over{false};
   std::thread control;
@@ -133,7 +133,7 @@
   for (auto _ : state) {
     const std::size_t allocations_before = allocations;
     const std::size_t locks_before = locks;
-    if (disturbed) taken_up += bench.port.take_up() ? 1 : 0;
+    if (disturbed) taken_up += bench.port.take_snapshot() ? 1 : 0;
     given += step(bench, which) ? 1 : 0;
     allocated += allocations - allocations_before;
     locked += locks - locks_before;
--- a/src/fleet/cells.h
+++ b/src/fleet/cells.h
@@ -17,9 +17,10 @@
   void add(T by) { set(value_.load(std::memory_order_relaxed) + by); }
   void set(T value) { value_.store(value, std::memory_order_relaxed); }
   T get() const { return value_.load(std::memory_order_relaxed); }
-  // Release and acquire: who reads the value with `heard` also sees all writes made before `announce`.
-  void announce(T value) { value_.store(value, std::memory_order_release); }
-  T heard() const { return value_.load(std::memory_order_acquire); }
+  // Release and acquire: who reads the value with `load_acquire` also sees all writes made before
+  // `store_release`.
+  void store_release(T value) { value_.store(value, std::memory_order_release); }
+  T load_acquire() const { return value_.load(std::memory_order_acquire); }
 
  private:
   static_assert(std::atomic<T>::is_always_lock_free);
--- a/src/fleet/control.cpp
+++ b/src/fleet/control.cpp
@@ -103,8 +103,8 @@
     member_at_ = 0;
     member(Tick{});
   });
-  if (member_.left()) channel_->control.left.announce(1);
-  tell_planner_of_lease();
+  if (member_.left()) channel_->control.left.store_release(1);
+  report_lease_to_planner();
 }
 
 // Publishes a snapshot together with the validity of its incarnation.
@@ -129,10 +129,10 @@
   channel_->for_traffic.notify();
 }
 
-void Control::tell_planner_of_lease() {
+void Control::report_lease_to_planner() {
   const LeaseValid now{member_.lease(), leaving_ ? 0 : member_.lease_until()};
-  if (now.lease == told_lease_.lease && now.until == told_lease_.until) return;
-  told_lease_ = now;
+  if (now.lease == reported_lease_.lease && now.until == reported_lease_.until) return;
+  reported_lease_ = now;
   planner(now);
 }
 
--- a/src/fleet/control.h
+++ b/src/fleet/control.h
@@ -44,7 +44,7 @@
   // From any thread: starts to release all shares, for which the traffic thread must keep taking up snapshots
   // and end what is in use. `left` is true once that is done; the caller decides how long to wait.
   void leave();
-  bool left() const { return channel_->control.left.heard() != 0; }
+  bool left() const { return channel_->control.left.load_acquire() != 0; }
 
  private:
   void run();
@@ -52,7 +52,7 @@
   void member(const MemberEvent& event);
   void planner(const PlannerEvent& event);
   void publish(const MemberOut& out);
-  void tell_planner_of_lease();
+  void report_lease_to_planner();
   void read_traffic();
   void trouble(const std::string& text);
   void show();
@@ -69,7 +69,7 @@
   std::unique_ptr<net::Watch::Handler> wakeup_handler_;
   std::shared_ptr<Validity> validity_;
   std::uint64_t generation_ = 0;  // last published
-  LeaseValid told_lease_{0, 0};
+  LeaseValid reported_lease_{0, 0};
   bool leaving_ = false;
   Millis logged_at_ = -1e18;
   std::uint64_t unlogged_ = 0;
--- a/src/fleet/division.cpp
+++ b/src/fleet/division.cpp
@@ -7,7 +7,7 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr double kTolerance = 1e-9;  // tolerance for rounding errors
+constexpr double kTolerance = 1e-9;  // for rounding errors
 
 double whole_units(double value) { return std::floor(value + kTolerance); }
 
--- a/src/fleet/next_plan.cpp
+++ b/src/fleet/next_plan.cpp
@@ -13,7 +13,7 @@
 constexpr double kMinChange = 0.05;        // fraction of an equal part; a smaller change is not worth a write
 constexpr double kHighUse = 0.9;           // a demand above this fraction of what it may spend can use more
 constexpr std::uint64_t kMaxEpoch = 1e15;  // a record that reports more is wrong
-constexpr double kTolerance = 1e-9;        // tolerance for rounding errors
+constexpr double kTolerance = 1e-9;        // for rounding errors
 
 // The smallest unassigned amount, of `most` divisible, that is worth assigning.
 double least_left(double most, bool units) {
--- a/src/fleet/plan.h
+++ b/src/fleet/plan.h
@@ -37,7 +37,7 @@
 
 namespace shorelead::fleet {
 
-inline constexpr int kFormatVersion = 1;  // format version of both documents
+inline constexpr int kFormatVersion = 1;  // of both documents
 
 // One process's part of a budget. In whole units: of `burst` for a rate, of `amount` otherwise.
 struct Part {
--- a/src/fleet/plan_watch.cpp
+++ b/src/fleet/plan_watch.cpp
@@ -11,15 +11,15 @@
 
 namespace registry = membership::registry;
 
-constexpr Millis kMostCall = 1000;
-constexpr Millis kFirstPause = 50;
-constexpr Millis kMaxPause = 1000;
-constexpr Millis kMaxWatchLag = 300;              // time that a watch may lag behind a range
-constexpr std::size_t kMaxLineBytes = 16U << 20;  // bytes
+constexpr Millis kMaxCallTime = 1000;
+constexpr Millis kMinBackoff = 50;
+constexpr Millis kMaxBackoff = 1000;
+constexpr Millis kMaxWatchLag = 300;  // time that a watch may lag behind a range
+constexpr std::size_t kMaxLineBytes = 16U << 20;
 
 }  // namespace
 
-Millis call_within(const Sharing& sharing) { return std::min(sharing.lease / 4, kMostCall); }
+Millis call_within(const Sharing& sharing) { return std::min(sharing.lease / 4, kMaxCallTime); }
 std::string planner_key(const Sharing& sharing) { return sharing.prefix + "planner"; }
 std::string plan_key(const Sharing& sharing) { return sharing.prefix + "plan"; }
 std::string members_prefix(const Sharing& sharing) { return sharing.prefix + "members/"; }
@@ -36,26 +36,26 @@
 
 PlanWatch::~PlanWatch() {
   loop_.cancel(silent_at_);
-  loop_.cancel(again_at_);
-  loop_.cancel(deaf_at_);
+  loop_.cancel(retry_at_);
+  loop_.cancel(lag_check_at_);
 }
 
 // The range covers both keys and any key between them.
 void PlanWatch::fetch() {
   if (fetching_) {
-    fetch_again_ = true;
+    fetch_pending_ = true;
     return;
   }
   fetching_ = true;
   ++counters_.ranges;
-  loop_.cancel(again_at_);
+  loop_.cancel(retry_at_);
   const Millis begun = boot_now();
   const std::string end = planner_key_ + std::string(1, '\0');
   lines_.post("/v3/kv/range", registry::range_request(plan_key_, end, 0, 0, 0), call_within(sharing_),
-              [this, begun, age = age_](const Reply& reply) {
+              [this, begun, restarts = restarts_](const Reply& reply) {
                 fetching_ = false;
-                if (age == age_) fetched(reply, begun);
-                if (std::exchange(fetch_again_, false)) fetch();
+                if (restarts == restarts_) fetched(reply, begun);
+                if (std::exchange(fetch_pending_, false)) fetch();
               });
 }
 
@@ -64,26 +64,26 @@
   const auto page = reply.status == 200 ? registry::parse_page(reply.body, cause) : std::nullopt;
   if (!page) {
     if (reply.status != 0) listener_.trouble("the plan was not read: " + cause);
-    return again();
+    return retry_later();
   }
-  const std::uint64_t age = age_;
+  const std::uint64_t restarts = restarts_;
   const Header header = listener_.header_received({page->header.cluster, page->header.revision}, begun, true);
-  if (age != age_) return;  // another history: everything is fetched again
+  if (restarts != restarts_) return;  // another history: everything is fetched again
   std::uint64_t planner = 0;
   for (const registry::KeyValue& item : page->items) {
-    if (item.key == plan_key_) tell(item, header, begun);
+    if (item.key == plan_key_) report(item, header, begun);
     if (item.key == planner_key_) planner = item.created;
   }
-  tell_planner(planner);
-  alive();
+  report_planner(planner);
+  restart_silence_timer();
   if (!watch_) {
     next_ = page->header.revision + 1;
     return open();
   }
-  if (told_ > told_by_watch_ && deaf_at_ == 0) {
-    deaf_at_ = loop_.after(kMaxWatchLag, [this] {
-      deaf_at_ = 0;
-      if (told_by_watch_ >= told_ || !watch_) return;
+  if (reported_ > reported_by_watch_ && lag_check_at_ == 0) {
+    lag_check_at_ = loop_.after(kMaxWatchLag, [this] {
+      lag_check_at_ = 0;
+      if (reported_by_watch_ >= reported_ || !watch_) return;
       ++counters_.deaf;
       listener_.trouble("the watch says nothing of what the store knows");
       close();
@@ -96,21 +96,21 @@
 void PlanWatch::open() {
   ++counters_.watches;
   text_.clear();
-  told_by_watch_ = told_;
+  reported_by_watch_ = reported_;
   last_line_ = boot_now();
   const std::size_t endpoint = lines_.endpoint();
   watch_ = lines_.stream({[this, endpoint](int status, const std::string&) {
                             listener_.trouble("a watch was answered with status " + std::to_string(status));
                             lines_.leave(endpoint);
                             close();
-                            again();
+                            retry_later();
                           },
                           [this](const std::string& text) { part(text); },
                           [this, endpoint](net::Ending ending) {
                             listener_.trouble(std::string("the watch ended: ") + net::name_of(ending));
                             lines_.leave(endpoint);
                             close();
-                            again();
+                            retry_later();
                           }});
   watch_->post("/v3/watch", registry::watch_request(plan_key_, planner_key_ + std::string(1, '\0'), next_),
                true, call_within(sharing_));
@@ -127,39 +127,39 @@
   text_.erase(0, from);
   if (text_.size() <= kMaxLineBytes) return;
   close();
-  again();
+  retry_later();
 }
 
 // Returns whether the watch is still open.
 bool PlanWatch::line(std::string text) {
   std::string cause;
-  const auto said = registry::parse_line(std::move(text), cause);
-  if (!said || said->canceled) {
-    listener_.trouble("the watch is over: " + (said ? "canceled " + said->reason : cause));
+  const auto message = registry::parse_line(std::move(text), cause);
+  if (!message || message->canceled) {
+    listener_.trouble("the watch is over: " + (message ? "canceled " + message->reason : cause));
     close();
-    again();  // starts with a range: compacted revisions are not sent again
+    retry_later();  // starts with a range: compacted revisions are not sent again
     return false;
   }
-  pause_ = 0;
+  backoff_ = 0;
   const Millis begun = std::exchange(last_line_, boot_now());
-  const std::uint64_t age = age_;
+  const std::uint64_t restarts = restarts_;
   const Header header =
-      listener_.header_received({said->header.cluster, said->header.revision}, begun, false);
-  if (age != age_) return false;
-  for (const registry::Event& event : said->events) {
-    if (event.item.key == planner_key_) tell_planner(event.deleted ? 0 : event.item.created);
+      listener_.header_received({message->header.cluster, message->header.revision}, begun, false);
+  if (restarts != restarts_) return false;
+  for (const registry::Event& event : message->events) {
+    if (event.item.key == planner_key_) report_planner(event.deleted ? 0 : event.item.created);
     if (event.item.key == plan_key_ && !event.deleted) {
-      told_by_watch_ = std::max(told_by_watch_, event.item.revision);
-      tell(event.item, header, begun);
+      reported_by_watch_ = std::max(reported_by_watch_, event.item.revision);
+      report(event.item, header, begun);
     }
   }
-  alive();
+  restart_silence_timer();
   return watch_ != nullptr;
 }
 
-void PlanWatch::tell(const registry::KeyValue& item, const Header& header, Millis begun) {
-  if (item.revision <= told_) return;
-  told_ = item.revision;
+void PlanWatch::report(const registry::KeyValue& item, const Header& header, Millis begun) {
+  if (item.revision <= reported_) return;
+  reported_ = item.revision;
   std::string cause;
   auto plan = parse_plan(item.value, cause);
   if (!plan) {
@@ -170,48 +170,48 @@
   listener_.plan({std::move(*plan), item.revision, header, begun});
 }
 
-void PlanWatch::tell_planner(std::uint64_t created) {
-  if (planner_told_ && created == planner_) return;
-  planner_told_ = true;
+void PlanWatch::report_planner(std::uint64_t created) {
+  if (planner_reported_ && created == planner_) return;
+  planner_reported_ = true;
   planner_ = created;
   listener_.planner({created});
 }
 
-void PlanWatch::plan_stands(std::uint64_t modified) {
-  if (modified > told_) return fetch();
-  alive();
+void PlanWatch::plan_modified(std::uint64_t modified) {
+  if (modified > reported_) return fetch();
+  restart_silence_timer();
 }
 
 void PlanWatch::restart() {
-  ++age_;
-  told_ = 0;
-  told_by_watch_ = 0;
-  planner_told_ = false;
-  pause_ = 0;
+  ++restarts_;
+  reported_ = 0;
+  reported_by_watch_ = 0;
+  planner_reported_ = false;
+  backoff_ = 0;
   close();
   // Deferred, since this is called while the answer that showed the loss is processed.
-  loop_.cancel(again_at_);
-  again_at_ = loop_.after(0, [this] {
-    again_at_ = 0;
+  loop_.cancel(retry_at_);
+  retry_at_ = loop_.after(0, [this] {
+    retry_at_ = 0;
     fetch();
   });
 }
 
 void PlanWatch::close() {
-  loop_.cancel(deaf_at_);
+  loop_.cancel(lag_check_at_);
   if (watch_) loop_.later([watch = std::shared_ptr<registry::Exchange>(std::move(watch_))] {});
 }
 
-void PlanWatch::again() {
-  pause_ = std::min(std::max(kFirstPause, pause_ * 2), kMaxPause);
-  loop_.cancel(again_at_);
-  again_at_ = loop_.after(pause_ * (0.5 + 0.5 * random_.unit()), [this] {
-    again_at_ = 0;
+void PlanWatch::retry_later() {
+  backoff_ = std::min(std::max(kMinBackoff, backoff_ * 2), kMaxBackoff);
+  loop_.cancel(retry_at_);
+  retry_at_ = loop_.after(backoff_ * (0.5 + 0.5 * random_.unit()), [this] {
+    retry_at_ = 0;
     fetch();
   });
 }
 
-void PlanWatch::alive() {
+void PlanWatch::restart_silence_timer() {
   loop_.cancel(silent_at_);
   silent_at_ = loop_.after(sharing_.lease / 3, [this] {
     silent_at_ = 0;
--- a/src/fleet/plan_watch.h
+++ b/src/fleet/plan_watch.h
@@ -40,8 +40,8 @@
 
   void begin() { fetch(); }
   // Takes the plan's modification revision from another answer (0: there is no plan); fetches a newer plan.
-  void plan_stands(std::uint64_t modified);
-  void restart();  // restarts after the history was lost
+  void plan_modified(std::uint64_t modified);
+  void restart();  // after the history was lost
   const Counters& counters() const { return counters_; }
 
  private:
@@ -50,11 +50,11 @@
   void open();
   void part(const std::string& text);
   bool line(std::string text);
-  void tell(const membership::registry::KeyValue& item, const Header& header, Millis begun);
-  void tell_planner(std::uint64_t created);
+  void report(const membership::registry::KeyValue& item, const Header& header, Millis begun);
+  void report_planner(std::uint64_t created);
   void close();
-  void again();  // retries with exponential backoff
-  void alive();  // restarts the timer for a silent watch
+  void retry_later();  // with exponential backoff
+  void restart_silence_timer();
 
   net::Loop& loop_;
   StoreLines& lines_;
@@ -65,20 +65,21 @@
   Random random_;
   Counters counters_;
   std::unique_ptr<membership::registry::Exchange> watch_;
-  std::string text_;        // received from the watch, not yet a complete line
-  Millis last_line_ = 0;    // arrival of the previous message
-  std::uint64_t next_ = 0;  // start revision of the next watch
-  std::uint64_t told_ = 0;  // modification revision of the plan last reported
-  std::uint64_t told_by_watch_ = 0;
+  std::string text_;            // received from the watch, not yet a complete line
+  Millis last_line_ = 0;        // arrival of the previous message
+  std::uint64_t next_ = 0;      // start revision of the next watch
+  std::uint64_t reported_ = 0;  // modification revision of the plan last reported
+  std::uint64_t reported_by_watch_ = 0;
   std::uint64_t planner_ = 0;
-  bool planner_told_ = false;
+  bool planner_reported_ = false;
   bool fetching_ = false;
-  bool fetch_again_ = false;
-  std::uint64_t age_ = 0;  // number of restarts; an answer to a request from before the last one is ignored
-  Millis pause_ = 0;
+  bool fetch_pending_ = false;
+  std::uint64_t restarts_ =
+      0;  // number of restarts; an answer to a request from before the last one is ignored
+  Millis backoff_ = 0;
   net::Loop::TimerId silent_at_ = 0;
-  net::Loop::TimerId again_at_ = 0;
-  net::Loop::TimerId deaf_at_ = 0;
+  net::Loop::TimerId retry_at_ = 0;
+  net::Loop::TimerId lag_check_at_ = 0;
 };
 
 // The time limit of a call.
--- a/src/fleet/port.cpp
+++ b/src/fleet/port.cpp
@@ -76,7 +76,7 @@
   }
 }
 
-bool Port::take_up() {
+bool Port::take_snapshot() {
   const Millis until_now = valid_until();
   if (!channel_->issues.take()) return false;
   const Millis now = boot_now();
@@ -91,8 +91,8 @@
   }
   incarnation_ = next.incarnation;
   // Before the generation, so that a reader of the generation finds the matching state of the slots.
-  if (!closes(next)) channel_->traffic.slots_quiet.announce(next.generation);
-  channel_->traffic.generation.announce(next.generation);
+  if (!closes(next)) channel_->traffic.slots_quiet.store_release(next.generation);
+  channel_->traffic.generation.store_release(next.generation);
   channel_->for_control.notify();
   return true;
 }
@@ -149,7 +149,7 @@
 
 const Snapshot* Port::valid(Millis now) const { return now < valid_until() ? last() : nullptr; }
 
-void Port::slots_quiet() { channel_->traffic.slots_quiet.announce(channel_->traffic.generation.get()); }
+void Port::slots_quiet() { channel_->traffic.slots_quiet.store_release(channel_->traffic.generation.get()); }
 
 RankCells* Port::rank(int rank) {
   TrafficCells& cells = channel_->traffic;
--- a/src/fleet/port.h
+++ b/src/fleet/port.h
@@ -32,7 +32,7 @@
 
   // Puts the newest snapshot in force; to be called once per turn of the loop and when `wake_fd` is readable.
   // Returns whether there was a newer one; then the slots it closed count as busy until `slots_quiet`.
-  bool take_up();
+  bool take_snapshot();
   int wake_fd() const { return channel_->for_traffic.fd(); }
 
   // `now`: read for the request at hand. `budget`: its index in the configuration.
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -167,7 +167,7 @@
         put.header = to_member(effective_header(plain(answer.header), begun, true), begun);
         const std::uint64_t plan_modified = put.plan_modified;
         listener_.member(put);
-        watch_.plan_stands(plan_modified);
+        watch_.plan_modified(plan_modified);
       },
       [this, call](const registry::Refusal& refusal) {
         // Without the lease the record is gone as well.
--- a/src/fleet/store_lines.cpp
+++ b/src/fleet/store_lines.cpp
@@ -9,7 +9,7 @@
 
 using membership::registry::Exchange;
 
-constexpr std::size_t kMaxAnswerBytes = 8U << 20;  // bytes
+constexpr std::size_t kMaxAnswerBytes = 8U << 20;
 
 }  // namespace
 
--- a/src/fleet/traffic_reading.cpp
+++ b/src/fleet/traffic_reading.cpp
@@ -6,11 +6,11 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr Millis kShortWindow = 1000;     // window for rates that have changed
-constexpr Millis kLongWindow = 8000;      // window for rates whose change random variation explains
-constexpr double kDeviations = 3;         // threshold, in standard deviations of a Poisson count
-constexpr Millis kSampleInterval = 90;    // minimum time between samples
-constexpr std::size_t kCellsPerRank = 5;  // cells per rank
+constexpr Millis kShortWindow = 1000;   // window for rates that have changed
+constexpr Millis kLongWindow = 8000;    // window for rates whose change random variation explains
+constexpr double kDeviations = 3;       // threshold, in standard deviations of a Poisson count
+constexpr Millis kSampleInterval = 90;  // minimum time between samples
+constexpr std::size_t kCellsPerRank = 5;
 
 }  // namespace
 
@@ -58,8 +58,8 @@
 TrafficState TrafficReading::read(Millis now) {
   TrafficState state;
   // Read first: everything read after it was written in that generation or a later one.
-  state.generation = cells_.generation.heard();
-  state.slots_quiet = cells_.slots_quiet.heard() >= state.generation;
+  state.generation = cells_.generation.load_acquire();
+  state.slots_quiet = cells_.slots_quiet.load_acquire() >= state.generation;
   state.room = cells_.room.get();
   const Sample latest = sample(now);
   if (samples_.empty() || now - samples_.back().at >= kSampleInterval) samples_.push_back(latest);
--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -98,7 +98,7 @@
 }
 
 void FleetAdmission::apply_snapshot() {
-  if (!port_.take_up()) return;
+  if (!port_.take_snapshot()) return;
   // Slots are handed over once nothing is in flight in them; without affinity rules nothing ever is.
   affinity_router_ ? affinity_router_->apply_snapshot() : port_.slots_quiet();
   if (const fleet::Snapshot* const now = port_.last()) spdlog::debug("fleet: epoch {} in force", now->epoch);
--- a/tests/fleet/fleet_bench.h
+++ b/tests/fleet/fleet_bench.h
@@ -110,7 +110,7 @@
 template <typename Until>
 void run(const std::vector<Process*>& processes, const Until& until) {
   while (true) {
-    for (Process* process : processes) process->port.take_up();
+    for (Process* process : processes) process->port.take_snapshot();
     if (until()) return;
     std::vector<pollfd> bells;
     for (Process* process : processes) bells.push_back({process->port.wake_fd(), POLLIN, 0});
