--- a/src/fleet/control.cpp
+++ b/src/fleet/control.cpp
@@ -168,7 +168,7 @@
   }
   logged_at_ = now;
   if (!spec_.log) return;
-  spec_.log(text + (unlogged_ > 0 ? ", and " + std::to_string(unlogged_) + " more such" : ""));
+  spec_.log(text + (unlogged_ > 0 ? ", and " + std::to_string(unlogged_) + " more messages" : ""));
   unlogged_ = 0;
 }
 
--- a/src/fleet/plan_watch.cpp
+++ b/src/fleet/plan_watch.cpp
@@ -24,10 +24,10 @@
 std::string plan_key(const Sharing& sharing) { return sharing.prefix + "plan"; }
 std::string members_prefix(const Sharing& sharing) { return sharing.prefix + "members/"; }
 
-PlanWatch::PlanWatch(net::Loop& loop, StoreLines& lines, const Sharing& sharing, std::uint64_t seed,
-                     Listener listener)
+PlanWatch::PlanWatch(net::Loop& loop, StoreConnections& connections, const Sharing& sharing,
+                     std::uint64_t seed, Listener listener)
     : loop_(loop),
-      lines_(lines),
+      connections_(connections),
       sharing_(sharing),
       plan_key_(plan_key(sharing)),
       planner_key_(planner_key(sharing)),
@@ -51,19 +51,19 @@
   loop_.cancel(retry_at_);
   const Millis begun = boot_now();
   const std::string end = planner_key_ + std::string(1, '\0');
-  lines_.post("/v3/kv/range", registry::range_request(plan_key_, end, 0, 0, 0), call_within(sharing_),
-              [this, begun, restarts = restarts_](const Reply& reply) {
-                fetching_ = false;
-                if (restarts == restarts_) fetched(reply, begun);
-                if (std::exchange(fetch_pending_, false)) fetch();
-              });
+  connections_.post("/v3/kv/range", registry::range_request(plan_key_, end, 0, 0, 0), call_within(sharing_),
+                    [this, begun, restarts = restarts_](const Reply& reply) {
+                      fetching_ = false;
+                      if (restarts == restarts_) fetched(reply, begun);
+                      if (std::exchange(fetch_pending_, false)) fetch();
+                    });
 }
 
 void PlanWatch::fetched(const Reply& reply, Millis begun) {
   std::string cause = "status " + std::to_string(reply.status);
   const auto page = reply.status == 200 ? registry::parse_page(reply.body, cause) : std::nullopt;
   if (!page) {
-    if (reply.status != 0) listener_.trouble("the plan was not read: " + cause);
+    if (reply.status != 0) listener_.trouble("reading the plan failed: " + cause);
     return retry_later();
   }
   const std::uint64_t restarts = restarts_;
@@ -85,9 +85,9 @@
       lag_check_at_ = 0;
       if (reported_by_watch_ >= reported_ || !watch_) return;
       ++counters_.deaf;
-      listener_.trouble("the watch says nothing of what the store knows");
+      listener_.trouble("the watch does not report a plan that the store has");
       close();
-      lines_.leave(lines_.endpoint());
+      connections_.fail_over(connections_.endpoint());
       fetch();
     });
   }
@@ -98,20 +98,21 @@
   text_.clear();
   reported_by_watch_ = reported_;
   last_line_ = boot_now();
-  const std::size_t endpoint = lines_.endpoint();
-  watch_ = lines_.stream({[this, endpoint](int status, const std::string&) {
-                            listener_.trouble("a watch was answered with status " + std::to_string(status));
-                            lines_.leave(endpoint);
-                            close();
-                            retry_later();
-                          },
-                          [this](const std::string& text) { part(text); },
-                          [this, endpoint](net::Ending ending) {
-                            listener_.trouble(std::string("the watch ended: ") + net::name_of(ending));
-                            lines_.leave(endpoint);
-                            close();
-                            retry_later();
-                          }});
+  const std::size_t endpoint = connections_.endpoint();
+  watch_ = connections_.stream({[this, endpoint](int status, const std::string&) {
+                                  listener_.trouble("the watch was answered with status " +
+                                                    std::to_string(status));
+                                  connections_.fail_over(endpoint);
+                                  close();
+                                  retry_later();
+                                },
+                                [this](const std::string& text) { part(text); },
+                                [this, endpoint](net::Ending ending) {
+                                  listener_.trouble(std::string("the watch ended: ") + net::name_of(ending));
+                                  connections_.fail_over(endpoint);
+                                  close();
+                                  retry_later();
+                                }});
   watch_->post("/v3/watch", registry::watch_request(plan_key_, planner_key_ + std::string(1, '\0'), next_),
                true, call_within(sharing_));
 }
@@ -135,7 +136,7 @@
   std::string cause;
   const auto message = registry::parse_line(std::move(text), cause);
   if (!message || message->canceled) {
-    listener_.trouble("the watch is over: " + (message ? "canceled " + message->reason : cause));
+    listener_.trouble("the watch was closed: " + (message ? "canceled " + message->reason : cause));
     close();
     retry_later();  // starts with a range: compacted revisions are not sent again
     return false;
@@ -164,7 +165,7 @@
   auto plan = parse_plan(item.value, cause);
   if (!plan) {
     ++counters_.unreadable;
-    listener_.trouble("the plan cannot be read, the last one goes on: " + cause);
+    listener_.trouble("the plan cannot be parsed, the previous one stays in force: " + cause);
     return;
   }
   listener_.plan({std::move(*plan), item.revision, header, begun});
--- a/src/fleet/plan_watch.h
+++ b/src/fleet/plan_watch.h
@@ -13,7 +13,7 @@
 #include "fleet/member_events.h"
 #include "fleet/planner_events.h"
 #include "fleet/spec.h"
-#include "fleet/store_lines.h"
+#include "fleet/store_connections.h"
 #include "membership/registry/messages.h"
 
 namespace shorelead::fleet {
@@ -32,7 +32,7 @@
     std::uint64_t watches = 0, ranges = 0, deaf = 0, unreadable = 0;
   };
 
-  PlanWatch(net::Loop& loop, StoreLines& lines, const Sharing& sharing, std::uint64_t seed,
+  PlanWatch(net::Loop& loop, StoreConnections& connections, const Sharing& sharing, std::uint64_t seed,
             Listener listener);
   ~PlanWatch();
   PlanWatch(const PlanWatch&) = delete;
@@ -57,7 +57,7 @@
   void restart_silence_timer();
 
   net::Loop& loop_;
-  StoreLines& lines_;
+  StoreConnections& connections_;
   const Sharing sharing_;
   const std::string plan_key_;
   const std::string planner_key_;
@@ -74,8 +74,7 @@
   bool planner_reported_ = false;
   bool fetching_ = false;
   bool fetch_pending_ = false;
-  std::uint64_t restarts_ =
-      0;  // number of restarts; an answer to a request from before the last one is ignored
+  std::uint64_t restarts_ = 0;  // answers to requests from before the last restart are ignored
   Millis backoff_ = 0;
   net::Loop::TimerId silent_at_ = 0;
   net::Loop::TimerId retry_at_ = 0;
--- a/src/fleet/record_reading.cpp
+++ b/src/fleet/record_reading.cpp
@@ -17,7 +17,7 @@
     all.plan = parse_plan(plan.items[0].value, cause);
     if (!all.plan) {
       all.newer_form = cause.find("is newer than") != std::string::npos;
-      trouble("the plan cannot be read: " + cause);
+      trouble("the plan cannot be parsed: " + cause);
     }
   }
   all.records.reserve(members.items.size());
@@ -27,7 +27,7 @@
       all.records.push_back(std::move(*record));
     } else {
       ++all.unreadable;
-      trouble("the record at " + item.key + " cannot be read: " + cause);
+      trouble("the record at " + item.key + " cannot be parsed: " + cause);
     }
   }
   return all;
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -25,8 +25,8 @@
       plan_key_(plan_key(sharing)),
       members_(members_prefix(sharing)),
       listener_(std::move(listener)),
-      lines_(loop, spec, [this](const std::string& text) { listener_.trouble(text); }),
-      watch_(loop, lines_, sharing, seed,
+      connections_(loop, spec, [this](const std::string& text) { listener_.trouble(text); }),
+      watch_(loop, connections_, sharing, seed,
              {[this](const PlanSeen& seen) { listener_.member(seen); },
               [this](const PlannerSeen& seen) { listener_.planner(seen); },
               [this](const Header& header, Millis begun, bool latest) {
@@ -55,8 +55,8 @@
                  std::function<void(Reply, Millis begun)> done) {
   ++counters_.calls;
   const Millis begun = boot_now();
-  lines_.post(path, body, call_within(sharing_),
-              [begun, done = std::move(done)](Reply reply) { done(std::move(reply), begun); });
+  connections_.post(path, body, call_within(sharing_),
+                    [begun, done = std::move(done)](Reply reply) { done(std::move(reply), begun); });
 }
 
 registry::Refusal Store::refusal(const Reply& reply) {
@@ -64,7 +64,7 @@
   if (reply.status == 0) return {};
   ++counters_.refused;
   const registry::Refusal refusal = registry::parse_refusal(reply.body);
-  listener_.trouble("the store refused with status " + std::to_string(reply.status) + ": " + refusal.text);
+  listener_.trouble("the store answered with status " + std::to_string(reply.status) + ": " + refusal.text);
   return refusal;
 }
 
@@ -78,7 +78,7 @@
          const auto answer = registry::parse_txn(txn, std::move(reply.body), cause);
          if (answer) return answered(*answer, begun);
          ++counters_.unreadable;
-         listener_.trouble("an answer cannot be read: " + cause);
+         listener_.trouble("an answer of the store cannot be parsed: " + cause);
          failed({});
        });
 }
@@ -93,10 +93,10 @@
          if (reply.status != 200) {
            refusal(reply);
          } else if (!granted) {
-           listener_.trouble("a lease cannot be read: " + cause);
+           listener_.trouble("the answer to a lease grant cannot be parsed: " + cause);
          } else if (granted->seconds < seconds) {
-           listener_.trouble("the store gives leases of " + std::to_string(granted->seconds) +
-                             " s only: ask for shorter ones");
+           listener_.trouble("the store grants leases of only " + std::to_string(granted->seconds) +
+                             " s: configure a shorter lease");
          } else {
            const Header header = effective_header(plain(granted->header), begun, true);
            return listener_.member(Granted{call.call, granted->id, to_member(header, begun)});
@@ -114,7 +114,7 @@
          if (reply.status != 200) {
            refusal(reply);
          } else if (!kept) {
-           listener_.trouble("a renewal cannot be read: " + cause);
+           listener_.trouble("the answer to a lease renewal cannot be parsed: " + cause);
          } else if (kept->seconds > 0 && static_cast<Millis>(kept->seconds) * 1000 < sharing_.lease) {
            listener_.trouble("a lease was renewed for less than its length");
          } else {
--- a/src/fleet/store.h
+++ b/src/fleet/store.h
@@ -12,7 +12,7 @@
 #include "fleet/plan_watch.h"
 #include "fleet/planner_events.h"
 #include "fleet/spec.h"
-#include "fleet/store_lines.h"
+#include "fleet/store_connections.h"
 #include "membership/registry/writes.h"
 
 namespace shorelead::fleet {
@@ -73,7 +73,7 @@
   const std::string members_;
   Listener listener_;
   Counters counters_;
-  StoreLines lines_;
+  StoreConnections connections_;
   PlanWatch watch_;
   LatestHeader latest_;
 };
--- a/src/fleet/store_lines.h
+++ b/src/fleet/store_connections.h
@@ -29,40 +29,41 @@
   std::string body;
 };
 
-class StoreLines {
+class StoreConnections {
  public:
   using Trouble = std::function<void(const std::string&)>;
   // Throws std::runtime_error if TLS is configured and its files cannot be used.
-  StoreLines(net::Loop& loop, StoreSpec spec, Trouble trouble);
-  ~StoreLines();
-  StoreLines(const StoreLines&) = delete;
-  StoreLines& operator=(const StoreLines&) = delete;
+  StoreConnections(net::Loop& loop, StoreSpec spec, Trouble trouble);
+  ~StoreConnections();
+  StoreConnections(const StoreConnections&) = delete;
+  StoreConnections& operator=(const StoreConnections&) = delete;
 
   void post(const std::string& path, const std::string& body, Millis within, std::function<void(Reply)> done);
   // A stream from the current member, owned by the caller.
   std::unique_ptr<membership::registry::Exchange> stream(membership::registry::Exchange::Listener listener);
   std::size_t endpoint() const { return endpoint_; }
-  void leave(std::size_t endpoint);  // fails over to the next member if `endpoint` is still the current one
+  void fail_over(
+      std::size_t endpoint);  // fails finish to the next member if `endpoint` is still the current one
 
  private:
-  struct Line {
+  struct Connection {
     std::size_t endpoint;
     std::unique_ptr<membership::registry::Exchange> exchange;
     std::function<void(Reply)> done;  // of the call in flight, or empty
   };
-  using Place = std::list<std::unique_ptr<Line>>::iterator;
+  using Position = std::list<std::unique_ptr<Connection>>::iterator;
 
-  Line& idle();
-  Place find(const Line* line);
-  void drop(Place place);
-  void over(Line* line, Reply reply);
-  std::shared_ptr<const net::TlsContext> keys();
+  Connection& idle_connection();
+  Position find(const Connection* connection);
+  void drop(Position position);
+  void finish(Connection* connection, Reply reply);
+  std::shared_ptr<const net::TlsContext> tls_context();
 
   net::Loop& loop_;
   const StoreSpec spec_;
   const Trouble trouble_;
   std::shared_ptr<net::TlsContext> tls_;
-  std::list<std::unique_ptr<Line>> lines_;
+  std::list<std::unique_ptr<Connection>> connections_;
   std::size_t endpoint_ = 0;
 };
 
--- a/tests/fleet/guards.sh
+++ b/tests/fleet/guards.sh
@@ -10,7 +10,7 @@
 cp -r "$here/../../src" "$here/../../tests" "$work"
 cd "$work"
 # Without the control thread and the store's client, which need sockets.
-mapfile -t files < <(ls src/fleet/*.cpp | grep -vE '/(control|plan_watch|port|record_reading|store|store_lines|traffic_reading)\.'
+mapfile -t files < <(ls src/fleet/*.cpp | grep -vE '/(control|plan_watch|port|record_reading|store|store_connections|traffic_reading)\.'
                      ls src/limits/attempt_share.cpp tests/fleet/{model,search}_*.cpp tests/fleet/{member,planner}_test.cpp)
 
 # Objects of $1 (a folder with the sources) go to $2; only those of the files named after that.
--- a/tests/layers.sh
+++ b/tests/layers.sh
@@ -45,7 +45,7 @@
 # The core of the fleet is pure: only the thread beside it and its client of the store know sockets.
 while IFS=: read -r file line text; do
   case "$(basename "$file")" in
-    control.*|plan_watch.*|record_reading.*|store.*|store_lines.*) ;;
+    control.*|plan_watch.*|record_reading.*|store.*|store_connections.*) ;;
     *) echo "$file:$line: the fleet's core may not include sockets or the registry"; fail=1 ;;
   esac
 done < <(grep -rnE '^ *#include +"(net|membership)/' --include='*.h' --include='*.cpp' src/fleet 2>/dev/null || true)
