--- a/src/fleet/json.h
+++ b/src/fleet/json.h
@@ -78,18 +78,18 @@
 
   // The root object; its format version must be supported.
   const Value& root(rapidjson::Document& document, std::string_view text) {
-    if (text.find('\0') != std::string_view::npos) fail("a byte 0");
+    if (text.find('\0') != std::string_view::npos) fail("a zero byte");
     Parser parser(text);
     document.Populate(parser);
     if (parser.result.IsError()) {
       fail("broken JSON at byte " + std::to_string(parser.result.Offset()) + ": " +
            rapidjson::GetParseError_En(parser.result.Code()));
     }
-    if (ok() && !document.IsObject()) fail("no JSON object");
+    if (ok() && !document.IsObject()) fail("not a JSON object");
     const std::uint64_t form = count(document, "form", kNoLimit);
     if (form > kFormatVersion)
       fail("form " + std::to_string(form) + " is newer than " + std::to_string(kFormatVersion));
-    if (form == 0) fail("form 0 is none");
+    if (form == 0) fail("form 0 is invalid");
     return document;
   }
   const Value& field(const Value& object, const char* name) {
@@ -103,22 +103,22 @@
   // Empty after an error, also for a field that was not found.
   const Value& array(const Value& value, const char* what) {
     static const Value kEmpty(rapidjson::kArrayType);
-    if (ok() && !value.IsArray()) fail(std::string(what).append(" is no list"));
+    if (ok() && !value.IsArray()) fail(std::string(what).append(" is not a list"));
     return ok() ? value : kEmpty;
   }
   const Value& object(const Value& value, const char* what) {
     static const Value kEmpty(rapidjson::kObjectType);
-    if (ok() && !value.IsObject()) fail(std::string(what).append(" is no object"));
+    if (ok() && !value.IsObject()) fail(std::string(what).append(" is not an object"));
     return ok() ? value : kEmpty;
   }
   double figure(const Value& value, const char* what) {
-    if (ok() && !value.IsNumber()) fail(std::string(what).append(" is no number"));
+    if (ok() && !value.IsNumber()) fail(std::string(what).append(" is not a number"));
     const double v = ok() ? value.GetDouble() : 0;
     if (!(v >= 0 && v <= kMaxValue)) fail(std::string(what).append(" is negative or beyond 1e12"));
     return ok() ? v : 0;
   }
   std::uint64_t whole(const Value& value, const char* what, std::uint64_t most) {
-    if (ok() && !value.IsUint64()) fail(std::string(what).append(" is no whole number"));
+    if (ok() && !value.IsUint64()) fail(std::string(what).append(" is not a whole number"));
     const std::uint64_t v = ok() ? value.GetUint64() : 0;
     if (v > most) fail(std::string(what).append(" is beyond ").append(std::to_string(most)));
     return ok() ? v : 0;
@@ -127,14 +127,14 @@
     return whole(field(object, name), name, most);
   }
   std::string text(const Value& value, const char* what, std::size_t most = kMaxNameLength) {
-    if (ok() && !value.IsString()) fail(std::string(what).append(" is no text"));
-    if (ok() && value.GetStringLength() > most) fail(std::string(what).append(" is too long a name"));
+    if (ok() && !value.IsString()) fail(std::string(what).append(" is not a string"));
+    if (ok() && value.GetStringLength() > most) fail(std::string(what).append(" is too long"));
     return ok() ? std::string(value.GetString(), value.GetStringLength()) : "";
   }
   // A number (the amount), or a list of the amount and the burst.
   Part part(const Value& value, const char* what) {
     if (!ok() || !value.IsArray()) return {figure(value, what), 0};
-    if (value.Size() != 2) fail(std::string(what).append(" has not two figures"));
+    if (value.Size() != 2) fail(std::string(what).append(" does not have two values"));
     return ok() ? Part{figure(value[0], what), figure(value[1], what)} : Part{};
   }
   // Reads all members of an object with `read(value)`; a duplicate name is an error.
@@ -142,7 +142,7 @@
   void map(const Value& value, const char* what, std::size_t most, Map& out, Read read) {
     for (const auto& m : object(value, what).GetObject()) {
       const std::string name = text(m.name, what, most);
-      if (!out.emplace(name, read(m.value)).second) fail(std::string(what).append(" has a name twice"));
+      if (!out.emplace(name, read(m.value)).second) fail(std::string(what).append(" has a duplicate name"));
       if (!ok()) return;
     }
   }
--- a/src/fleet/plan_text.cpp
+++ b/src/fleet/plan_text.cpp
@@ -80,28 +80,29 @@
   const Value& slots = r.array(r.field(map, "slots"), "slots");
   const std::size_t size = slots.Size();
   if (size > kMaxSlots) r.fail("more than 65536 slots");
-  if ((size & (size - 1)) != 0) r.fail("slots are no power of two");
+  if ((size & (size - 1)) != 0) r.fail("the number of slots is not a power of two");
   for (const Value& v : slots.GetArray()) {
     if (!r.ok()) return {};
     out.slots.push_back({backend(v), true, "", 0});
   }
   const Value& closed = r.array(r.field(map, "closed"), "closed");
   const Value& since = r.array(r.field(map, "since"), "since");
-  if (closed.Size() % 2 != 0 || since.Size() % 2 != 0) r.fail("a pair is not whole");
+  if (closed.Size() % 2 != 0 || since.Size() % 2 != 0) r.fail("a pair is incomplete");
   for (unsigned n = 0; r.ok() && n < closed.Size(); n += 2) {
     const std::uint64_t slot = r.whole(closed[n], "a closed slot", kMaxSlots);
     const std::string to = backend(closed[n + 1]);
-    if (slot >= size || (r.ok() && !out.slots[slot].open)) r.fail("a closed slot is none, or stands twice");
+    if (slot >= size || (r.ok() && !out.slots[slot].open))
+      r.fail("a closed slot does not exist or is listed twice");
     if (r.ok()) out.slots[slot].open = false, out.slots[slot].to = to;
   }
   std::size_t at = 0;
   for (unsigned n = 0; r.ok() && n < since.Size(); n += 2) {
     const std::uint64_t epoch = r.whole(since[n], "a slot's epoch", json::kMaxCount);
     const std::size_t run = r.whole(since[n + 1], "a run of slots", kMaxSlots);
-    if (run > size - at) r.fail("epochs of more slots than there are");
+    if (run > size - at) r.fail("epochs for more slots than there are");
     for (std::size_t k = 0; r.ok() && k < run; ++k) out.slots[at++].since = epoch;
   }
-  if (at != size) r.fail("epochs of fewer slots than there are");
+  if (at != size) r.fail("epochs for fewer slots than there are");
   return out;
 }
 
@@ -176,15 +177,15 @@
   r.map(r.field(root, "shares"), "shares", json::kMaxMemberIdLength, out.shares, [&](const Value& v) {
     Parts parts;
     const Value& list = r.array(v, "a member's shares");
-    if (list.Size() != all.size()) r.fail("a member has not as many shares as there are budgets");
+    if (list.Size() != all.size()) r.fail("a member does not have as many shares as there are budgets");
     for (unsigned n = 0; r.ok() && n < list.Size(); ++n) {
       if (list[n].IsNull()) continue;
-      if (!parts.emplace(all[n], r.part(list[n], "a share")).second) r.fail("a budget stands twice");
+      if (!parts.emplace(all[n], r.part(list[n], "a share")).second) r.fail("a budget is listed twice");
     }
     return parts;
   });
   const Value& cut_off = r.array(r.field(root, "cut_off"), "cut_off");
-  if (cut_off.Size() != 2) r.fail("cut_off has not two figures");
+  if (cut_off.Size() != 2) r.fail("cut_off does not have two values");
   if (r.ok()) {
     out.cut_off.rank = static_cast<int>(r.whole(cut_off[0], "the cut-off's rank", kMaxRank));
     out.cut_off.share = r.figure(cut_off[1], "the cut-off's share");
--- a/src/fleet/record_text.cpp
+++ b/src/fleet/record_text.cpp
@@ -80,13 +80,13 @@
   r.map(r.field(root, "spent"), "spent", json::kMaxNameLength, out.spent,
         [&](const Value& v) { return r.figure(v, "spent"); });
   for (const Value& load : r.array(r.field(root, "ranks"), "ranks").GetArray()) {
-    if (r.array(load, "rank").Size() != 6) r.fail("a rank has not six figures");
+    if (r.array(load, "rank").Size() != 6) r.fail("a rank does not have six values");
     if (!r.ok()) break;
     RankLoad to;
     double* const figures[] = {&to.offered, &to.taken, &to.in_time, &to.refused, &to.failed};
     for (unsigned n = 0; n < 5; ++n) *figures[n] = r.figure(load[n + 1], "a rank's figure");
     if (!out.ranks.emplace(static_cast<int>(r.whole(load[0], "rank", kMaxRank)), to).second) {
-      r.fail("a rank stands twice");
+      r.fail("a rank is listed twice");
     }
   }
   out.room = r.figure(r.field(root, "room"), "room");
