--- a/tests/fleet/control_test.cpp
+++ b/tests/fleet/control_test.cpp
@@ -1,6 +1,6 @@
-// Whole processes' sides of the fleet over sockets: control threads before the stand-in registry, their
-// traffic on the test's thread. What is waited for is a state, never a time; where a lease has to run out the
-// verdict is that it did, not when. Run under ThreadSanitizer as well.
+// Control threads over sockets against a stand-in for etcd, with the traffic of all processes on the test's
+// thread. Tests wait for a state, never for a time; where a lease has to expire they check that it did, not
+// when. Also run under ThreadSanitizer.
 #include <gtest/gtest.h>
 
 #include "fleet_bench.h"
@@ -16,8 +16,8 @@
 
 double most(std::size_t budget) { return divisible(two_budgets()[budget], sharing_of_a_second()).amount; }
 
-// Each has a part, and together they have nearly all. All ask for something, as nobody is given what no one
-// has use for.
+// Whether each process has a part of both budgets and together they have nearly all. Every process spends
+// something first, since a share without demand is not raised.
 bool shared(const std::vector<Process*>& all) {
   for (Process* process : all) {
     process->port.spend(0, Port::now());
@@ -29,7 +29,7 @@
   return sum(all, "rate") >= 0.9 * most(0) && sum(all, "at once") >= 0.9 * most(1);
 }
 
-TEST(Control, WhatIsInUseIsNotGivenToAnother) {
+TEST(Control, UnitsInUseAreNotGivenToAnotherProcess) {
   StandIn store;
   Process a(store, "a", 1);
   run({&a}, [&] { return shared({&a}); });
@@ -55,7 +55,7 @@
   expect_within(store.copy());
 }
 
-TEST(Control, WhoLeavesInGoodOrderGivesAllToTheOthersAtOnce) {
+TEST(Control, GracefulLeaveGivesAllSharesToTheOthers) {
   StandIn store;
   Process a(store, "a", 1);
   Process b(store, "b", 2);
@@ -67,7 +67,7 @@
   expect_within(store.copy());
 }
 
-TEST(Control, WithoutTheStoreTheReserveIsLeftAndTheCutOffKnown) {
+TEST(Control, StoreOutageLeavesTheReserveAndTheLastSnapshot) {
   StandIn store;
   Process a(store, "a", 1);
   run({&a}, [&] { return shared({&a}); });
@@ -82,8 +82,8 @@
   run({&a}, [&] { return shared({&a}); });
 }
 
-// A control that is gone extends nothing: what its traffic has runs out by itself.
-TEST(Control, ValidityEndsWithoutAnybodyWhoEndsIt) {
+// Without its control thread nothing extends the validity: the traffic's shares expire.
+TEST(Control, SharesExpireAfterTheControlThreadStopped) {
   StandIn store;
   Process a(store, "a", 1);
   Process b(store, "b", 2);
@@ -94,9 +94,9 @@
   expect_within(store.copy());
 }
 
-// With calls lost and cut anywhere, members that lag, a history compacted under the watches, watches that go
-// deaf: the shares are divided in the end, and never was there too much.
-TEST(Control, SharesStayWithinTheWholeWhateverTheStoreDoes) {
+// Calls are lost or cut off, store members lag, revisions are compacted under the watches, and watches fall
+// silent: the shares are divided in the end, and the sum never exceeds the whole.
+TEST(Control, SharesStayWithinTheWholeUnderStoreFaults) {
   lab::EtcdTroubles troubles;
   troubles.members = 3;
   troubles.cuts = 0.05;
@@ -110,12 +110,12 @@
   run({&a, &b}, [&] { return shared({&a, &b}); });
   Process c(store, "c", 3);
   run({&a, &b, &c}, [&] { return shared({&a, &b, &c}); });
-  // Members that lag are no lost history.
+  // Lagging store members are not taken for a lost history.
   for (const Process* one : {&a, &b, &c}) EXPECT_EQ(one->channel->control.histories.get(), 0U);
   expect_within(store.copy());
 }
 
-TEST(Control, ALostHistoryEndsAllSharesAndTheyAreDividedAnew) {
+TEST(Control, LostHistoryEndsAllSharesAndTheyAreDividedAgain) {
   StandIn store;
   Process a(store, "a", 1);
   Process b(store, "b", 2);
@@ -126,8 +126,8 @@
   run({&a, &b}, [&] { return shared({&a, &b}); });
 }
 
-// The answers to its own records tell a process of a plan that its watch is silent about.
-TEST(Control, ADeafWatchKeepsNobodyFromLowering) {
+// The answers to its own record writes show a process that there is a plan that its silent watch missed.
+TEST(Control, SilentWatchDoesNotPreventLowering) {
   StandIn store;
   Process a(store, "a", 1);
   run({&a}, [&] { return shared({&a}); });
@@ -137,7 +137,7 @@
   expect_within(store.copy());
 }
 
-TEST(Control, APlanThatCannotBeReadIsKeptOut) {
+TEST(Control, UnreadablePlanIsNotApplied) {
   StandIn store;
   Process a(store, "a", 1);
   run({&a}, [&] { return shared({&a}); });
@@ -150,7 +150,7 @@
   EXPECT_EQ(store.copy().range("/fleet/plan", "", 0, 0).items[0].second.value, "{\"form\":99}");
 }
 
-TEST(Control, OfTwoWithOneNameOneIsIn) {
+TEST(Control, SecondProcessWithTheSameNameDoesNotJoin) {
   StandIn store;
   Process a(store, "same", 1);
   run({&a}, [&] { return shared({&a}); });
@@ -161,12 +161,12 @@
   expect_within(store.copy());
 }
 
-TEST(Control, AFullStoreEndsNothingBeforeItsTime) {
+TEST(Control, FullStoreLetsSharesExpireAndRecover) {
   StandIn store;
   Process a(store, "a", 1);
   run({&a}, [&] { return shared({&a}); });
   store.with([](lab::EtcdServer& server) { server.full(true); });
-  run({&a}, [&] { return a.port.valid(Port::now()) == nullptr; });  // its record cannot be written again
+  run({&a}, [&] { return a.port.valid(Port::now()) == nullptr; });  // its record cannot be rewritten
   store.with([](lab::EtcdServer& server) { server.full(false); });
   run({&a}, [&] { return shared({&a}); });
   expect_within(store.copy());
--- a/tests/fleet/division_test.cpp
+++ b/tests/fleet/division_test.cpp
@@ -1,5 +1,5 @@
-// Division and plans by case: reserves, the least part, a whole that a reload lowered, who may not be raised,
-// who is gone, two versions of a file.
+// Division and plans by example: reserves, the least part, a total lowered by a reload, raising not allowed,
+// departed members, two versions of the configuration.
 #include "fleet/division.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   return bound_of(&plan, nullptr, std::to_string(n) + "#1", "b").amount;
 }
 
-// A round: everybody has what the plan says, then the next plan.
+// One round: every member has what the plan gives it, then the next plan is computed.
 bool round(PlannerInput& in, std::uint64_t turn = 1) {
   for (Record& r : in.records) {
     if (in.plan) r.in_force = in.plan->shares[r.id.text()];
@@ -59,7 +59,7 @@
   };
   const Case cases[] = {
       {BudgetKind::kRate, 1000, 400, 0.1, {5, 2}, {900, 360}},
-      {BudgetKind::kRate, 1000, 40, 0.1, {5, 1}, {900, 20}},  // a unit each is half of the burst
+      {BudgetKind::kRate, 1000, 40, 0.1, {5, 1}, {900, 20}},  // one unit each is half of the burst
       {BudgetKind::kRate, 1000, 39, 0.1, {}, {1000, 39}},
       {BudgetKind::kRate, 1000, 400, 0, {}, {1000, 400}},
       {BudgetKind::kAtOnce, 500, 0, 0.1, {2, 0}, {460, 0}},
@@ -76,8 +76,8 @@
   }
 }
 
-// One asks for all, and spends it; the others ask for nothing and keep their least part.
-TEST(Division, TheLeastPartStands) {
+// One member demands and spends everything; the others demand nothing and keep their least part.
+TEST(Division, EveryMemberKeepsTheLeastPart) {
   PlannerInput in = fleet(budget(BudgetKind::kRate, 1000, 1000), 10, 0);
   in.records[0].demand["b"] = in.records[0].spent["b"] = 1e6;
   for (int n = 0; n < 10; ++n) round(in);
@@ -85,14 +85,14 @@
   for (int n = 1; n < 10; ++n) EXPECT_GE(share(*in.plan, n), 0.05 * 950 / 10);
 }
 
-TEST(Division, InCalmNobodyIsLoweredForWhoAsksForNothing) {
+TEST(Division, IdleMembersDoNotLowerOthers) {
   PlannerInput in = fleet(budget(BudgetKind::kAtOnce, 5, 0), 20, 0);
   for (int n = 0; n < 3; ++n) in.records[n].demand["b"] = in.records[n].spent["b"] = 0.5;
-  for (std::uint64_t turn = 1; turn < 60; ++turn) round(in, turn);  // until all three have one
+  for (std::uint64_t turn = 1; turn < 60; ++turn) round(in, turn);  // until all three have one unit
   for (std::uint64_t turn = 60; turn < 120; ++turn) EXPECT_FALSE(round(in, turn)) << turn;
 }
 
-TEST(Division, ALoweredWholeIsLoweredTo) {
+TEST(Division, LoweredTotalLowersTheSum) {
   for (const BudgetKind kind : {BudgetKind::kRate, BudgetKind::kAtOnce, BudgetKind::kAttempts}) {
     PlannerInput in = fleet(budget(kind, 1000, 200), 10, 500);
     round(in);
@@ -105,16 +105,16 @@
     EXPECT_TRUE(round(in));
     EXPECT_GT(share(*in.plan, 10), 30);
     EXPECT_LE(sum(in), 400);
-    in.budgets[0].reserve = 0.5;  // the whole is the same, what may be divided is not
+    in.budgets[0].reserve = 0.5;  // the whole is the same, the divisible part is not
     round(in);
     EXPECT_LE(sum(in), 200);
   }
 }
 
-TEST(Division, NobodyIsRaisedWhileAHistoryMayBeLost) {
+TEST(Division, NoShareIsRaisedWhileRaisingIsNotAllowed) {
   PlannerInput in = fleet(budget(BudgetKind::kRate, 1000, 200), 10, 500);
   round(in);
-  in.records.pop_back();  // some of it is free
+  in.records.pop_back();  // part of the budget is free
   in.may_raise = false;
   const Plan before = *in.plan;
   round(in);
@@ -127,12 +127,12 @@
   EXPECT_GT(next->epoch, 0U);
 }
 
-TEST(Division, WhatAGoneOneHadAtOnceStandsForAWhile) {
+TEST(Division, ConcurrencyOfADepartedMemberIsKeptForAWhile) {
   for (const BudgetKind kind : {BudgetKind::kRate, BudgetKind::kAtOnce}) {
     PlannerInput in = fleet(budget(kind, 1000, 200), 10, 500);
     round(in);
     in.records.pop_back();
-    in.plan->shares["9#1"]["b"].amount = 10;  // lowered, of which it never heard
+    in.plan->shares["9#1"]["b"].amount = 10;  // lowered after it had departed
     in.lately_gone = {{"9#1", {{"b", {96, 0}}}}};
     round(in);
     round(in);
@@ -146,7 +146,7 @@
   }
 }
 
-TEST(Division, TheSmallerOfTwoFilesCounts) {
+TEST(Division, SmallerOfTwoConfigurationsCounts) {
   const std::vector<Budget> own = {budget(BudgetKind::kRate, 50, 10)};
   const std::vector<Budget> count = {budget(BudgetKind::kAtOnce, 50, 0)};
   EXPECT_EQ(usable({{"b", {40, 7}}}, {{"b", {100, 20}}}, own), (Parts{{"b", {20, 3}}}));
--- a/tests/fleet/documents_test.cpp
+++ b/tests/fleet/documents_test.cpp
@@ -1,4 +1,4 @@
-// The texts of a plan and of a record: read again as they were; whatever is broken is nothing, with a cause.
+// The JSON texts of plans and records: they round-trip, and malformed ones are rejected with a cause.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -64,7 +64,7 @@
   return out;
 }
 
-RC_GTEST_PROP(Documents, AreReadAsTheyWere, (std::uint64_t seed)) {
+RC_GTEST_PROP(Documents, RoundTrip, (std::uint64_t seed)) {
   Random random(seed);
   std::string cause;
   const Plan plan = plan_of(random);
@@ -77,12 +77,12 @@
   RC_ASSERT(again && text_of(*again) == line && cause.empty());
   RC_ASSERT(again->id == record.id && again->in_force == record.in_force && again->demand == record.demand);
   RC_ASSERT(again->ranks.size() == record.ranks.size() && again->room == record.room);
-  // Cut anywhere it is nothing, with a cause.
+  // A text cut off anywhere is rejected with a cause.
   RC_ASSERT(!parse_plan(text.substr(0, random.below(text.size())), cause) && !cause.empty());
   RC_ASSERT(!parse_record(line.substr(0, random.below(line.size())), cause) && !cause.empty());
 }
 
-// A good text in which `from` is replaced by `to`; `cause` empty: it is read all the same.
+// A valid text in which `from` is replaced by `to`; with an empty `cause` it is still accepted.
 struct Broken {
   const char* from;
   std::string to;
@@ -98,7 +98,7 @@
   return p;
 }
 
-TEST(Documents, BrokenOnesAreNothing) {
+TEST(Documents, MalformedDocumentsAreRejectedWithACause) {
   Record r;
   r.id = {"n", 1};
   r.demand["b"] = 3;
@@ -177,8 +177,8 @@
   }
 }
 
-// What somebody else worked out wrongly is still written so that all can read it.
-TEST(Documents, FiguresThatAreNoneAreWrittenAsTheNearest) {
+// A wrongly computed number must not make the written document unreadable.
+TEST(Documents, OutOfRangeNumbersAreWrittenAsTheNearestBound) {
   Record r;
   r.demand = {{"huge", 1e300}, {"less", -1}, {"none", std::nan("")}, {"without end", INFINITY}};
   std::string cause;
@@ -188,7 +188,7 @@
             (std::map<std::string, double>{{"huge", 1e12}, {"less", 0}, {"none", 0}, {"without end", 1e12}}));
 }
 
-TEST(Documents, AMapOfSlotsIsShort) {
+TEST(Documents, SlotMapsAreCompact) {
   Random random(1);
   Plan plan;
   std::vector<Slot>& slots = plan.affinity["basket"].slots;
--- a/tests/fleet/member_test.cpp
+++ b/tests/fleet/member_test.cpp
@@ -1,4 +1,4 @@
-// Of one member: what the model's random histories meet too seldom to miss a guard.
+// One member by example: cases that the model's random histories reach too rarely to detect a missing check.
 #include "fleet/member.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   return budget;
 }
 
-// A member in good standing, and the last of what it told.
+// A joined member, and the last of its calls and snapshots.
 struct Talk {
   Member member{"a", "z", 1, sharing(), {at_once()}, 7};
   MemberOut out;
@@ -67,7 +67,7 @@
     const auto it = snapshot->parts.find("units");
     return it == snapshot->parts.end() ? 0 : it->second.amount;
   }
-  // Joined, with `units` in force by epoch 1.
+  // Joins, with `units` in force at epoch 1.
   explicit Talk(double units) {
     tell(Tick{});
     tell(Granted{grant->call, 5, kHere});
@@ -81,7 +81,7 @@
   }
 };
 
-TEST(Member, RaisesOnlyOnceItsRecordIsIn) {
+TEST(Member, RaisesOnlyAfterItsRecordIsWritten) {
   Talk talk(4);
   talk.now = 300;
   talk.see(2, 6, 20);
@@ -91,7 +91,7 @@
   EXPECT_EQ(talk.units(), 6);
 }
 
-TEST(Member, WhatIsInUseStaysInItsRecord) {
+TEST(Member, RecordKeepsUnitsInUse) {
   Talk talk(6);
   talk.now = 300;
   talk.see(2, 1, 20);
@@ -107,8 +107,8 @@
   EXPECT_EQ(talk.put->record.in_force.at("units").amount, 3);
 }
 
-// An answer from another history is none, though every comparison held there by chance.
-TEST(Member, AnAnswerOfAnotherHistoryEndsAll) {
+// An answer from another history does not count, even if all comparisons happened to hold there.
+TEST(Member, AnswerOfAnotherHistoryEndsTheIncarnation) {
   Talk talk(4);
   talk.now = 300;
   talk.see(2, 6, 20);
@@ -119,7 +119,7 @@
   EXPECT_EQ(talk.member.counters().histories, 1u);
 }
 
-TEST(Member, ALateAnswerIsNoLostHistory) {
+TEST(Member, LateAnswerIsNotALostHistory) {
   Talk talk(4);
   const Millis begun = talk.now = 300;
   talk.now = 310;
@@ -131,8 +131,8 @@
   EXPECT_EQ(talk.member.counters().histories, 1u);
 }
 
-// The answer is lost, the call was done: the next try finds that, and goes on from there.
-TEST(Member, ALostAnswerCostsNoShare) {
+// The call succeeded but its answer was lost: the retry finds the written record and continues from it.
+TEST(Member, LostAnswerKeepsTheShare) {
   Talk talk(4);
   talk.now = 300;
   talk.see(2, 6, 20);
@@ -153,7 +153,7 @@
   EXPECT_EQ(talk.member.counters().ended, 0u);
 }
 
-TEST(Member, ARecordThatIsGoneEndsAll) {
+TEST(Member, MissingRecordEndsTheIncarnation) {
   Talk talk(4);
   talk.now = 1200;
   talk.tell(Tick{});
@@ -163,7 +163,7 @@
   EXPECT_EQ(talk.out.incarnation, 0u);
 }
 
-TEST(Member, ValidityCountsFromBeforeTheCall) {
+TEST(Member, ValidityCountsFromTheStartOfTheCall) {
   Talk talk(4);
   talk.now = 1100;
   talk.tell(Tick{});
@@ -174,8 +174,8 @@
   EXPECT_DOUBLE_EQ(talk.out.valid_until, 1100 + valid_for(sharing()));
 }
 
-// Its lease goes back only when nothing that it began is under way; until then its record stands.
-TEST(Member, LeavesOnceNothingIsInUse) {
+// The lease is revoked only when no request is in flight; until then the record is kept.
+TEST(Member, LeavesAfterNothingIsInUse) {
   Talk talk(4);
   talk.traffic(2);
   talk.tell(Leave{});
--- a/tests/fleet/model_calm_test.cpp
+++ b/tests/fleet/model_calm_test.cpp
@@ -1,4 +1,4 @@
-// That the sharing of a fleet goes on: nothing is held back for safety that calm would let have.
+// Liveness of the sharing: without faults the safety rules hold back almost nothing.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 namespace shorelead::fleet::model {
 namespace {
 
-constexpr double kUsable = 0.9;  // of the whole, 2 s after a change
+constexpr double kUsable = 0.9;  // fraction of the whole, 2 s after a change
 
-// What can be spent of each budget, with every living process's reserve, as a share of the whole; the least.
+// The spendable fraction of the budgets, including the reserves of all running processes; the smallest.
 double usable_part(const World& world, int processes) {
   double least = 1;
   for (const Budget& budget : small_budgets()) {
@@ -30,7 +30,7 @@
 
 class Calm : public testing::TestWithParam<int> {};
 
-TEST_P(Calm, TwoSecondsAfterAJoin) {
+TEST_P(Calm, WholeIsUsableTwoSecondsAfterAJoin) {
   World world(static_cast<std::uint64_t>(GetParam()), {});
   for (int i = 0; i < 3; ++i) world.start();
   ask_for_much(world);
@@ -44,7 +44,7 @@
   EXPECT_EQ(world.broken(), "");
 }
 
-TEST_P(Calm, LeaseAndTwoSecondsAfterThePlannerIsKilled) {
+TEST_P(Calm, WholeIsUsableALeaseAndTwoSecondsAfterThePlannerIsKilled) {
   World world(static_cast<std::uint64_t>(GetParam()), {});
   for (int i = 0; i < 4; ++i) world.start();
   ask_for_much(world);
@@ -57,7 +57,7 @@
   EXPECT_EQ(world.broken(), "");
 }
 
-TEST_P(Calm, OneLostAnswerInTwentyCostsNoShare) {
+TEST_P(Calm, LosingOneAnswerInTwentyKeepsTheShares) {
   World world(static_cast<std::uint64_t>(GetParam()), {.lost = 0.05, .doubled = 0.05});
   for (int i = 0; i < 3; ++i) world.start();
   ask_for_much(world);
@@ -67,14 +67,14 @@
     world.run(200);
     sum += usable_part(world, 3);
   }
-  // Three renewals lost in a row end a lease: in one of some 25 of these stories.
+  // Three lost renewals in a row end a lease; expected in about one of 25 of these histories.
   std::uint64_t ended = 0;
   for (int i = 0; i < 3; ++i) ended += world.process(i)->core.counters().ended;
   EXPECT_LE(ended, 1u);
   EXPECT_GE(sum / 100, kUsable);
 }
 
-TEST_P(Calm, AtMostTwoCallsASecond) {
+TEST_P(Calm, AtMostTwoCallsPerSecond) {
   World world(static_cast<std::uint64_t>(GetParam()), {}, [] {
     Sharing sharing = small_sharing();
     sharing.lease = 5000;
--- a/tests/fleet/next_plan_test.cpp
+++ b/tests/fleet/next_plan_test.cpp
@@ -1,5 +1,5 @@
-// Plans after plans over a fleet in steps: whatever processes do within the rules of plan.h between the
-// planner's reading and its writing, the sum stays within the whole; and in calm the whole is used.
+// Sequences of plans over a fleet in steps: whatever processes do within the rules of plan.h between the
+// planner's read and its write, the sum stays within the whole; with stable demand the whole is used.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -21,7 +21,7 @@
   return b;
 }
 
-// The store and its processes: each has the record that is in the store and follows the plan as it likes.
+// The store and its processes. Each process has a record in the store and follows the plan at any time.
 struct Fleet {
   PlannerInput in;  // `plan` and `records` are the store's
   std::uint64_t turn = 0;
@@ -45,8 +45,7 @@
     const auto it = in.plan->shares.find(r.id.text());
     return it == in.plan->shares.end() ? nullptr : &it->second;
   }
-  // The record says what the plan that stands gives; or, lowered only, the smaller of the two; or neither is
-  // done yet.
+  // Updates the record to the current plan, or, without `raise`, to the smaller of record and plan.
   void follow(Record& r, bool raise) {
     if (!in.plan) return;
     const Parts* const parts = planned(r);
@@ -74,8 +73,8 @@
     }
     return all;
   }
-  // What processes with these demands, which spend all they may, use of the first budget: one round of the
-  // planner and of everybody.
+  // One round of the planner and all processes, which spend all they may up to their demands. Returns the
+  // used amount of the first budget.
   double round(const std::vector<double>& demands, bool first_spends = true) {
     const Budget& b = in.budgets[0];
     const double reserve = reserve_of(b, in.sharing).amount;
@@ -98,7 +97,7 @@
 };
 void showValue(const Step& s, std::ostream& out) { out << s.what << "," << s.who << "," << s.figure << " "; }
 
-RC_GTEST_PROP(NextPlan, TheSumStaysWithinTheWhole, ()) {
+RC_GTEST_PROP(NextPlan, SumStaysWithinTheWhole, ()) {
   const auto steps = *rc::gen::scale(
       3, rc::gen::container<std::vector<Step>>(rc::gen::construct<Step>(
              rc::gen::weightedElement<int>({{4, 0}, {4, 1}, {2, 2}, {2, 3}, {6, 4}, {4, 5}, {1, 6}, {1, 7}}),
@@ -117,7 +116,7 @@
   for (const Step& s : steps) {
     Record* const r = record(s.who);
     if (s.what == 0) read = fleet.in;
-    // Refused where the plan is another one by now, as the transaction compares it.
+    // Refused if the plan has changed since the read, as the transaction compares it.
     if (s.what == 1 && read.plan == fleet.in.plan) fleet.write(next_plan(read, ++fleet.turn));
     if (s.what == 2 && r == nullptr) fleet.join(s.who);
     if (s.what == 3 && r != nullptr && s.figure < 50) {
@@ -142,7 +141,7 @@
   }
 }
 
-// Used of the whole, and after how many rounds it first was as much as is asked.
+// The used fraction of the whole, and the number of rounds after which it stayed at the required level.
 struct Use {
   int rounds = -1;
   double part = 0;
@@ -159,7 +158,7 @@
   return out;
 }
 
-TEST(NextPlan, TheWholeIsUsed) {
+TEST(NextPlan, WholeIsUsed) {
   for (const BudgetKind kind : {BudgetKind::kRate, BudgetKind::kAtOnce, BudgetKind::kAttempts}) {
     for (const int n : {10, 20, 30}) {
       const double whole = 1000;
@@ -183,9 +182,9 @@
   }
 }
 
-// A plan gives no more than is acknowledged to be free, so that something may be left to nobody. That is
-// given on once it is free, though by then nobody presses for more, and then no further plan is written.
-TEST(NextPlan, WhatAPlanLeftToNobodyIsGivenOn) {
+// A plan assigns only what is acknowledged as free, so part of a budget may stay unassigned. It is assigned
+// once it is free, even if no member demands more by then, and after that no further plan is written.
+TEST(NextPlan, UnassignedAmountIsAssignedOnceFree) {
   for (const BudgetKind kind : {BudgetKind::kRate, BudgetKind::kAtOnce, BudgetKind::kAttempts}) {
     const Budget b = budget(kind, 40);
     Fleet fleet({b}, 4);
@@ -204,9 +203,9 @@
   }
 }
 
-// It claims 1e9 and spends nothing: no more than an equal part and the headroom. It also lies about what it
-// spends: what the others leave.
-TEST(NextPlan, ALiarTakesLittle) {
+// A process that reports a demand of 1e9 and spends nothing gets at most twice an equal part. If it also
+// misreports what it spends, it gets what the others leave.
+TEST(NextPlan, OverstatedDemandGainsLittle) {
   for (const bool spends : {false, true}) {
     Fleet fleet({budget(BudgetKind::kRate, 1000)});
     for (int k = 0; k < 20; ++k) fleet.join(k);
@@ -218,13 +217,13 @@
     const auto had = [&](int k) { return fleet.in.records[k].in_force["b"].amount; };
     for (int k = 1; k < 20; ++k) EXPECT_GE(had(k), spends ? 27.5 : 40);
     EXPECT_LE(had(0), spends ? 1000 - 19 * 27.5 : 2 * 950.0 / 20);
-    // All ask for what they can get: nobody lacks more of an equal part than is worth a write.
+    // All demand as much as possible: each is short of an equal part by less than is worth a write.
     use(fleet, std::vector<double>(20, 500), 0.9, 10);
     for (int k = 0; k < 20; ++k) EXPECT_GE(had(k), 0.95 * 47.5) << k;
   }
 }
 
-TEST(NextPlan, FewUnitsGoRound) {
+TEST(NextPlan, ScarceUnitsRotate) {
   for (const BudgetKind kind : {BudgetKind::kRate, BudgetKind::kAtOnce, BudgetKind::kAttempts}) {
     Budget b = budget(kind, 5);
     b.burst = 5;
--- a/tests/fleet/planner_test.cpp
+++ b/tests/fleet/planner_test.cpp
@@ -1,4 +1,4 @@
-// Of one planner: when it must not write, and what it must not raise.
+// One planner by example: when it must not write a plan, and what it must not raise.
 #include "fleet/planner.h"
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
   return record;
 }
 
-// An elected planner, and the last of what it called.
+// An elected planner, and the last of its calls.
 struct Talk {
   Planner planner{"a", sharing(), {units()}, {std::make_shared<OneSlot>()}, 3};
   Millis now = 0;
@@ -58,7 +58,7 @@
       if (const auto* it = std::get_if<Resign>(&call)) resign = *it;
     }
   }
-  // A read that shows this, `after` the last.
+  // Answers the next read, `after` ms later, with the given plan and records.
   void show(Millis after, const std::optional<Plan>& plan, std::vector<Record> records, bool newer = false,
             std::size_t unreadable = 0) {
     if (put) tell(PlanPut{std::exchange(put, std::nullopt)->call, true, kHere});
@@ -111,7 +111,7 @@
   EXPECT_EQ(talk.put->modified, 60u);
 }
 
-TEST(Planner, ARecordThatCannotBeReadHoldsAllRaises) {
+TEST(Planner, UnreadableRecordPreventsRaising) {
   Talk talk;
   const std::vector<Record> records = {record("a", 1, 1, 9), record("b", 1, 1, 9)};
   talk.show(0, standing(1, 1, 1), records);
@@ -119,7 +119,7 @@
   EXPECT_TRUE(!talk.put || sum(talk.put->plan) <= 2);
 }
 
-TEST(Planner, APlanOfANewerFormIsLeftAlone) {
+TEST(Planner, PlanOfANewerFormatIsNotOverwritten) {
   Talk talk;
   talk.show(3600, std::nullopt, {record("a", 1, 1, 9)}, true);
   EXPECT_FALSE(talk.put.has_value());
@@ -133,7 +133,7 @@
   EXPECT_FALSE(talk.campaign.has_value());
 }
 
-TEST(Planner, ABrokenPlanIsOverwrittenAfterALeaseAboveAllEpochs) {
+TEST(Planner, MalformedPlanIsOverwrittenAfterALeaseAboveAllEpochs) {
   Talk talk;
   const std::vector<Record> records = {record("a", 7, 4, 9), record("b", 6, 6, 9)};
   talk.show(0, std::nullopt, records);
@@ -147,7 +147,7 @@
   EXPECT_FALSE(talk.put->plan.affinity.at("rule").slots[0].open) << "somebody may have it elsewhere";
 }
 
-TEST(Planner, WhoHasLeftCountsAsLongAsItsRequestsMayLast) {
+TEST(Planner, DepartedMemberCountsWhileItsRequestsMayLast) {
   Talk talk;
   talk.show(0, standing(1, 4, 6), {record("a", 1, 4, 9), record("b", 1, 6, 9)});
   talk.show(3600, standing(1, 4, 6), {record("a", 1, 4, 9)});
@@ -157,7 +157,7 @@
   EXPECT_GT(talk.put->plan.shares.at("a#1").at("units").amount, 4);
 }
 
-TEST(Planner, ResignsWhenItsLeaseRanOutOrAnotherIsElected) {
+TEST(Planner, ResignsWhenItsLeaseExpiresOrAnotherIsElected) {
   Talk talk;
   talk.tell(LeaseValid{5, 2900});
   talk.now = 2950;
--- a/tests/fleet/share_test.cpp
+++ b/tests/fleet/share_test.cpp
@@ -1,6 +1,6 @@
-// Shares of several processes under random histories: what was granted adds up to at most the whole at every
-// moment, as the plan keeps it, and then so does what is spent, over every window. Processes stand still
-// beyond their lease, come back as another incarnation, and are replaced by new ones.
+// Shares of several processes under random histories. The granted parts add up to at most the whole at every
+// moment, as plans ensure; then what is spent does too, over every window. Processes are suspended beyond
+// their lease, rejoin as another incarnation, and are replaced by new ones.
 #include "fleet/share.h"
 
 #include <gtest/gtest.h>
@@ -51,26 +51,26 @@
   }
 }
 
-RC_GTEST_PROP(Share, ARateIsKeptOverEveryWindow, ()) {
+RC_GTEST_PROP(Share, RateHoldsOverEveryWindow, ()) {
   const auto steps = *histories();
   rate_is_kept<0>(steps);
   rate_is_kept<1>(steps);
 }
 
-RC_GTEST_PROP(Share, NeverMoreAtOnce, ()) {
+RC_GTEST_PROP(Share, ConcurrencyStaysWithinTheWhole, ()) {
   const auto steps = *histories();
   at_once_is_kept<0>(steps);
   at_once_is_kept<1>(steps);
 }
 
-RC_GTEST_PROP(Share, AttemptsAreKeptInEveryWindow, ()) {
+RC_GTEST_PROP(Share, AttemptsHoldInEveryWindow, ()) {
   const auto steps = *histories();
   attempts_are_kept<0>(steps);
   attempts_are_kept<1>(steps);
 }
 
-// What the properties above cannot show: that shares give what they should.
-TEST(Share, AllThatIsGrantedCanBeSpent) {
+// The properties above are upper bounds only; this checks that granted shares can be spent in full.
+TEST(Share, GrantedSharesCanBeSpent) {
   RateShare rate({0, 0});
   rate.set({100, 10}, 0, 1e6);
   AttemptShare attempts(2, 0.1, 1000);
@@ -79,7 +79,7 @@
   AtOnceShare at_once(2, 500);
   at_once.set(5);
   RateShare fresh({1000, 5});
-  EXPECT_EQ(fresh.spend(0, 0), Spent::kReserve);  // one before it may just have spent it
+  EXPECT_EQ(fresh.spend(0, 0), Spent::kReserve);  // a predecessor may just have spent it
   int spent = 0;
   for (Millis now = 0; now <= 10000; now += 5) spent += rate.spend(now, 1e6) == Spent::kYes;
   EXPECT_NEAR(spent, 1000, 1);
@@ -89,11 +89,11 @@
     return n;
   };
   EXPECT_EQ(drain(rate, 20000, 1e6), 10);
-  EXPECT_EQ(drain(attempts, 999, 1e6), 0);   // the window has not passed since it was raised
+  EXPECT_EQ(drain(attempts, 999, 1e6), 0);   // the window since the raise has not passed
   EXPECT_EQ(drain(attempts, 1001, 1e6), 5);  // 3 and the reserve
   for (int n = 0; n < 40; ++n) attempts.taken(1500);
   EXPECT_EQ(drain(attempts, 1600, 1e6), 4);  // a tenth of the requests
-  EXPECT_EQ(drain(attempts, 2501, 1e6), 1);  // those of 1001 are out of the window; these are not
+  EXPECT_EQ(drain(attempts, 2501, 1e6), 1);  // those of 1001 have left the window, those of 1600 have not
   EXPECT_EQ(drain(attempts, 9000, 100), 2);  // without a plan
   EXPECT_EQ(drain(at_once, 0, 1e6), 5);
   EXPECT_EQ(drain(at_once, 500, 1e6), 2);
--- a/tests/fleet/usable_sum_test.cpp
+++ b/tests/fleet/usable_sum_test.cpp
@@ -1,4 +1,4 @@
-// How much of a whole is let through where demand comes as it does: by chance, and in bursts of its own.
+// How much of a rate is admitted when requests arrive at random, with their own bursts.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -10,11 +10,11 @@
 
 struct Case {
   int processes;
-  double burst;  // with 60 a second
-  double asked;  // of the whole
-  bool skewed;   // nine tenths at a tenth of the processes
-  double least;  // of what could be let through
-  double plans;  // a second, at most
+  double burst;  // at a rate of 60 per second
+  double asked;  // demand, as a fraction of the whole
+  bool skewed;   // nine tenths of the demand at a tenth of the processes
+  double least;  // required fraction of what could be admitted
+  double plans;  // largest allowed number of plans per second
 };
 
 void PrintTo(const Case& c, std::ostream* out) {
@@ -48,8 +48,8 @@
   EXPECT_LE(plans / 60.0, c.plans);
 }
 
-// Four tokens for each process are enough; two lose some; fewer than that is the price of parts that nobody
-// may save up together (docs/budgets.md).
+// Four tokens per process are enough; with two some rate is lost; with fewer more is lost, since the
+// processes cannot save tokens together (docs/budgets.md).
 INSTANTIATE_TEST_SUITE_P(
     Calm, UsableSum,
     testing::Values(Case{10, 40, 0.8, false, 0.90, 2}, Case{10, 40, 1.2, false, 0.90, 0.5},
