--- a/tests/fleet/fleet_bench.h
+++ b/tests/fleet/fleet_bench.h
@@ -1,5 +1,5 @@
-// Processes of a fleet on loopback before the stand-in registry: its server on a thread of its own, each
-// process's control on another, the traffic of all of them on the test's. For tests only.
+// Test support: fleet processes on loopback against a stand-in for etcd. The stand-in runs on its own thread,
+// each process's control on another, and the traffic of all processes on the test's thread.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
     thread_.join();
   }
 
-  // On the server's thread; waits for it.
+  // Runs `task` on the server's thread and waits for its result.
   template <typename Task>
   auto with(Task task) {
     std::packaged_task<decltype(task(server_))()> packaged([&] { return task(server_); });
@@ -81,7 +81,7 @@
   return {rate, at_once};
 }
 
-// One process: its control, its traffic's end.
+// One process: its control thread and its port for the traffic.
 struct Process {
   Process(StandIn& store, const std::string& name, std::uint64_t seed)
       : channel(std::make_shared<Channel>(two_budgets().size(), std::vector<int>{1, 2})),
@@ -106,20 +106,20 @@
   std::unique_ptr<Control> control;
 };
 
-// Takes up what comes for all of them until that holds; a test that never gets there is ended by the harness.
+// Lets all processes take up new snapshots until `until` holds. If it never does, the test times out.
 template <typename Until>
 void run(const std::vector<Process*>& processes, const Until& until) {
   while (true) {
     for (Process* process : processes) process->port.take_snapshot();
     if (until()) return;
-    std::vector<pollfd> bells;
-    for (Process* process : processes) bells.push_back({process->port.wake_fd(), POLLIN, 0});
-    ::poll(bells.data(), bells.size(), 5);
+    std::vector<pollfd> wakeups;
+    for (Process* process : processes) wakeups.push_back({process->port.wake_fd(), POLLIN, 0});
+    ::poll(wakeups.data(), wakeups.size(), 5);
   }
 }
 
-// At every revision the store had, as far as it knows: for each budget the sum over processes of
-// max(record, plan) is at most the whole less the reserve.
+// Checks at every revision still in the store that for each budget the sum over processes of max(record,
+// plan) is at most the whole less the reserve.
 inline void expect_within(const lab::KeyStore& store) {
   const Sharing sharing = sharing_of_a_second();
   std::size_t seen = 0;
--- a/tests/fleet/guards.sh
+++ b/tests/fleet/guards.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Takes each guard of the sharing out (guards.txt), one at a time, and says what misses it: the random histories,
-# the search of a small fleet, the tests of one member. By hand, not in CI. Fails where a guard is not found in
-# the code, or where nothing misses it.
+# Mutation test: removes each safety check of the sharing (guards.txt), one at a time, and reports which tests detect
+# it: the random histories, the search of a small fleet, the tests of one member. Run by hand, not in CI. Fails if
+# a check is not found in the code, or if no test detects its removal.
 #   guards.sh [HISTORIES [SEED [PATTERN]]]
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
--- a/tests/fleet/model_case.cpp
+++ b/tests/fleet/model_case.cpp
@@ -31,7 +31,7 @@
   attempts.window = 900;
   attempts.reserve = 0.34;
   std::vector<Budget> budgets = {rate, at_once, attempts};
-  for (Budget& budget : budgets) budget.most_part = 1;  // a process alone has all
+  for (Budget& budget : budgets) budget.most_part = 1;  // a single process can get everything
   return budgets;
 }
 
--- a/tests/fleet/model_case.h
+++ b/tests/fleet/model_case.h
@@ -1,5 +1,5 @@
-// What the model's fleets share: three small budgets, one of each kind, and a rule whose slots are wished
-// here and there.
+// The configuration of the model's fleets: three small budgets, one of each kind, and an affinity rule whose
+// slots move between backends.
 #pragma once
 
 #include <map>
@@ -12,11 +12,11 @@
 
 namespace shorelead::fleet::model {
 
-// `longest`: what is sent, or in use at once, lasts at most so long.
+// `longest`: the longest duration of a request, and of concurrent use.
 Sharing small_sharing(Millis longest = 900);
 std::vector<Budget> small_budgets(Millis longest = 900);
 
-// Asks for each slot to be where it is wished, at once; what may be open is held elsewhere (slots.h).
+// Asks for each slot on its requested backend immediately; slots.h closes those that may not be open yet.
 class Mover : public PlanShaper {
  public:
   void wish(std::size_t slot, const std::string& backend) { wished_[slot] = backend; }
--- a/tests/fleet/model_checks.cpp
+++ b/tests/fleet/model_checks.cpp
@@ -9,7 +9,7 @@
 namespace shorelead::fleet::model {
 
 namespace {
-constexpr double kNear = 1e-6;  // sums of fractions
+constexpr double kNear = 1e-6;  // tolerance for sums of fractions
 }
 
 const Budget* Checks::of(BudgetKind kind) const {
@@ -22,8 +22,8 @@
   if (broken_.empty()) broken_ = what;
 }
 
-// A bucket that starts full admits what every window admits: at most rate x W + burst, by clocks that may be
-// fast by the bound.
+// A token bucket that starts full is equivalent to the limit of rate x W + burst over every window; the rate
+// allows for clocks that are fast by the drift bound.
 void Checks::spent_rate(Millis at) {
   const Budget* budget = of(BudgetKind::kRate);
   if (tokens_ < 0) tokens_ = budget->burst;
@@ -108,7 +108,7 @@
   store_slots(store);
 }
 
-// All backends open for a slot in the plan, and in the plans that records have in force, are one.
+// For each slot at most one backend is open, over the current plan and the plans that records have in force.
 void Checks::store_slots(const Store& store) {
   std::vector<const Plan*> plans;
   const StoreState& state = store.state;
--- a/tests/fleet/model_checks.h
+++ b/tests/fleet/model_checks.h
@@ -1,5 +1,5 @@
-// What nobody of the fleet may break, judged from outside: by what is spent and sent, in the world's time,
-// and by what stands in the store.
+// The invariants of the fleet, checked from outside: on what is spent and sent, in world time, and on the
+// contents of the store.
 #pragma once
 
 #include <deque>
@@ -25,7 +25,7 @@
   void store(const Store& store);
   void fail(const std::string& what);
 
-  const std::string& broken() const { return broken_; }  // the first; empty = nothing
+  const std::string& broken() const { return broken_; }  // the first violation; empty = none
 
   std::uint64_t spent = 0, sent = 0, looked = 0;
 
@@ -42,7 +42,7 @@
   const Sharing sharing_;
   const std::vector<Budget> budgets_;
   std::string broken_;
-  double tokens_ = -1;  // of the whole rate
+  double tokens_ = -1;  // token bucket of the whole rate
   Millis tokens_at_ = 0;
   std::deque<Millis> attempts_;
   std::vector<Millis> at_once_;
--- a/tests/fleet/model_process.h
+++ b/tests/fleet/model_process.h
@@ -1,5 +1,5 @@
-// One process of the model: member, planner and traffic under one clock that drifts and may stand still, and
-// the client that gives each call one answer or none.
+// One process of the model: member, planner and traffic under one drifting clock. The process may be paused,
+// and each call gets one answer or none.
 #pragma once
 
 #include <deque>
@@ -34,7 +34,7 @@
   using Send = std::function<void(const AnyCall&)>;
   void member(const MemberEvent& event, Millis at, const Send& send);
   void planner(const PlannerEvent& event, Millis at, const Send& send);
-  // An answer of the store; `begun` on the process's clock.
+  // An answer of the store; `begun` is on the process's clock.
   void answer(const AnyEvent& event, Millis begun, Millis at, const Send& send);
 
   Millis now(Millis at) const { return clock_.read(at); }
@@ -44,11 +44,11 @@
   const std::string name;
   bool alive = true;
   bool paused = false;
-  Millis stood = 0;                           // the time that it read last before it stood still
-  bool cut_to = false;                        // nothing of it reaches the store
-  bool cut_from = false;                      // nothing of the store reaches it
-  std::deque<std::function<void()>> waiting;  // what came while it stood still
-  std::set<std::uint64_t> asked;              // calls without an answer yet, by a number of the world's
+  Millis stood = 0;                           // the last time it read before it was paused
+  bool cut_to = false;                        // its messages do not reach the store
+  bool cut_from = false;                      // messages of the store do not reach it
+  std::deque<std::function<void()>> waiting;  // messages that arrived while it was paused
+  std::set<std::uint64_t> asked;              // calls in flight, by the world's number
   Member core;
   Planner plans;
   ProcessTraffic traffic;
--- a/tests/fleet/model_steps.cpp
+++ b/tests/fleet/model_steps.cpp
@@ -14,7 +14,7 @@
 struct Kind {
   const char* name;
   int weight;
-  std::function<void(World&, const Step&, int process)> run;  // `process`: one that runs
+  std::function<void(World&, const Step&, int process)> run;  // `process`: a running one
 };
 
 std::string backend(const Step& step) { return std::string(1, static_cast<char>('a' + step.much % 3)); }
@@ -71,7 +71,7 @@
   return kinds().back();
 }
 
-// After whatever it was, all goes on: what can be spent is nearly all that there is.
+// After the faults have ended the fleet recovers: nearly all of each budget can be spent.
 std::string in_calm(World& world, const std::vector<Budget>& budgets, const Sharing& sharing) {
   bool one = false;
   for (int i = 0; i < world.count(); ++i) {
@@ -80,7 +80,7 @@
   }
   world.run(4 * sharing.lease);
   if (!world.broken().empty() || !one) return world.broken();
-  // Not at one moment: units go round, and an answer that is late by most of a lease has its share lapse.
+  // The maximum over time: units rotate, and an answer late by most of a lease lets its share lapse.
   std::map<std::string, double> most;
   for (int i = 0; i < 60; ++i) {
     world.run(100);
@@ -131,7 +131,7 @@
     if (!world.broken().empty()) return world.broken();
   }
   world.calm();
-  bool newer = false;  // nobody plans for a long time
+  bool newer = false;  // with a plan of a newer format no process plans for a long time
   for (const Step& step : story.steps)
     newer = newer || kind_of(step).name == std::string("plan of a newer form");
   if (world.broken().empty() && !newer) return in_calm(world, small_budgets(longest), small_sharing(longest));
--- a/tests/fleet/model_steps.h
+++ b/tests/fleet/model_steps.h
@@ -1,4 +1,4 @@
-// Random hurt for the model's fleets, as RapidCheck makes and shrinks it.
+// Random faults for the model's fleets, generated and shrunk by RapidCheck.
 #pragma once
 
 #include <iosfwd>
@@ -11,23 +11,23 @@
 namespace shorelead::fleet::model {
 
 struct Step {
-  int what = 0;     // a kind of hurt, by weight
-  int who = 0;      // among those that run
-  int much = 0;     // 0 to 9
-  Millis then = 0;  // it goes on for so long
+  int what = 0;     // the kind of step, by weight
+  int who = 0;      // index among the running processes
+  int much = 0;     // magnitude, 0 to 9
+  Millis then = 0;  // time that runs after the step
 };
-int step_kinds();  // `what` is under it
+int step_kinds();  // exclusive upper bound of `what`
 std::ostream& operator<<(std::ostream& out, const Step& step);
 
 struct Story {
   std::uint64_t seed = 1;
   Noise noise;
-  int begin = 3;  // processes
+  int begin = 3;  // number of processes at the start
   std::vector<Step> steps;
 };
-std::ostream& operator<<(std::ostream& out, const Story& story);  // as C++ writes it
+std::ostream& operator<<(std::ostream& out, const Story& story);  // as C++ source
 
-// What broke, or nothing.
+// Runs the story; returns the first violation, or an empty text.
 std::string play(const Story& story);
 
 }  // namespace shorelead::fleet::model
--- a/tests/fleet/model_store.cpp
+++ b/tests/fleet/model_store.cpp
@@ -25,8 +25,8 @@
   const std::uint64_t revision = state.revision;
   state = copies_[copies_.size() - 1 - std::min(back, copies_.size() - 1)];
   state.cluster = ++clusters_;
-  // A store that starts gives its leases their whole length anew. Its revisions may be any that are not
-  // above those of the copy's end: as they were.
+  // After a restart the store extends all leases by their whole length. Revisions continue from those of the
+  // copy, at most.
   for (auto& [id, lease] : state.leases) lease.ends = now + lease.length;
   state.revision = std::min(state.revision, revision);
   copies_.clear();
@@ -61,7 +61,8 @@
 MemberEvent Store::put(const PutRecord& call, std::uint64_t knows) {
   const auto it = state.records.find(call.record.id.name);
   const std::uint64_t modified = it == state.records.end() ? 0 : it->second.modified;
-  // Where the lease is gone so is all under it; the store says so, and the client reads what stands.
+  // An expired lease has removed all its keys; the store reports that, and the client reads the current
+  // state.
   const bool lease = state.leases.contains(call.lease);
   const bool plan = call.plan_modified == 0 || call.plan_modified == state.plan_modified;
   if (!lease || modified != call.modified || !plan) {
--- a/tests/fleet/model_store.h
+++ b/tests/fleet/model_store.h
@@ -1,6 +1,6 @@
-// The store as the model sees it: typed keys of one fleet with leases, revisions and comparisons, in
-// simulated time, small enough to be copied for each state of a search. lab::KeyStore keeps its whole log and
-// texts; the client's tests hold that the real transactions are these.
+// The model's store: typed keys of one fleet with leases, revisions and comparisons, in simulated time, small
+// enough to be copied for each state of the search (lab::KeyStore keeps its whole log and texts). The tests
+// of the client check that the real transactions have the same effect.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
     Record record;
     std::uint64_t modified;
     std::int64_t lease;
-    bool blind;  // its writer knew another history: it uses nothing of it
+    bool blind;  // its writer knew another history and does not use it
   };
   struct Leader {
     std::string value;
@@ -43,19 +43,19 @@
 
 class Store {
  public:
-  // `knows`: the cluster that the caller has heard last. Nothing = the store answers with an error.
+  // `knows`: the cluster id that the caller has seen last. nullopt = the store answers with an error.
   std::optional<MemberEvent> execute(const MemberCall& call, Millis now, std::uint64_t knows);
   std::optional<PlannerEvent> execute(const PlannerCall& call, Millis now);
 
   void expire(Millis now);
   void keep_copy() { copies_.push_back(state); }
-  void restore(std::size_t back, Millis now);  // comes back as that copy, as another cluster
+  void restore(std::size_t back, Millis now);  // continues from that copy, with a new cluster id
   void spoil_plan(StoreState::Text text);
 
   Header header() const { return {state.cluster, state.revision}; }
 
   StoreState state;
-  // Writes of a plan by somebody who is not the planner, or over another plan than the one read.
+  // Plans written by a process that is not the planner, or over another plan than the one it had read.
   std::uint64_t unfenced = 0;
 
  private:
--- a/tests/fleet/model_test.cpp
+++ b/tests/fleet/model_test.cpp
@@ -1,4 +1,4 @@
-// The sharing of a fleet in simulated time: random histories of hurt.
+// The sharing of a fleet in simulated time, under random histories of faults.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
--- a/tests/fleet/model_time.h
+++ b/tests/fleet/model_time.h
@@ -1,4 +1,4 @@
-// The world's time: what happens next, in one order for one seed.
+// World time: a queue of events, in a deterministic order for each seed.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
   Millis now() const { return now_; }
   void in(Millis span, std::function<void()> run) { events_.push({now_ + span, ++order_, std::move(run)}); }
 
-  // Until `until`, or as long as `goes_on` says.
+  // Runs the events up to `until`, while `goes_on` returns true.
   void run(Millis until, const std::function<bool()>& goes_on) {
     while (!events_.empty() && events_.top().at <= until && goes_on()) {
       const Event event = events_.top();
--- a/tests/fleet/model_traffic.cpp
+++ b/tests/fleet/model_traffic.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kGreed = 12;  // tries of each budget in one step, at most
+constexpr int kGreed = 12;  // largest number of attempts per budget in one step
 
 const Budget& of(const std::vector<Budget>& budgets, BudgetKind kind) {
   return *std::find_if(budgets.begin(), budgets.end(),
@@ -46,7 +46,7 @@
 void ProcessTraffic::take_over(Millis now) {
   if (snapshot_ == latest_) return;
   const Millis valid = valid_until();
-  // Of another incarnation: first nothing.
+  // Another incarnation: first set all shares to nothing.
   if (latest_->incarnation != snapshot_->incarnation) {
     rate_.set({}, now, valid);
     at_once_.set(0);
--- a/tests/fleet/model_traffic.h
+++ b/tests/fleet/model_traffic.h
@@ -1,5 +1,5 @@
-// The traffic of one process in the model: spends whatever it may, as soon as it may, out of the real shares,
-// and sends for slots. It goes by a snapshot that it took over at some earlier time, as another thread does.
+// The traffic of one process in the model: spends as much as it may, as soon as it may, from the real shares,
+// and sends requests for slots. Like a separate thread it uses a snapshot that it took over some time ago.
 #pragma once
 
 #include <map>
@@ -18,24 +18,24 @@
  public:
   ProcessTraffic(const std::vector<Budget>& budgets, const Sharing& sharing, int process, Checks& checks);
 
-  // By the control thread.
+  // Called by the control thread.
   void publish(std::shared_ptr<const Snapshot> snapshot) { latest_ = std::move(snapshot); }
   void told(std::uint64_t incarnation, Millis valid_until);
 
-  // `now` on the process's clock, `at` on the world's.
+  // `now` is on the process's clock, `at` in world time.
   void spend(Millis now, Millis at, Random& random);
-  void take_over(Millis now);  // the snapshot published last
+  void take_over(Millis now);  // takes over the latest snapshot
   TrafficState state(Millis now, Millis at) const;
   void end_what_is_over(Millis at);
 
   void wish(double demand) { demand_ = demand; }
   Millis valid_until() const;
-  double usable(const std::string& budget, Millis now) const;  // its reserve apart
+  double usable(const std::string& budget, Millis now) const;  // not counting its reserve
   double in_use() const;
 
  private:
   struct Under {
-    Millis ends;  // the world's time
+    Millis ends;  // world time
     std::string rule;
     std::size_t slot;
     std::string backend;
@@ -54,7 +54,7 @@
   RateShare rate_;
   AtOnceShare at_once_;
   AttemptShare attempts_;
-  std::vector<Millis> in_use_;  // ends of what is at once, the world's time
+  std::vector<Millis> in_use_;  // ends of the concurrent uses, in world time
   std::vector<Under> sends_;
   double demand_ = 1;
 };
--- a/tests/fleet/model_world.cpp
+++ b/tests/fleet/model_world.cpp
@@ -6,14 +6,13 @@
 #include "fleet/division.h"
 
 namespace shorelead::fleet::model {
-
 namespace {
 
-constexpr Millis kGivesUp = 800;  // a client, on a call
-constexpr Millis kAsks = 300;     // for the plan, where no watch tells it
-constexpr Millis kControl = 50;   // the control thread's round
-constexpr Millis kTraffic = 40;   // between two steps of the traffic, at most twice
-constexpr Millis kCopies = 700;   // between two copies of the store
+constexpr Millis kGivesUp = 800;  // the client's timeout of a call
+constexpr Millis kAsks = 300;     // interval between reads of the plan without a watch
+constexpr Millis kControl = 50;   // interval of the control thread
+constexpr Millis kTraffic = 40;   // mean interval between two steps of the traffic
+constexpr Millis kCopies = 700;   // interval between two copies of the store
 
 template <class T>
 std::uint64_t call_of(const T& any) {
@@ -39,7 +38,7 @@
       checks_(sharing_, budgets_),
       mover_(std::make_shared<Mover>()) {}
 
-// What reaches a process that stands still waits until it goes on.
+// Messages to a paused process wait until it is resumed.
 void World::to(const std::shared_ptr<Process>& process, std::function<void()> run) {
   if (!process->alive) return;
   if (process->paused) {
@@ -80,7 +79,7 @@
   const auto process = processes_.at(static_cast<std::size_t>(number));
   if (!process->paused || !process->alive) return;
   process->paused = false;
-  // The traffic's thread may well be first.
+  // The traffic thread may be the first to run.
   process->traffic.spend(process->now(time_.now()), time_.now(), random_);
   std::deque<std::function<void()>> waiting;
   std::swap(waiting, process->waiting);
@@ -145,7 +144,7 @@
   });
 }
 
-// A call that is under way reaches the store whatever has become of the process.
+// A call in flight reaches the store even if the process is gone.
 void World::reach(const std::shared_ptr<Process>& process, const AnyCall& call, std::uint64_t number,
                   Millis begun) {
   if (down_) return;
@@ -168,13 +167,13 @@
   if (process->cut_from || random_.unit() < noise_.lost) return;
   time_.in(takes(), [=, this] {
     to(process, [=, this] {
-      if (number != 0 && process->asked.erase(number) == 0) return;  // given up, or answered already
+      if (number != 0 && process->asked.erase(number) == 0) return;  // timed out, or already answered
       process->answer(event, begun, time_.now(), sender(process));
     });
   });
 }
 
-// A range of the plan and the planner's key, as the client asks where a watch is deaf.
+// A range request for the plan and the planner key, as the client sends when its watch is silent.
 void World::ask_plan(const std::shared_ptr<Process>& process) {
   if (!process->alive) return;
   time_.in(kAsks * (0.5 + random_.unit()), [this, process] { ask_plan(process); });
@@ -225,7 +224,7 @@
   return -1;
 }
 
-// What all could spend if they tried, those that stand still too.
+// Checks the sum of what all processes, including paused ones, could spend now.
 void World::look_at_sums() {
   for (const Budget& budget : budgets_) {
     const double sum = usable(budget.name);
--- a/tests/fleet/model_world.h
+++ b/tests/fleet/model_world.h
@@ -1,5 +1,5 @@
-// Many processes, one store, and the network between them, in simulated time from one seed. The hurt comes
-// from outside, as steps.
+// Several processes, one store and the network between them, in simulated time from one seed. Faults are
+// injected from outside, as steps.
 #pragma once
 
 #include <memory>
@@ -16,9 +16,9 @@
 namespace shorelead::fleet::model {
 
 struct Noise {
-  double lost = 0;     // of all messages, each way
-  double doubled = 0;  // calls that are done twice
-  double late = 0;     // messages that take up to two leases; the rest take up to 5 ms
+  double lost = 0;     // fraction of all messages lost, each way
+  double doubled = 0;  // fraction of calls executed twice
+  double late = 0;     // fraction of messages that take up to two leases; the others take up to 5 ms
 };
 
 class World {
@@ -26,13 +26,13 @@
   World(std::uint64_t seed, const Noise& noise, const Sharing& sharing = small_sharing(),
         std::vector<Budget> budgets = small_budgets());
   ~World() {
-    // What waits for a process that stood still to the end holds that process.
+    // Messages still waiting for a paused process hold a reference to that process.
     for (const auto& process : processes_) process->waiting.clear();
   }
   World(const World&) = delete;
   World& operator=(const World&) = delete;
 
-  int start(const std::string& name);  // its number; -1 = as many run as ever may
+  int start(const std::string& name);  // its number; -1 = the largest allowed number is running
   int start() { return start(std::to_string(count())); }
   void crash(int process);
   void leave(int process);
@@ -44,13 +44,13 @@
   void store_down(bool down) { down_ = down; }
   void restore(std::size_t back);
   void spoil(StoreState::Text text);
-  void calm();  // everybody goes on, everything is mended, for long enough
+  void calm();  // ends all faults and runs long enough to recover
 
   void run(Millis span);
 
   const std::string& broken() const { return checks_.broken(); }
-  double usable(const std::string& budget) const;  // over all processes, reserves apart
-  int planner() const;                             // that is elected, or -1
+  double usable(const std::string& budget) const;  // sum over all processes, not counting reserves
+  int planner() const;                             // number of the elected process, or -1
   Process* process(int number) { return processes_.at(static_cast<std::size_t>(number)).get(); }
   int count() const { return static_cast<int>(processes_.size()); }
   const Checks& checks() const { return checks_; }
--- a/tests/fleet/poisson_fleet.h
+++ b/tests/fleet/poisson_fleet.h
@@ -1,6 +1,6 @@
-// A fleet in simulated time whose demand arrives as Poisson processes: real shares, readings, records and
-// plans; records and plans arrive some milliseconds late, and no message is lost. For how much of a whole is
-// let through; that no more is, is the model's business.
+// A fleet in simulated time with Poisson arrivals and the real shares, readings, records and plans. Records
+// and plans arrive some milliseconds late, and no message is lost. Measures how much of a budget is admitted;
+// the upper bound is checked by the model.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 class PoissonFleet {
  public:
-  // `demand`: of each process, a second.
+  // `demand`: of each process, per second.
   PoissonFleet(const Budget& budget, std::vector<double> demand, std::uint64_t seed)
       : budgets_{budget}, random_(seed) {
     sharing_.most_processes = static_cast<int>(demand.size());
@@ -29,7 +29,7 @@
     }
   }
 
-  // Requests let through in so many ms from now on.
+  // Runs for `span` ms; returns the number of admitted requests.
   int run(Millis span) {
     const int before = spent_;
     for (const Millis end = now_ + span; now_ < end; now_ += kStep) {
@@ -43,7 +43,7 @@
 
  private:
   static constexpr Millis kStep = 10;
-  static constexpr Millis kWay = 20;  // a plan's to the processes
+  static constexpr Millis kWay = 20;  // delay of a plan to the processes
 
   struct Process {
     Process(const std::vector<Budget>& budgets, const Sharing& sharing, double demand)
@@ -52,12 +52,12 @@
     RateShare share;
     TrafficCells cells;
     TrafficReading reading;
-    Record record;  // in the store
+    Record record;  // as stored
     TrafficState state;
     Millis next = 0;
     Millis read_due = 0;
     Millis put_due = 0;
-    std::uint64_t epoch = 0;  // of the plan followed
+    std::uint64_t epoch = 0;  // of the plan in force
   };
 
   Millis wait(double demand) { return demand <= 0 ? 1e12 : -1000 / demand * std::log(1 - random_.unit()); }
--- a/tests/fleet/search_node.cpp
+++ b/tests/fleet/search_node.cpp
@@ -57,7 +57,7 @@
   messages.emplace_back(Message{process, std::move(call), std::nullopt, now});
 }
 
-// What a process that is not slow sends is done, and answered, before anything else.
+// Calls of processes that are not slow are executed and answered before any other move.
 void Node::settle() {
   for (bool more = true; more;) {
     more = false;
@@ -138,7 +138,7 @@
   return true;
 }
 
-// Its traffic takes over what is newest, until there is nothing new.
+// The process's traffic takes over the latest snapshots until there is no newer one.
 void Node::traffic(int process) {
   Cell& it = own(process);
   while (it.there && it.taken != it.latest) {
--- a/tests/fleet/search_node.h
+++ b/tests/fleet/search_node.h
@@ -1,5 +1,5 @@
-// One state of a small fleet, for the search of all of them: three processes, one count of two units, one
-// slot. Time goes in steps; every order of what reaches whom is a state of its own.
+// One state of a small fleet for the exhaustive search: three processes, one concurrency budget of two units,
+// one slot. Time advances in steps; each order of message deliveries is explored as states of its own.
 #pragma once
 
 #include <memory>
@@ -27,26 +27,26 @@
   Member core;
   Planner plans;
   std::shared_ptr<const Snapshot> latest = std::make_shared<const Snapshot>();
-  std::shared_ptr<const Snapshot> taken = latest;  // by the traffic
+  std::shared_ptr<const Snapshot> taken = latest;  // in force on the traffic thread
   std::uint64_t incarnation = 0;
   Millis valid_until = 0;
   double demand = 0;
-  bool there = false;  // started, and not killed
+  bool there = false;  // started and not killed
   bool paused = false;
-  bool slow = false;         // what it sends and is told takes any time, in any order; else it takes none
-  bool lags = false;         // its traffic goes by an older snapshot; else it takes over each at once
-  std::uint64_t looked = 0;  // modification of the plan that it is being told, or was told
+  bool slow = false;         // its messages take any time, in any order; otherwise none
+  bool lags = false;         // its traffic may use an older snapshot; otherwise the latest
+  std::uint64_t looked = 0;  // modification revision of the plan last seen, or arriving
 };
 
 struct Message {
   int process;
-  AnyCall call;                    // still on its way
-  std::optional<AnyEvent> answer;  // on its way back
+  AnyCall call;                    // in flight to the store
+  std::optional<AnyEvent> answer;  // in flight back to the process
   Millis begun;
-  bool given_up = false;  // nobody waits for it any more
+  bool given_up = false;  // its process no longer waits for it
 };
 
-// What states have in common stands once, until one of them changes it.
+// Copy-on-write: states share a part until one of them changes it.
 template <class T>
 class Shared {
  public:
@@ -70,25 +70,25 @@
   std::vector<Shared<Message>> messages;
   Shared<Checks> checks;
   Millis now = 0;
-  int faults = 0;  // used so far
-
-  // One thing that happens. False = it cannot, here. `settle` and `judge` after each.
-  bool deliver(std::size_t message);  // to the store, or back
-  bool twice(std::size_t message);    // reaches the store, and will once more
-  bool give_up(std::size_t message);  // its process does; it may still be done
-  bool look(int process);             // a watch tells it the plan
-  bool look_late(int process);        // a watch begins to tell it the plan as it stands
+  int faults = 0;  // number of faults injected so far
+
+  // The moves. Each returns false if it is not possible in this state; `settle` and `judge` follow each.
+  bool deliver(std::size_t message);  // delivers it to the store, or back
+  bool twice(std::size_t message);    // reaches the store now and once more later
+  bool give_up(std::size_t message);  // its process times out; the call may still take effect
+  bool look(int process);             // a watch delivers the plan
+  bool look_late(int process);        // a watch starts to deliver the current plan
   bool lag(int process);
-  bool take_over(int process);  // its traffic does, though it lags, the newest snapshot, and reports
+  bool take_over(int process);  // its lagging traffic takes over the latest snapshot and reports
   bool kill(int process);
   bool pause(int process);
   bool go_on(int process);
   bool slow_down(int process);
-  void advance();  // all clocks
+  void advance();  // advances all clocks
 
   void start(int process) { own(process).there = true; }
   void demand(int process, double demand) { own(process).demand = demand; }
-  double units() const;  // that all could spend now, those that stand still too
+  double units() const;  // that all processes, including paused ones, could spend now
   void settle();
   void judge();
   std::string broken() const { return checks->broken(); }
--- a/tests/fleet/search_print.cpp
+++ b/tests/fleet/search_print.cpp
@@ -29,7 +29,7 @@
     for (const auto& [name, part] : parts) number(static_cast<std::uint64_t>(part.amount * 4 + 1));
     number(99);
   }
-  // Of a process: that which its member goes by now, or an earlier one.
+  // A member id: the process, and whether it is the current incarnation.
   void id(const std::string& id);
   void record(const Record& record) {
     number(record.epoch);
@@ -122,7 +122,7 @@
     ink.number(store.leader && store.leader->created == put.fence);
   }
 
-  // A message counts by what it will do, not by its number.
+  // A message is fingerprinted by its effect, not by its call number.
   static std::uint64_t message(const model::Message& message, const model::Node& node) {
     model::Ink ink(node);
     const model::StoreState& store = node.store->state;
--- a/tests/fleet/search_print.h
+++ b/tests/fleet/search_print.h
@@ -1,5 +1,5 @@
-// Tells states of the search apart: two that no later event can tell apart have one print. Revisions count by
-// what they are compared with, moments from now on, in steps.
+// Fingerprints of the search's states: states that no later event can distinguish have the same fingerprint.
+// Revisions count only by the comparisons they take part in, times only relative to now, in steps.
 #pragma once
 
 #include <compare>
--- a/tests/fleet/search_test.cpp
+++ b/tests/fleet/search_test.cpp
@@ -1,7 +1,8 @@
-// A small fleet in every order, breadth-first: three processes, a count of two units, one slot. A fault makes
-// one process slow (what it sends and is told takes any time, in any order), stand still or lag behind its
-// snapshot, kills it, doubles one of its calls, or lets it give one up. SEARCH_FAULTS and SEARCH_STEPS (a
-// third of a lease each) make it wider by hand; SEARCH_STATES ends it.
+// Breadth-first search over all message orders of a small fleet: three processes, a concurrency budget of two
+// units, one slot. A fault makes one process slow (its messages take any time, in any order), pauses it, lets
+// it lag behind its snapshot, kills it, doubles one of its calls, or lets one time out. For wider searches by
+// hand set SEARCH_FAULTS and SEARCH_STEPS (a third of a lease each); SEARCH_STATES limits the number of
+// states.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -14,7 +15,7 @@
 namespace shorelead::fleet::model {
 namespace {
 
-constexpr Millis kTurn = 12 * kStep;  // when the demand moves, and the slot
+constexpr Millis kTurn = 12 * kStep;  // when the demand and the slot move
 
 class OneSlot : public PlanShaper {
  public:
@@ -28,7 +29,7 @@
   return text != nullptr ? static_cast<std::size_t>(std::atoll(text)) : otherwise;
 }
 
-// Three processes in calm; the first asks for the units, the slot is at "a". Then the others ask instead.
+// Three processes without faults: the first demands the units and the slot is on "a"; then the others demand.
 Node beginning() {
   Node node(std::make_shared<OneSlot>());
   for (int i = 0; i < kCells; ++i) node.start(i);
--- a/tests/fleet/share_world.h
+++ b/tests/fleet/share_world.h
@@ -1,4 +1,4 @@
-// Processes with a share each, in steps that the granting allows: for properties of shares.
+// Processes with one share each, in the steps that granting allows; for the property tests of shares.
 #pragma once
 
 #include <rapidcheck.h>
@@ -15,10 +15,10 @@
 namespace shorelead::fleet {
 
 inline constexpr int kProcesses = 3;
-inline constexpr int kLive = kProcesses + 1;  // one replaces another, and both live for a while
+inline constexpr int kLive = kProcesses + 1;  // one replaces another, and both run for a while
 inline constexpr Millis kLease = 900;
 inline constexpr Millis kWindow = 1000;
-inline constexpr double kRate = 10;  // a second, and three units of burst or of a count
+inline constexpr double kRate = 10;  // per second, with three units of burst or of a count
 inline constexpr double kUnits = 3;
 inline constexpr double kRatio = 0.25;
 inline constexpr Millis kNever = std::numeric_limits<Millis>::infinity();
@@ -54,7 +54,7 @@
                                what, rc::gen::inRange(0, kLive), rc::gen::inRange(1, 4), wait)));
 }
 
-// `reserve`: units that each process has beside its part.
+// `reserve`: units of each process in addition to its part.
 template <int reserve>
 struct Rate {
   static constexpr int kReserve = reserve;
@@ -92,8 +92,8 @@
   void end() {}
 };
 
-// The processes and the granting: a part is given to another only once its owner has lowered or surely lost
-// it. `spent` and `requests` are the moments of all processes.
+// The processes and the granting: a part is given to another process only once its owner has lowered it or
+// has certainly lost it. `spent` and `requests` are the times over all processes.
 template <typename Share>
 struct World {
   static constexpr double kWhole = kUnits + kProcesses * Share::kReserve;
@@ -101,7 +101,7 @@
   std::vector<Share> shares = std::vector<Share>(kLive);
   std::vector<double> parts = std::vector<double>(kLive, 0);
   std::vector<Millis> valid = std::vector<Millis>(kLive, 0);
-  int without = kProcesses;  // of the live ones, who has no reserve
+  int without = kProcesses;  // the running process without a reserve
   std::vector<Millis> spent, requests;
 
   World() { shares[without].reserve_from(kNever, now, 0); }
@@ -117,7 +117,7 @@
   void spend(int who) {
     while (shares[who].spend(now, valid[who]) == Spent::kYes) spent.push_back(now);
   }
-  // What is in use ends before a part is given on: Budget::hold waits for it.
+  // Units in use end before a part is transferred, since the planner waits for Budget::hold.
   void quiet(Share& share) {
     for (int n = 0; n < 100; ++n) share.end();
   }
@@ -154,7 +154,7 @@
       case kRenew:
         for (Millis& until : valid) until = now < until ? now + kLease : until;
         break;
-      case kLose:  // and is not told: it goes on with its old part
+      case kLose:  // without being notified: it keeps using its old part
         quiet(share);
         valid[s.who] = std::min(valid[s.who], now);
         break;
@@ -171,7 +171,7 @@
         new (&share) Share;
         if (s.who == without) share.reserve_from(kNever, now, valid[s.who]);
         break;
-      case kPass:  // its reserve goes to the one without, what is in use with it is over
+      case kPass:  // its reserve moves to the process without one; its use has ended
         if (s.who == without) break;
         share.reserve_from(kNever, now, valid[s.who]);
         quiet(share);
