--- a/src/fleet/store_connections.h
+++ b/src/fleet/store_connections.h
@@ -42,8 +42,8 @@
   // A stream from the current member, owned by the caller.
   std::unique_ptr<membership::registry::Exchange> stream(membership::registry::Exchange::Listener listener);
   std::size_t endpoint() const { return endpoint_; }
-  void fail_over(
-      std::size_t endpoint);  // fails finish to the next member if `endpoint` is still the current one
+  // Switches to the next member if `endpoint` is still the current one.
+  void fail_over(std::size_t endpoint);
 
  private:
   struct Connection {
