--- a/src/fleet/departed_members.cpp
+++ b/src/fleet/departed_members.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 // The maximum of record and plan: a plan may be lower than what the record still held when it disappeared.
-Parts had_by(const Record& record, const std::optional<Plan>& plan, const std::string& id) {
+Parts held_by(const Record& record, const std::optional<Plan>& plan, const std::string& id) {
   Parts had = record.in_force;
   const auto given = plan ? plan->shares.find(id) : std::map<std::string, Parts>::const_iterator();
   if (!plan || given == plan->shares.end()) return had;
@@ -37,7 +37,7 @@
   for (const Record& record : records) {
     const std::string id = record.id.text();
     there.insert(id);
-    seen_[id] = {-1, record.epoch, had_by(record, plan, id), false};
+    seen_[id] = {-1, record.epoch, held_by(record, plan, id), false};
   }
   if (plan) {
     // Its record was never seen here: it may have had any plan in force.
--- a/src/fleet/division.cpp
+++ b/src/fleet/division.cpp
@@ -12,7 +12,7 @@
 double whole_units(double value) { return std::floor(value + kTolerance); }
 
 // One participant of a division, in units or fractions of one.
-struct Taker {
+struct Participant {
   double least = 0;  // whatever its demand
   double claim = 0;
   double most = 0;
@@ -20,10 +20,10 @@
 
 // The greatest level, up to `top`, at which the sum of `at(taker, level)` is at most `total`.
 template <typename At>
-double level(const std::vector<Taker>& takers, double total, double top, At at) {
+double level(const std::vector<Participant>& participants, double total, double top, At at) {
   const auto sum = [&](double l) {
-    return std::accumulate(takers.begin(), takers.end(), 0.0,
-                           [&](double s, const Taker& t) { return s + at(t, l); });
+    return std::accumulate(participants.begin(), participants.end(), 0.0,
+                           [&](double s, const Participant& t) { return s + at(t, l); });
   };
   if (sum(top) <= total) return top;
   double low = 0;
@@ -35,15 +35,15 @@
 }
 
 // Water-filling: every claim up to a common level, then the remainder in equal parts.
-std::vector<double> fill(const std::vector<Taker>& takers, double total) {
-  const auto asked = [](const Taker& t, double l) {
+std::vector<double> fill(const std::vector<Participant>& participants, double total) {
+  const auto asked = [](const Participant& t, double l) {
     return std::min(t.most, std::max(t.least, std::min(t.claim, l)));
   };
-  const double reached = level(takers, total, total, asked);
-  const auto more = [&](const Taker& t, double l) { return std::min(t.most, asked(t, reached) + l); };
-  const double rest = level(takers, total, total, more);
+  const double reached = level(participants, total, total, asked);
+  const auto more = [&](const Participant& t, double l) { return std::min(t.most, asked(t, reached) + l); };
+  const double rest = level(participants, total, total, more);
   std::vector<double> out;
-  for (const Taker& t : takers) out.push_back(more(t, rest));
+  for (const Participant& t : participants) out.push_back(more(t, rest));
   return out;
 }
 
@@ -118,7 +118,7 @@
   std::vector<std::size_t> order(records.size());
   std::iota(order.begin(), order.end(), 0);
   std::sort(order.begin(), order.end(), [&](auto a, auto b) { return records[a].id < records[b].id; });
-  std::vector<Taker> takers;
+  std::vector<Participant> participants;
   for (const std::size_t m : order) {
     const Record& r = records[m];
     const auto had = r.in_force.find(budget.name);
@@ -128,10 +128,10 @@
     double claim = std::max(0.0, figure(r.demand, budget.name) - reserve.amount);
     // A new process has received no requests yet, but will soon receive as many as the others.
     if (rate && units >= n && had == r.in_force.end()) claim = std::max(claim, all.amount / n);
-    takers.push_back({budget.least_part * all.amount / n, std::min(claim, proven),
-                      std::max(std::min(1.0, all.amount), budget.most_part * budget.whole)});
+    participants.push_back({budget.least_part * all.amount / n, std::min(claim, proven),
+                            std::max(std::min(1.0, all.amount), budget.most_part * budget.whole)});
   }
-  std::vector<double> targets = fill(takers, all.amount);
+  std::vector<double> targets = fill(participants, all.amount);
 
   // Whole units. Of a rate's burst each process gets one unit if there are enough; the rest follows the rate.
   std::vector<double> parts = targets;
--- a/src/fleet/division.h
+++ b/src/fleet/division.h
@@ -55,7 +55,7 @@
   // Members of the current plan whose record disappeared less than the longest `hold` ago, by
   // MemberId::text(). Their concurrent requests may still be in flight at the backends, so their parts of
   // concurrency budgets are kept: the maximum of the record last seen and the plan at that time.
-  std::map<std::string, Parts> lately_gone;
+  std::map<std::string, Parts> recently_departed;
 };
 
 // The next plan: the targets of `divide`, limited to what max(record, old, new) of the others leaves. nullopt
--- a/src/fleet/lease_keeper.cpp
+++ b/src/fleet/lease_keeper.cpp
@@ -8,11 +8,11 @@
 }  // namespace
 
 void LeaseKeeper::call(bool wanted, std::uint64_t& calls, Millis now, std::vector<MemberCall>& out) {
-  if (waits()) return;
+  if (in_flight()) return;
   if (!wanted && lease_ == 0) return;
   if (wanted && now < due_) return;
   underway_ = {++calls, now};
-  gives_back_ = !wanted;
+  revoking_ = !wanted;
   due_ = now + sharing_.lease / kRenewalsPerLease;
   if (!wanted) {
     out.push_back(RevokeLease{calls, lease_});
@@ -30,7 +30,7 @@
 
 void LeaseKeeper::lost(Millis now) {
   due_ = now + sharing_.lease / kRetriesPerLease;
-  if (gives_back_) lease_ = 0;
+  if (revoking_) lease_ = 0;
 }
 
 void LeaseKeeper::forget_call() {
--- a/src/fleet/lease_keeper.h
+++ b/src/fleet/lease_keeper.h
@@ -43,7 +43,7 @@
   std::int64_t lease() const { return lease_; }  // 0 = none
   Millis held_since() const { return held_since_; }
   Millis due() const { return due_; }
-  bool waits() const { return underway_.call != 0; }
+  bool in_flight() const { return underway_.call != 0; }
 
  private:
   friend struct ModelEye;
@@ -53,7 +53,7 @@
   Millis held_since_ = 0;  // start of the last call known to have granted or renewed it
   Millis due_ = 0;
   Underway underway_;
-  bool gives_back_ = false;  // the call in flight is the revocation
+  bool revoking_ = false;  // the call in flight is the revocation
 };
 
 }  // namespace shorelead::fleet
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -180,7 +180,7 @@
 }
 
 void Member::call_store(MemberOut& out) {
-  if (phase_ == Phase::kEnding && held_.over() && lease_.lease() == 0 && !lease_.waits()) {
+  if (phase_ == Phase::kEnding && held_.over() && lease_.lease() == 0 && !lease_.in_flight()) {
     phase_ = leaving_ ? Phase::kLeft : Phase::kNoLease;
   }
   switch (phase_) {
@@ -231,7 +231,7 @@
   if (phase_ == Phase::kLeft) return now_ + sharing_.lease;
   if (phase_ == Phase::kEnding) return now_ + sharing_.lease / kRetriesPerLease;
   Millis next = now_ + sharing_.lease / kRetriesPerLease;
-  if (!lease_.waits()) next = std::min(next, std::max(lease_.due(), now_));
+  if (!lease_.in_flight()) next = std::min(next, std::max(lease_.due(), now_));
   if (put_call_.call == 0) next = std::min(next, std::max({put_due_, put_again_, now_}));
   return next;
 }
--- a/src/fleet/next_plan.cpp
+++ b/src/fleet/next_plan.cpp
@@ -16,7 +16,7 @@
 constexpr double kTolerance = 1e-9;        // for rounding errors
 
 // The smallest unassigned amount, of `most` divisible, that is worth assigning.
-double least_left(double most, bool units) {
+double min_assignable(double most, bool units) {
   return std::max(units ? 1.0 : 0.0, kMinChange * most) - kTolerance;
 }
 
@@ -39,10 +39,10 @@
   // Always lowers; raises in proportion from what no member has or may still have.
   void cut(bool may_raise) {
     next = aim;
-    double wished = 0;
-    for (std::size_t n = 0; n < aim.size(); ++n) wished += std::max(0.0, aim[n] - bound[n]);
+    double wanted = 0;
+    for (std::size_t n = 0; n < aim.size(); ++n) wanted += std::max(0.0, aim[n] - bound[n]);
     const double free = std::max(0.0, most - sum(bound) + (units ? kTolerance : 0));
-    const double share = !may_raise || wished <= 0 ? 0 : std::min(1.0, free / wished);
+    const double share = !may_raise || wanted <= 0 ? 0 : std::min(1.0, free / wanted);
     double given = 0, due = 0;
     for (std::size_t n = 0; n < aim.size(); ++n) {
       if (aim[n] <= bound[n]) continue;
@@ -55,7 +55,7 @@
     }
   }
   // Newly assigned: the sum of all raises above the bounds.
-  double given_on() const {
+  double newly_assigned() const {
     double sum = 0;
     for (std::size_t n = 0; n < next.size(); ++n) sum += std::max(0.0, next[n] - bound[n]);
     return sum;
@@ -120,8 +120,8 @@
                     burst.sum(burst.bound) > burst.most + kTolerance;
   const bool moves = amount.moved() >= worth - kTolerance || (rate && burst.moved() >= 1);
   // An earlier plan left this unassigned until it was known to be free; it is assigned even without demand.
-  const bool gives_on = amount.given_on() >= least_left(amount.most, amount.units);
-  return (over && amount.moved() + burst.moved() > 0) || (pressed && moves) || gives_on;
+  const bool assigns_free = amount.newly_assigned() >= min_assignable(amount.most, amount.units);
+  return (over && amount.moved() + burst.moved() > 0) || (pressed && moves) || assigns_free;
 }
 
 }  // namespace
@@ -137,8 +137,8 @@
   }
   if (input.plan) {
     for (const auto& [id, parts] : input.plan->shares) {
-      const auto gone = input.lately_gone.find(id);
-      if (here.count(id) == 0 && gone != input.lately_gone.end())
+      const auto gone = input.recently_departed.find(id);
+      if (here.count(id) == 0 && gone != input.recently_departed.end())
         members.push_back({id, nullptr, &gone->second});
     }
     next.cut_off = input.plan->cut_off;
@@ -171,7 +171,7 @@
     double given = 0;
     for (const auto& [member, parts] : plan.shares)
       given += bound_of(&plan, nullptr, member, budget.name).amount;
-    return all.amount - given >= least_left(all.amount, budget.kind != BudgetKind::kRate);
+    return all.amount - given >= min_assignable(all.amount, budget.kind != BudgetKind::kRate);
   });
 }
 
--- a/src/fleet/port.cpp
+++ b/src/fleet/port.cpp
@@ -11,7 +11,7 @@
 
 constexpr Millis kPeakWindow = 500;
 
-bool closes(const Snapshot& snapshot) {
+bool has_closed_slots(const Snapshot& snapshot) {
   for (const auto& [rule, map] : snapshot.affinity) {
     for (const Slot& slot : map.slots) {
       if (!slot.open) return true;
@@ -91,7 +91,7 @@
   }
   incarnation_ = next.incarnation;
   // Before the generation, so that a reader of the generation finds the matching state of the slots.
-  if (!closes(next)) channel_->traffic.slots_quiet.store_release(next.generation);
+  if (!has_closed_slots(next)) channel_->traffic.slots_quiet.store_release(next.generation);
   channel_->traffic.generation.store_release(next.generation);
   channel_->for_control.notify();
   return true;
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-Header plain(const registry::Header& header) { return {header.cluster, header.revision}; }
+Header fleet_header(const registry::Header& header) { return {header.cluster, header.revision}; }
 
 }  // namespace
 
@@ -98,7 +98,7 @@
            listener_.trouble("the store grants leases of only " + std::to_string(granted->seconds) +
                              " s: configure a shorter lease");
          } else {
-           const Header header = effective_header(plain(granted->header), begun, true);
+           const Header header = effective_header(fleet_header(granted->header), begun, true);
            return listener_.member(Granted{call.call, granted->id, to_member(header, begun)});
          }
          listener_.member(MemberCallLost{call.call});
@@ -118,7 +118,7 @@
          } else if (kept->seconds > 0 && static_cast<Millis>(kept->seconds) * 1000 < sharing_.lease) {
            listener_.trouble("a lease was renewed for less than its length");
          } else {
-           const Header header = effective_header(plain(kept->header), begun, false);
+           const Header header = effective_header(fleet_header(kept->header), begun, false);
            return listener_.member(Renewed{call.call, kept->seconds > 0, to_member(header, begun)});
          }
          listener_.member(MemberCallLost{call.call});
@@ -131,7 +131,7 @@
          std::string cause;
          const auto header = reply.status == 200 ? registry::parse_revoked(reply.body, cause) : std::nullopt;
          if (header) {
-           const Header effective = effective_header(plain(*header), begun, true);
+           const Header effective = effective_header(fleet_header(*header), begun, true);
            return listener_.member(Revoked{call.call, to_member(effective, begun)});
          }
          // A lease that no longer exists counts as revoked.
@@ -164,7 +164,7 @@
           put.own = parse_record(answer.pages[0].items[0].value, cause);
           put.own_modified = answer.pages[0].items[0].revision;
         }
-        put.header = to_member(effective_header(plain(answer.header), begun, true), begun);
+        put.header = to_member(effective_header(fleet_header(answer.header), begun, true), begun);
         const std::uint64_t plan_modified = put.plan_modified;
         listener_.member(put);
         watch_.plan_modified(plan_modified);
@@ -189,7 +189,7 @@
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
         const registry::Page& page = answer.pages.back();
         CampaignResult result{call.call, 0, "",
-                              to_planner(effective_header(plain(answer.header), begun, true), begun)};
+                              to_planner(effective_header(fleet_header(answer.header), begun, true), begun)};
         if (!page.items.empty()) {
           result.created = page.items[0].created;
           result.value = page.items[0].value;
@@ -208,7 +208,7 @@
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
         AllRead all = read_all(answer, [this](const std::string& text) { listener_.trouble(text); });
         all.call = call.call;
-        all.header = to_planner(effective_header(plain(answer.header), begun, true), begun);
+        all.header = to_planner(effective_header(fleet_header(answer.header), begun, true), begun);
         listener_.planner(all);
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
@@ -222,7 +222,7 @@
   txn(
       std::move(asked),
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
-        const Header header = to_planner(effective_header(plain(answer.header), begun, true), begun);
+        const Header header = to_planner(effective_header(fleet_header(answer.header), begun, true), begun);
         listener_.planner(PlanPut{call.call, answer.succeeded, header});
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
@@ -235,8 +235,8 @@
   txn(
       std::move(asked),
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
-        listener_.planner(
-            Resigned{call.call, to_planner(effective_header(plain(answer.header), begun, true), begun)});
+        listener_.planner(Resigned{
+            call.call, to_planner(effective_header(fleet_header(answer.header), begun, true), begun)});
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
 }
--- a/src/fleet/traffic_reading.cpp
+++ b/src/fleet/traffic_reading.cpp
@@ -44,7 +44,7 @@
 // Random counts vary by about their square root. If the last second differs from the long span by no more
 // than that, the rate of the long span is used. Otherwise every division would follow random variation, and
 // what it moves is unusable while it moves.
-double TrafficReading::steady(std::size_t count, const Sample& latest) const {
+double TrafficReading::smoothed_rate(std::size_t count, const Sample& latest) const {
   const auto rate = [&](const Sample& old, double& seconds) {
     seconds = std::max(latest.at - old.at, kShortWindow / 2) / 1000;
     return (latest.counts[count] - old.counts[count]) / seconds;
@@ -76,16 +76,16 @@
       state.demand[budget.name] = asked;
       state.spent[budget.name] = spent;
     } else if (budget.kind == BudgetKind::kRate) {
-      state.demand[budget.name] = steady(2 * n, latest);
-      state.spent[budget.name] = steady(2 * n + 1, latest);
+      state.demand[budget.name] = smoothed_rate(2 * n, latest);
+      state.spent[budget.name] = smoothed_rate(2 * n + 1, latest);
     } else {
       double most = latest.in_use[n];
       for (const Sample& sample : samples_) {
         if (sample.at >= now - kShortWindow) most = std::max(most, sample.in_use[n]);
       }
       // The concurrent use if all requests had been admitted; with none admitted, every request counts.
-      const double wished = spent > 0 ? most * asked / spent : most + asked;
-      state.demand[budget.name] = std::min(wished, std::max(budget.whole, most));
+      const double wanted = spent > 0 ? most * asked / spent : most + asked;
+      state.demand[budget.name] = std::min(wanted, std::max(budget.whole, most));
       state.spent[budget.name] = most;
     }
   }
--- a/src/fleet/traffic_reading.h
+++ b/src/fleet/traffic_reading.h
@@ -26,7 +26,7 @@
     std::vector<double> in_use;
   };
   Sample sample(Millis now) const;
-  double steady(std::size_t count, const Sample& latest) const;  // rate per second
+  double smoothed_rate(std::size_t count, const Sample& latest) const;  // rate per second
   // The sample at least `span` old, or the oldest one.
   const Sample& before(Millis now, Millis span) const;
 
--- a/tests/fleet/division_test.cpp
+++ b/tests/fleet/division_test.cpp
@@ -133,12 +133,12 @@
     round(in);
     in.records.pop_back();
     in.plan->shares["9#1"]["b"].amount = 10;  // lowered after it had departed
-    in.lately_gone = {{"9#1", {{"b", {96, 0}}}}};
+    in.recently_departed = {{"9#1", {{"b", {96, 0}}}}};
     round(in);
     round(in);
     EXPECT_EQ(share(*in.plan, 9), kind == BudgetKind::kAtOnce ? 96 : 0);
     EXPECT_TRUE(kind != BudgetKind::kAtOnce || share(*in.plan, 0) == 96);
-    in.lately_gone.clear();
+    in.recently_departed.clear();
     round(in);
     EXPECT_EQ(in.plan->shares.count("9#1"), 0U);
     EXPECT_GE(share(*in.plan, 0), 100);
--- a/tests/fleet/search_print.cpp
+++ b/tests/fleet/search_print.cpp
@@ -79,7 +79,7 @@
     ink.number(static_cast<std::uint64_t>(it.lease_.lease_));
     ink.moment(it.lease_.held_since_);
     ink.moment(it.lease_.due_);
-    ink.number(it.lease_.underway_.call != 0 ? 1 + it.lease_.gives_back_ : 0);
+    ink.number(it.lease_.underway_.call != 0 ? 1 + it.lease_.revoking_ : 0);
     ink.snapshot(it.held_.now_);
     ink.number(it.held_.applied_by_traffic());
     ink.number(it.id_.incarnation != 0);
