--- a/tests/fleet/model_case.h
+++ b/tests/fleet/model_case.h
@@ -17,7 +17,7 @@
 std::vector<Budget> small_budgets(Millis longest = 900);
 
 // Asks for each slot on its requested backend immediately; slots.h closes those that may not be open yet.
-class Mover : public PlanShaper {
+class SlotMover : public PlanShaper {
  public:
   void wish(std::size_t slot, const std::string& backend) { wished_[slot] = backend; }
   void shape(Plan& next, const Plan*, const std::vector<Record>&, Millis) override {
--- a/tests/fleet/model_checks.cpp
+++ b/tests/fleet/model_checks.cpp
@@ -78,10 +78,10 @@
   const Plan* plan = counts ? &*state.plan : nullptr;
   std::map<std::string, const Record*> records;
   std::set<std::string> members;
-  for (const auto& [name, kept] : state.records) {
-    if (kept.blind) continue;
-    records[kept.record.id.text()] = &kept.record;
-    members.insert(kept.record.id.text());
+  for (const auto& [name, stored] : state.records) {
+    if (stored.blind) continue;
+    records[stored.record.id.text()] = &stored.record;
+    members.insert(stored.record.id.text());
   }
   if (plan != nullptr) {
     for (const auto& [id, parts] : plan->shares) members.insert(id);
@@ -113,9 +113,9 @@
   std::vector<const Plan*> plans;
   const StoreState& state = store.state;
   if (state.plan && state.plan->history == state.cluster) plans.push_back(&*state.plan);
-  for (const auto& [name, kept] : state.records) {
-    const auto it = plans_.find(kept.record.epoch);
-    if (!kept.blind && it != plans_.end()) plans.push_back(it->second.get());
+  for (const auto& [name, stored] : state.records) {
+    const auto it = plans_.find(stored.record.epoch);
+    if (!stored.blind && it != plans_.end()) plans.push_back(it->second.get());
   }
   std::map<std::string, std::map<std::size_t, std::set<std::string>>> backends;
   for (const Plan* plan : plans) {
--- a/tests/fleet/model_process.cpp
+++ b/tests/fleet/model_process.cpp
@@ -15,7 +15,7 @@
 void Process::member(const MemberEvent& event, Millis at, const Send& send) {
   MemberOut out = core.handle(event, now(at));
   if (out.publish) traffic.publish(out.publish);
-  traffic.told(out.incarnation, out.valid_until);
+  traffic.set_validity(out.incarnation, out.valid_until);
   for (const MemberCall& call : out.calls) send(AnyCall(call));
 }
 
--- a/tests/fleet/model_steps.cpp
+++ b/tests/fleet/model_steps.cpp
@@ -108,19 +108,19 @@
              << kind_of(step).name << " */";
 }
 
-std::ostream& operator<<(std::ostream& out, const Story& story) {
-  out << "{" << story.seed << "u, {" << story.noise.lost << ", " << story.noise.doubled << ", "
-      << story.noise.late << "}, " << story.begin << ", {";
-  for (const Step& step : story.steps) out << step << ", ";
+std::ostream& operator<<(std::ostream& out, const Scenario& scenario) {
+  out << "{" << scenario.seed << "u, {" << scenario.noise.lost << ", " << scenario.noise.doubled << ", "
+      << scenario.noise.late << "}, " << scenario.begin << ", {";
+  for (const Step& step : scenario.steps) out << step << ", ";
   return out << "}}";
 }
 
-std::string play(const Story& story) {
-  const Millis longest = story.seed % 2 == 0 ? 200 : 900;
-  World world(story.seed, story.noise, small_sharing(longest), small_budgets(longest));
-  for (int i = 0; i < story.begin; ++i) world.start();
-  world.run(4500 + 200 * static_cast<Millis>(story.seed % 16));
-  for (const Step& step : story.steps) {
+std::string run_scenario(const Scenario& scenario) {
+  const Millis longest = scenario.seed % 2 == 0 ? 200 : 900;
+  World world(scenario.seed, scenario.noise, small_sharing(longest), small_budgets(longest));
+  for (int i = 0; i < scenario.begin; ++i) world.start();
+  world.run(4500 + 200 * static_cast<Millis>(scenario.seed % 16));
+  for (const Step& step : scenario.steps) {
     std::vector<int> run;
     for (int i = 0; i < world.count(); ++i) {
       if (world.process(i)->alive) run.push_back(i);
@@ -132,7 +132,7 @@
   }
   world.calm();
   bool newer = false;  // with a plan of a newer format no process plans for a long time
-  for (const Step& step : story.steps)
+  for (const Step& step : scenario.steps)
     newer = newer || kind_of(step).name == std::string("plan of a newer form");
   if (world.broken().empty() && !newer) return in_calm(world, small_budgets(longest), small_sharing(longest));
   return world.broken();
--- a/tests/fleet/model_steps.h
+++ b/tests/fleet/model_steps.h
@@ -19,15 +19,15 @@
 int step_kinds();  // exclusive upper bound of `what`
 std::ostream& operator<<(std::ostream& out, const Step& step);
 
-struct Story {
+struct Scenario {
   std::uint64_t seed = 1;
   Noise noise;
   int begin = 3;  // number of processes at the start
   std::vector<Step> steps;
 };
-std::ostream& operator<<(std::ostream& out, const Story& story);  // as C++ source
+std::ostream& operator<<(std::ostream& out, const Scenario& scenario);  // as C++ source
 
-// Runs the story; returns the first violation, or an empty text.
-std::string play(const Story& story);
+// Runs the scenario; returns the first violation, or an empty text.
+std::string run_scenario(const Scenario& scenario);
 
 }  // namespace shorelead::fleet::model
--- a/tests/fleet/model_store.cpp
+++ b/tests/fleet/model_store.cpp
@@ -8,7 +8,7 @@
 void Store::drop(std::int64_t lease) {
   state.leases.erase(lease);
   ++state.revision;
-  std::erase_if(state.records, [&](const auto& kept) { return kept.second.lease == lease; });
+  std::erase_if(state.records, [&](const auto& stored) { return stored.second.lease == lease; });
   if (state.leader && state.leader->lease == lease) state.leader.reset();
 }
 
@@ -102,7 +102,7 @@
     answer.plan_modified = state.plan_modified;
     if (state.plan && state.plan_text == StoreState::Text::kGood) answer.plan = state.plan;
     answer.newer_form = state.plan_text == StoreState::Text::kNewer;
-    for (const auto& [name, kept] : state.records) answer.records.push_back(kept.record);
+    for (const auto& [name, stored] : state.records) answer.records.push_back(stored.record);
     answer.header = header();
     return answer;
   }
--- a/tests/fleet/model_store.h
+++ b/tests/fleet/model_store.h
@@ -20,7 +20,7 @@
     Millis length;
     Millis ends;
   };
-  struct Kept {
+  struct StoredRecord {
     Record record;
     std::uint64_t modified;
     std::int64_t lease;
@@ -34,7 +34,7 @@
   std::uint64_t cluster = 1;
   std::uint64_t revision = 1;
   std::map<std::int64_t, Lease> leases;
-  std::map<std::string, Kept> records;
+  std::map<std::string, StoredRecord> records;
   std::optional<Leader> leader;
   std::optional<Plan> plan;
   std::uint64_t plan_modified = 0;
--- a/tests/fleet/model_test.cpp
+++ b/tests/fleet/model_test.cpp
@@ -22,16 +22,17 @@
                                rc::gen::set(&Noise::late, rc::gen::map(rc::gen::inRange(0, 15), share)));
 }
 
-rc::Gen<Story> story() {
-  return rc::gen::build<Story>(rc::gen::set(&Story::seed), rc::gen::set(&Story::noise, noise()),
-                               rc::gen::set(&Story::begin, rc::gen::inRange(1, 5)),
-                               rc::gen::set(&Story::steps, rc::gen::container<std::vector<Step>>(step())));
+rc::Gen<Scenario> scenario() {
+  return rc::gen::build<Scenario>(
+      rc::gen::set(&Scenario::seed), rc::gen::set(&Scenario::noise, noise()),
+      rc::gen::set(&Scenario::begin, rc::gen::inRange(1, 5)),
+      rc::gen::set(&Scenario::steps, rc::gen::container<std::vector<Step>>(step())));
 }
 
 TEST(Model, RandomHistories) {
   EXPECT_TRUE(rc::check("sums, slots and the store's invariant hold", [] {
-    const Story hurt = *story();
-    const std::string broken = play(hurt);
+    const Scenario generated = *scenario();
+    const std::string broken = run_scenario(generated);
     RC_LOG() << broken;
     RC_ASSERT(broken.empty());
   }));
--- a/tests/fleet/model_traffic.cpp
+++ b/tests/fleet/model_traffic.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kGreed = 12;  // largest number of attempts per budget in one step
+constexpr int kMaxAttempts = 12;  // largest number of attempts per budget in one step
 
 const Budget& of(const std::vector<Budget>& budgets, BudgetKind kind) {
   return *std::find_if(budgets.begin(), budgets.end(),
@@ -34,7 +34,7 @@
       attempts_(reserve(budgets, sharing, BudgetKind::kAttempts).amount, 0,
                 of(budgets, BudgetKind::kAttempts).window) {}
 
-void ProcessTraffic::told(std::uint64_t incarnation, Millis valid_until) {
+void ProcessTraffic::set_validity(std::uint64_t incarnation, Millis valid_until) {
   incarnation_ = incarnation;
   valid_until_ = valid_until;
 }
@@ -67,7 +67,7 @@
     if (ends <= at) at_once_.end();
     return ends <= at;
   });
-  std::erase_if(sends_, [at](const Under& send) { return send.ends <= at; });
+  std::erase_if(sends_, [at](const RequestInFlight& send) { return send.ends <= at; });
 }
 
 void ProcessTraffic::spend(Millis now, Millis at, Random& random) {
@@ -77,7 +77,7 @@
 }
 
 void ProcessTraffic::spend_counts(Millis now, Millis at, Random& random) {
-  const int tries = static_cast<int>(random.below(kGreed));
+  const int tries = static_cast<int>(random.below(kMaxAttempts));
   for (int i = 0; i < tries && rate_.spend(now, valid_until()) == Spent::kYes; ++i) checks_.spent_rate(at);
   for (int i = 0; i < tries && attempts_.spend(now, valid_until()) == Spent::kYes; ++i) {
     checks_.spent_attempt(at);
@@ -110,7 +110,7 @@
     state.spent[budget.name] = demand_;
   }
   state.in_use[of(budgets_, BudgetKind::kAtOnce).name] = at_once_.beyond_reserve(now);
-  state.slots_quiet = std::none_of(sends_.begin(), sends_.end(), [&](const Under& send) {
+  state.slots_quiet = std::none_of(sends_.begin(), sends_.end(), [&](const RequestInFlight& send) {
     if (send.ends <= at) return false;
     const auto map = snapshot_->affinity.find(send.rule);
     return map == snapshot_->affinity.end() || send.slot >= map->second.slots.size() ||
--- a/tests/fleet/model_traffic.h
+++ b/tests/fleet/model_traffic.h
@@ -20,7 +20,7 @@
 
   // Called by the control thread.
   void publish(std::shared_ptr<const Snapshot> snapshot) { latest_ = std::move(snapshot); }
-  void told(std::uint64_t incarnation, Millis valid_until);
+  void set_validity(std::uint64_t incarnation, Millis valid_until);
 
   // `now` is on the process's clock, `at` in world time.
   void spend(Millis now, Millis at, Random& random);
@@ -34,7 +34,7 @@
   double in_use() const;
 
  private:
-  struct Under {
+  struct RequestInFlight {
     Millis ends;  // world time
     std::string rule;
     std::size_t slot;
@@ -55,7 +55,7 @@
   AtOnceShare at_once_;
   AttemptShare attempts_;
   std::vector<Millis> in_use_;  // ends of the concurrent uses, in world time
-  std::vector<Under> sends_;
+  std::vector<RequestInFlight> sends_;
   double demand_ = 1;
 };
 
--- a/tests/fleet/model_world.cpp
+++ b/tests/fleet/model_world.cpp
@@ -36,7 +36,7 @@
       noise_(noise),
       random_(seed),
       checks_(sharing_, budgets_),
-      mover_(std::make_shared<Mover>()) {}
+      slot_mover_(std::make_shared<SlotMover>()) {}
 
 // Messages to a paused process wait until it is resumed.
 void World::to(const std::shared_ptr<Process>& process, std::function<void()> run) {
@@ -54,8 +54,8 @@
   if (alive >= sharing_.most_processes) return -1;
   const int number = count();
   const Clock clock{1 + sharing_.drift * (2 * random_.unit() - 1), 1e6 * random_.unit()};
-  const auto process =
-      std::make_shared<Process>(number, name, clock, sharing_, budgets_, mover_, checks_, random_.next());
+  const auto process = std::make_shared<Process>(number, name, clock, sharing_, budgets_, slot_mover_,
+                                                 checks_, random_.next());
   processes_.push_back(process);
   time_.in(kControl * random_.unit(), [this, process] { control(process); });
   time_.in(kAsks * random_.unit(), [this, process] { ask_plan(process); });
--- a/tests/fleet/model_world.h
+++ b/tests/fleet/model_world.h
@@ -40,7 +40,7 @@
   void go_on(int process);
   void cut(int process, bool to, bool from);
   void demand(int process, double demand);
-  void wish(std::size_t slot, const std::string& backend) { mover_->wish(slot, backend); }
+  void wish(std::size_t slot, const std::string& backend) { slot_mover_->wish(slot, backend); }
   void store_down(bool down) { down_ = down; }
   void restore(std::size_t back);
   void spoil(StoreState::Text text);
@@ -78,7 +78,7 @@
   Checks checks_;
   Store store_;
   bool down_ = false;
-  std::shared_ptr<Mover> mover_;
+  std::shared_ptr<SlotMover> slot_mover_;
   std::vector<std::shared_ptr<Process>> processes_;
   Timeline time_;
   std::uint64_t numbers_ = 0;
--- a/tests/fleet/planner_test.cpp
+++ b/tests/fleet/planner_test.cpp
@@ -42,7 +42,7 @@
 }
 
 // An elected planner, and the last of its calls.
-struct Talk {
+struct PlannerDriver {
   Planner planner{"a", sharing(), {units()}, {std::make_shared<OneSlot>()}, 3};
   Millis now = 0;
   std::optional<Campaign> campaign;
@@ -50,7 +50,7 @@
   std::optional<PutPlan> put;
   std::optional<Resign> resign;
 
-  void tell(const PlannerEvent& event) {
+  void send(const PlannerEvent& event) {
     for (const PlannerCall& call : planner.handle(event, now).calls) {
       if (const auto* it = std::get_if<Campaign>(&call)) campaign = *it;
       if (const auto* it = std::get_if<ReadAll>(&call)) read = *it;
@@ -61,20 +61,20 @@
   // Answers the next read, `after` ms later, with the given plan and records.
   void show(Millis after, const std::optional<Plan>& plan, std::vector<Record> records, bool newer = false,
             std::size_t unreadable = 0) {
-    if (put) tell(PlanPut{std::exchange(put, std::nullopt)->call, true, kHere});
+    if (put) send(PlanPut{std::exchange(put, std::nullopt)->call, true, kHere});
     now += after;
-    tell(PlannerTick{});
+    send(PlannerTick{});
     ASSERT_TRUE(read.has_value());
     AllRead answer{read->call, 50, plan, 60, newer, std::move(records), unreadable, kHere};
     read.reset();
-    tell(answer);
+    send(answer);
   }
 
-  Talk() {
-    tell(LeaseValid{5, 1e6});
+  PlannerDriver() {
+    send(LeaseValid{5, 1e6});
     now = 400;
-    tell(PlannerTick{});
-    tell(CampaignResult{campaign->call, 50, campaign->value, kHere});
+    send(PlannerTick{});
+    send(CampaignResult{campaign->call, 50, campaign->value, kHere});
     EXPECT_TRUE(planner.elected());
   }
 };
@@ -100,71 +100,71 @@
 }
 
 TEST(Planner, RaisesOnlyAfterAWholeLeaseOfOneHistory) {
-  Talk talk;
+  PlannerDriver driver;
   const std::vector<Record> records = {record("a", 1, 1, 9), record("b", 1, 1, 9)};
-  talk.show(0, standing(1, 1, 1), records);
-  EXPECT_TRUE(!talk.put || sum(talk.put->plan) <= 2);
-  talk.show(3600, standing(1, 1, 1), records);
-  ASSERT_TRUE(talk.put.has_value());
-  EXPECT_GT(sum(talk.put->plan), 2);
-  EXPECT_EQ(talk.put->fence, 50u);
-  EXPECT_EQ(talk.put->modified, 60u);
+  driver.show(0, standing(1, 1, 1), records);
+  EXPECT_TRUE(!driver.put || sum(driver.put->plan) <= 2);
+  driver.show(3600, standing(1, 1, 1), records);
+  ASSERT_TRUE(driver.put.has_value());
+  EXPECT_GT(sum(driver.put->plan), 2);
+  EXPECT_EQ(driver.put->fence, 50u);
+  EXPECT_EQ(driver.put->modified, 60u);
 }
 
 TEST(Planner, UnreadableRecordPreventsRaising) {
-  Talk talk;
+  PlannerDriver driver;
   const std::vector<Record> records = {record("a", 1, 1, 9), record("b", 1, 1, 9)};
-  talk.show(0, standing(1, 1, 1), records);
-  talk.show(3600, standing(1, 1, 1), records, false, 1);
-  EXPECT_TRUE(!talk.put || sum(talk.put->plan) <= 2);
+  driver.show(0, standing(1, 1, 1), records);
+  driver.show(3600, standing(1, 1, 1), records, false, 1);
+  EXPECT_TRUE(!driver.put || sum(driver.put->plan) <= 2);
 }
 
 TEST(Planner, PlanOfANewerFormatIsNotOverwritten) {
-  Talk talk;
-  talk.show(3600, std::nullopt, {record("a", 1, 1, 9)}, true);
-  EXPECT_FALSE(talk.put.has_value());
-  EXPECT_FALSE(talk.planner.elected());
-  ASSERT_TRUE(talk.resign.has_value());
-  EXPECT_EQ(talk.resign->fence, 50u);
-  talk.tell(Resigned{talk.resign->call, kHere});
-  talk.campaign.reset();
-  talk.now += 3500;
-  talk.tell(PlannerSeen{0});
-  EXPECT_FALSE(talk.campaign.has_value());
+  PlannerDriver driver;
+  driver.show(3600, std::nullopt, {record("a", 1, 1, 9)}, true);
+  EXPECT_FALSE(driver.put.has_value());
+  EXPECT_FALSE(driver.planner.elected());
+  ASSERT_TRUE(driver.resign.has_value());
+  EXPECT_EQ(driver.resign->fence, 50u);
+  driver.send(Resigned{driver.resign->call, kHere});
+  driver.campaign.reset();
+  driver.now += 3500;
+  driver.send(PlannerSeen{0});
+  EXPECT_FALSE(driver.campaign.has_value());
 }
 
 TEST(Planner, MalformedPlanIsOverwrittenAfterALeaseAboveAllEpochs) {
-  Talk talk;
+  PlannerDriver driver;
   const std::vector<Record> records = {record("a", 7, 4, 9), record("b", 6, 6, 9)};
-  talk.show(0, std::nullopt, records);
-  EXPECT_FALSE(talk.put.has_value());
-  talk.show(2900, std::nullopt, records);
-  EXPECT_FALSE(talk.put.has_value());
-  talk.show(700, std::nullopt, records);
-  ASSERT_TRUE(talk.put.has_value());
-  EXPECT_EQ(talk.put->plan.epoch, 8u);
-  EXPECT_LE(sum(talk.put->plan), 10);
-  EXPECT_FALSE(talk.put->plan.affinity.at("rule").slots[0].open) << "somebody may have it elsewhere";
+  driver.show(0, std::nullopt, records);
+  EXPECT_FALSE(driver.put.has_value());
+  driver.show(2900, std::nullopt, records);
+  EXPECT_FALSE(driver.put.has_value());
+  driver.show(700, std::nullopt, records);
+  ASSERT_TRUE(driver.put.has_value());
+  EXPECT_EQ(driver.put->plan.epoch, 8u);
+  EXPECT_LE(sum(driver.put->plan), 10);
+  EXPECT_FALSE(driver.put->plan.affinity.at("rule").slots[0].open) << "somebody may have it elsewhere";
 }
 
 TEST(Planner, DepartedMemberCountsWhileItsRequestsMayLast) {
-  Talk talk;
-  talk.show(0, standing(1, 4, 6), {record("a", 1, 4, 9), record("b", 1, 6, 9)});
-  talk.show(3600, standing(1, 4, 6), {record("a", 1, 4, 9)});
-  EXPECT_TRUE(!talk.put || talk.put->plan.shares.at("a#1").at("units").amount <= 4);
-  talk.show(600, standing(1, 4, 6), {record("a", 1, 4, 9)});
-  ASSERT_TRUE(talk.put.has_value());
-  EXPECT_GT(talk.put->plan.shares.at("a#1").at("units").amount, 4);
+  PlannerDriver driver;
+  driver.show(0, standing(1, 4, 6), {record("a", 1, 4, 9), record("b", 1, 6, 9)});
+  driver.show(3600, standing(1, 4, 6), {record("a", 1, 4, 9)});
+  EXPECT_TRUE(!driver.put || driver.put->plan.shares.at("a#1").at("units").amount <= 4);
+  driver.show(600, standing(1, 4, 6), {record("a", 1, 4, 9)});
+  ASSERT_TRUE(driver.put.has_value());
+  EXPECT_GT(driver.put->plan.shares.at("a#1").at("units").amount, 4);
 }
 
 TEST(Planner, ResignsWhenItsLeaseExpiresOrAnotherIsElected) {
-  Talk talk;
-  talk.tell(LeaseValid{5, 2900});
-  talk.now = 2950;
-  talk.tell(PlannerTick{});
-  EXPECT_FALSE(talk.planner.elected());
-  Talk other;
-  other.tell(AllRead{other.read->call, 51, standing(1, 1, 1), 60, false, {}, 0, kHere});
+  PlannerDriver driver;
+  driver.send(LeaseValid{5, 2900});
+  driver.now = 2950;
+  driver.send(PlannerTick{});
+  EXPECT_FALSE(driver.planner.elected());
+  PlannerDriver other;
+  other.send(AllRead{other.read->call, 51, standing(1, 1, 1), 60, false, {}, 0, kHere});
   EXPECT_FALSE(other.planner.elected());
   EXPECT_FALSE(other.put.has_value());
 }
--- a/tests/fleet/poisson_fleet.h
+++ b/tests/fleet/poisson_fleet.h
@@ -43,7 +43,7 @@
 
  private:
   static constexpr Millis kStep = 10;
-  static constexpr Millis kWay = 20;  // delay of a plan to the processes
+  static constexpr Millis kPlanDelay = 20;  // delay of a plan to the processes
 
   struct Process {
     Process(const std::vector<Budget>& budgets, const Sharing& sharing, double demand)
@@ -86,7 +86,7 @@
       p.state = p.reading.read(now_);
       p.read_due = now_ + 100;
     }
-    const bool fresh = standing_ && standing_->epoch != p.epoch && now_ >= plan_at_ + kWay;
+    const bool fresh = standing_ && standing_->epoch != p.epoch && now_ >= plan_at_ + kPlanDelay;
     if (!fresh && now_ < p.put_due) return;
     p.record.demand = p.state.demand;
     p.record.spent = p.state.spent;
--- a/tests/fleet/search_print.cpp
+++ b/tests/fleet/search_print.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-class Ink {
+class Hasher {
  public:
-  explicit Ink(const Node& node) : node_(node) {}
+  explicit Hasher(const Node& node) : node_(node) {}
 
   void number(std::uint64_t value) {
-    print_.a = Random(print_.a ^ value).next();
-    print_.b = Random(print_.b + value * 0x9e3779b97f4a7c15ULL).next();
+    fingerprint_.a = Random(fingerprint_.a ^ value).next();
+    fingerprint_.b = Random(fingerprint_.b + value * 0x9e3779b97f4a7c15ULL).next();
   }
   void text(const std::string& text) {
     number(text.size());
@@ -56,12 +56,12 @@
     parts(snapshot.parts);
     for (const auto& [rule, map] : snapshot.affinity) slots(map);
   }
-  Print print() const { return print_; }
+  Fingerprint fingerprint() const { return fingerprint_; }
 
   const Node& node_;
 
  private:
-  Print print_;
+  Fingerprint fingerprint_;
 };
 
 }  // namespace
@@ -71,121 +71,122 @@
 struct ModelEye {
   static std::uint64_t incarnation(const Member& member) { return member.id_.incarnation; }
 
-  static void member(const model::Cell& cell, model::Ink& ink) {
+  static void member(const model::Cell& cell, model::Hasher& hasher) {
     const Member& it = cell.core;
-    const model::StoreState& store = ink.node_.store->state;
-    const auto kept = store.records.find(it.id_.name);
-    ink.number(static_cast<std::uint64_t>(it.phase_));
-    ink.number(static_cast<std::uint64_t>(it.lease_.lease_));
-    ink.moment(it.lease_.held_since_);
-    ink.moment(it.lease_.due_);
-    ink.number(it.lease_.underway_.call != 0 ? 1 + it.lease_.revoking_ : 0);
-    ink.snapshot(it.held_.now_);
-    ink.number(it.held_.applied_by_traffic());
-    ink.number(it.id_.incarnation != 0);
-    ink.record(it.record_);
-    ink.number(it.modified_ == 0 ? 2 : kept != store.records.end() && kept->second.modified == it.modified_);
-    ink.moment(it.put_begun_);
-    ink.number(it.put_call_.call != 0);
+    const model::StoreState& store = hasher.node_.store->state;
+    const auto stored = store.records.find(it.id_.name);
+    hasher.number(static_cast<std::uint64_t>(it.phase_));
+    hasher.number(static_cast<std::uint64_t>(it.lease_.lease_));
+    hasher.moment(it.lease_.held_since_);
+    hasher.moment(it.lease_.due_);
+    hasher.number(it.lease_.underway_.call != 0 ? 1 + it.lease_.revoking_ : 0);
+    hasher.snapshot(it.held_.now_);
+    hasher.number(it.held_.applied_by_traffic());
+    hasher.number(it.id_.incarnation != 0);
+    hasher.record(it.record_);
+    hasher.number(
+        it.modified_ == 0 ? 2 : stored != store.records.end() && stored->second.modified == it.modified_);
+    hasher.moment(it.put_begun_);
+    hasher.number(it.put_call_.call != 0);
     if (it.put_call_.call != 0) {
-      ink.record(it.put_);
-      ink.number(it.put_epoch_);
+      hasher.record(it.put_);
+      hasher.number(it.put_epoch_);
     }
-    ink.moment(it.put_due_);
-    ink.moment(it.put_soon_);
-    ink.moment(it.put_again_);
-    ink.moment(it.lower_again_);
-    ink.number(it.plan_modified_ == store.plan_modified);
-    if (it.plan_) ink.plan(*it.plan_);
-    ink.number(it.plan_passed_);
+    hasher.moment(it.put_due_);
+    hasher.moment(it.put_soon_);
+    hasher.moment(it.put_again_);
+    hasher.moment(it.lower_again_);
+    hasher.number(it.plan_modified_ == store.plan_modified);
+    if (it.plan_) hasher.plan(*it.plan_);
+    hasher.number(it.plan_passed_);
   }
 
-  static void planner(const model::Cell& cell, model::Ink& ink) {
+  static void planner(const model::Cell& cell, model::Hasher& hasher) {
     const Planner& it = cell.plans;
-    const model::StoreState& store = ink.node_.store->state;
-    ink.number(static_cast<std::uint64_t>(it.lease_));
-    ink.moment(it.lease_until_);
-    ink.number(it.fence_ == 0 ? 2 : store.leader && store.leader->created == it.fence_);
-    ink.moment(it.campaign_at_);
-    ink.moment(it.read_at_);
-    ink.number(it.unfinished_);
-    ink.moment(it.history_.since());
-    ink.number(it.underway_.call != 0);
-    ink.number(it.put_.has_value());
-    if (it.put_) put(*it.put_, ink);
-  }
-
-  static void put(const PutPlan& put, model::Ink& ink) {
-    const model::StoreState& store = ink.node_.store->state;
-    ink.plan(put.plan);
-    ink.number(put.modified == store.plan_modified);
-    ink.number(store.leader && store.leader->created == put.fence);
+    const model::StoreState& store = hasher.node_.store->state;
+    hasher.number(static_cast<std::uint64_t>(it.lease_));
+    hasher.moment(it.lease_until_);
+    hasher.number(it.fence_ == 0 ? 2 : store.leader && store.leader->created == it.fence_);
+    hasher.moment(it.campaign_at_);
+    hasher.moment(it.read_at_);
+    hasher.number(it.unfinished_);
+    hasher.moment(it.history_.since());
+    hasher.number(it.underway_.call != 0);
+    hasher.number(it.put_.has_value());
+    if (it.put_) put(*it.put_, hasher);
+  }
+
+  static void put(const PutPlan& put, model::Hasher& hasher) {
+    const model::StoreState& store = hasher.node_.store->state;
+    hasher.plan(put.plan);
+    hasher.number(put.modified == store.plan_modified);
+    hasher.number(store.leader && store.leader->created == put.fence);
   }
 
   // A message is fingerprinted by its effect, not by its call number.
   static std::uint64_t message(const model::Message& message, const model::Node& node) {
-    model::Ink ink(node);
+    model::Hasher hasher(node);
     const model::StoreState& store = node.store->state;
-    ink.number(static_cast<std::uint64_t>(message.process));
-    ink.number(message.given_up);
-    ink.moment(message.begun);
-    ink.number(message.call.index());
-    std::visit([&](const auto& call) { ink.number(call.index()); }, message.call);
+    hasher.number(static_cast<std::uint64_t>(message.process));
+    hasher.number(message.given_up);
+    hasher.moment(message.begun);
+    hasher.number(message.call.index());
+    std::visit([&](const auto& call) { hasher.number(call.index()); }, message.call);
     if (message.answer) {
-      ink.number(7);
-      answer(*message.answer, ink);
+      hasher.number(7);
+      answer(*message.answer, hasher);
     } else if (const auto* call = std::get_if<MemberCall>(&message.call)) {
       if (const auto* wanted = std::get_if<PutRecord>(call)) {
-        const auto kept = store.records.find(wanted->record.id.name);
-        ink.id(wanted->record.id.text());
-        ink.record(wanted->record);
-        ink.number(wanted->modified == 0
-                       ? 2
-                       : kept != store.records.end() && kept->second.modified == wanted->modified);
-        ink.number(wanted->plan_modified == 0 ? 2 : wanted->plan_modified == store.plan_modified);
-        ink.number(static_cast<std::uint64_t>(wanted->lease));
+        const auto stored = store.records.find(wanted->record.id.name);
+        hasher.id(wanted->record.id.text());
+        hasher.record(wanted->record);
+        hasher.number(wanted->modified == 0
+                          ? 2
+                          : stored != store.records.end() && stored->second.modified == wanted->modified);
+        hasher.number(wanted->plan_modified == 0 ? 2 : wanted->plan_modified == store.plan_modified);
+        hasher.number(static_cast<std::uint64_t>(wanted->lease));
       }
     } else if (const auto* wanted = std::get_if<PutPlan>(&std::get<PlannerCall>(message.call))) {
-      put(*wanted, ink);
+      put(*wanted, hasher);
     }
-    return ink.print().a;
+    return hasher.fingerprint().a;
   }
 
-  static void answer(const model::AnyEvent& event, model::Ink& ink) {
-    const model::StoreState& store = ink.node_.store->state;
+  static void answer(const model::AnyEvent& event, model::Hasher& hasher) {
+    const model::StoreState& store = hasher.node_.store->state;
     if (const auto* member = std::get_if<MemberEvent>(&event)) {
-      ink.number(member->index());
-      if (const auto* seen = std::get_if<PlanSeen>(member)) ink.plan(seen->plan);
-      if (const auto* renewed = std::get_if<Renewed>(member)) ink.number(renewed->there);
+      hasher.number(member->index());
+      if (const auto* seen = std::get_if<PlanSeen>(member)) hasher.plan(seen->plan);
+      if (const auto* renewed = std::get_if<Renewed>(member)) hasher.number(renewed->there);
       if (const auto* put = std::get_if<RecordPut>(member)) {
-        ink.number(put->done);
+        hasher.number(put->done);
         const auto stands = [&](std::uint64_t modified) {
           return std::any_of(store.records.begin(), store.records.end(),
-                             [&](const auto& kept) { return kept.second.modified == modified; });
+                             [&](const auto& stored) { return stored.second.modified == modified; });
         };
-        ink.number(stands(put->done ? put->revision : put->own_modified));
+        hasher.number(stands(put->done ? put->revision : put->own_modified));
         if (put->own) {
-          ink.id(put->own->id.text());
-          ink.record(*put->own);
+          hasher.id(put->own->id.text());
+          hasher.record(*put->own);
         }
-        ink.number(put->plan_modified == store.plan_modified);
+        hasher.number(put->plan_modified == store.plan_modified);
       }
       return;
     }
     const auto& planner = std::get<PlannerEvent>(event);
-    ink.number(100 + planner.index());
+    hasher.number(100 + planner.index());
     if (const auto* result = std::get_if<CampaignResult>(&planner)) {
-      ink.number(store.leader && store.leader->created == result->created);
-      ink.text(result->value.substr(0, 1));
+      hasher.number(store.leader && store.leader->created == result->created);
+      hasher.text(result->value.substr(0, 1));
     }
-    if (const auto* put = std::get_if<PlanPut>(&planner)) ink.number(put->done);
+    if (const auto* put = std::get_if<PlanPut>(&planner)) hasher.number(put->done);
     if (const auto* read = std::get_if<AllRead>(&planner)) {
-      ink.number(store.leader && store.leader->created == read->planner_created);
-      ink.number(read->plan_modified == store.plan_modified);
-      if (read->plan) ink.plan(*read->plan);
+      hasher.number(store.leader && store.leader->created == read->planner_created);
+      hasher.number(read->plan_modified == store.plan_modified);
+      if (read->plan) hasher.plan(*read->plan);
       for (const Record& record : read->records) {
-        ink.id(record.id.text());
-        ink.record(record);
+        hasher.id(record.id.text());
+        hasher.record(record);
       }
     }
   }
@@ -193,47 +194,47 @@
 
 namespace model {
 
-void Ink::id(const std::string& id) {
+void Hasher::id(const std::string& id) {
   text(id.substr(0, 1));
   const auto cell = static_cast<std::size_t>(id[0] - 'A');
   const std::string now = std::to_string(ModelEye::incarnation(node_.cells[cell]->core));
   number(id.substr(2) == now);
 }
 
-Print print_of(const Node& node) {
-  Ink ink(node);
-  ink.number(static_cast<std::uint64_t>(node.now / kStep));
-  ink.number(static_cast<std::uint64_t>(node.faults));
+Fingerprint fingerprint_of(const Node& node) {
+  Hasher hasher(node);
+  hasher.number(static_cast<std::uint64_t>(node.now / kStep));
+  hasher.number(static_cast<std::uint64_t>(node.faults));
   for (const Shared<Cell>& held : node.cells) {
     const Cell& cell = *held;
-    ink.number(cell.there + 2 * cell.paused + 4 * cell.slow + 8 * cell.lags);
+    hasher.number(cell.there + 2 * cell.paused + 4 * cell.slow + 8 * cell.lags);
     if (!cell.there) continue;
-    ModelEye::member(cell, ink);
-    ModelEye::planner(cell, ink);
-    ink.snapshot(*cell.taken);
-    ink.number(cell.taken == cell.latest);
-    ink.number(cell.incarnation != 0);
-    ink.moment(cell.valid_until);
-    ink.number(cell.looked == node.store->state.plan_modified);
-    ink.number(static_cast<std::uint64_t>(cell.demand));
+    ModelEye::member(cell, hasher);
+    ModelEye::planner(cell, hasher);
+    hasher.snapshot(*cell.taken);
+    hasher.number(cell.taken == cell.latest);
+    hasher.number(cell.incarnation != 0);
+    hasher.moment(cell.valid_until);
+    hasher.number(cell.looked == node.store->state.plan_modified);
+    hasher.number(static_cast<std::uint64_t>(cell.demand));
   }
   const StoreState& store = node.store->state;
-  for (const auto& [name, kept] : store.records) {
-    ink.id(kept.record.id.text());
-    ink.record(kept.record);
-    ink.number(static_cast<std::uint64_t>(kept.lease));
+  for (const auto& [name, stored] : store.records) {
+    hasher.id(stored.record.id.text());
+    hasher.record(stored.record);
+    hasher.number(static_cast<std::uint64_t>(stored.lease));
   }
   for (const auto& [lease, held] : store.leases) {
-    ink.number(static_cast<std::uint64_t>(lease));
-    ink.moment(held.ends);
+    hasher.number(static_cast<std::uint64_t>(lease));
+    hasher.moment(held.ends);
   }
-  if (store.leader) ink.number(static_cast<std::uint64_t>(store.leader->lease) + 1000);
-  if (store.plan) ink.plan(*store.plan);
+  if (store.leader) hasher.number(static_cast<std::uint64_t>(store.leader->lease) + 1000);
+  if (store.plan) hasher.plan(*store.plan);
   std::vector<std::uint64_t> messages;
   for (const auto& message : node.messages) messages.push_back(ModelEye::message(*message, node));
   std::sort(messages.begin(), messages.end());
-  for (const std::uint64_t message : messages) ink.number(message);
-  return ink.print();
+  for (const std::uint64_t message : messages) hasher.number(message);
+  return hasher.fingerprint();
 }
 
 }  // namespace model
--- a/tests/fleet/search_print.h
+++ b/tests/fleet/search_print.h
@@ -9,12 +9,12 @@
 
 namespace shorelead::fleet::model {
 
-struct Print {
+struct Fingerprint {
   std::uint64_t a = 0x243f6a8885a308d3ULL;
   std::uint64_t b = 0x13198a2e03707344ULL;
-  auto operator<=>(const Print&) const = default;
+  auto operator<=>(const Fingerprint&) const = default;
 };
 
-Print print_of(const Node& node);
+Fingerprint fingerprint_of(const Node& node);
 
 }  // namespace shorelead::fleet::model
--- a/tests/fleet/search_test.cpp
+++ b/tests/fleet/search_test.cpp
@@ -49,7 +49,7 @@
   std::size_t most = 0;
   int faults = 0;
   Millis until = 0;
-  std::set<Print> seen;
+  std::set<Fingerprint> seen;
   std::deque<std::pair<std::shared_ptr<const Node>, int>> next;
   std::size_t moves = 0, deepest = 0, raised = 0, opened = 0;
   std::string broken;
@@ -62,7 +62,7 @@
       broken = node->broken() + " after " + std::to_string(depth) + " moves, " + std::to_string(seen.size()) +
                " states";
     }
-    if (!seen.insert(print_of(*node)).second) return;
+    if (!seen.insert(fingerprint_of(*node)).second) return;
     deepest = std::max(deepest, depth);
     for (const int i : {1, 2})
       raised += node->cells[static_cast<std::size_t>(i)]->taken->parts.contains("units");
