--- a/tests/fleet/search_print.cpp
+++ b/tests/fleet/search_fingerprint.cpp
@@ -1,4 +1,4 @@
-#include "fleet/search_print.h"
+#include "fleet/search_fingerprint.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/fleet/search_test.cpp
+++ b/tests/fleet/search_test.cpp
@@ -10,7 +10,7 @@
 #include <deque>
 #include <set>
 
-#include "fleet/search_print.h"
+#include "fleet/search_fingerprint.h"
 
 namespace shorelead::fleet::model {
 namespace {
