--- a/src/fleet/spec.h
+++ b/src/fleet/spec.h
@@ -12,7 +12,7 @@
 namespace shorelead::fleet {
 
 enum class BudgetKind {
-  kRate,      // `whole` a second, with a burst
+  kRate,      // `whole` per second, with a burst
   kAtOnce,    // `whole` concurrently
   kAttempts,  // retries: `whole` of them in any window, and `ratio` of the requests accepted in it
 };
