--- a/src/fleet/leavers.cpp
+++ b/src/fleet/departed_members.cpp
@@ -1,24 +1,24 @@
-#include "fleet/leavers.h"
+#include "fleet/departed_members.h"
 
 #include <algorithm>
 
 namespace shorelead::fleet {
 
-Leavers::Leavers(const Sharing& sharing, const std::vector<Budget>& budgets) {
+DepartedMembers::DepartedMembers(const Sharing& sharing, const std::vector<Budget>& budgets) {
   wait_ = sharing.longest;
   for (const Budget& budget : budgets) wait_ = std::max(wait_, budget.hold);
   wait_ *= 1 + 2 * sharing.drift;
 }
 
-void Leavers::begin_anew() {
+void DepartedMembers::reset() {
   first_read_ = -1;
   seen_.clear();
 }
 
 namespace {
 
-// A plan may have lowered what its record still said when that went.
-Parts had_by(const Record& record, const std::optional<Plan>& plan, const std::string& id) {
+// The maximum of record and plan: a plan may be lower than what the record still held when it disappeared.
+Parts held_by(const Record& record, const std::optional<Plan>& plan, const std::string& id) {
   Parts had = record.in_force;
   const auto given = plan ? plan->shares.find(id) : std::map<std::string, Parts>::const_iterator();
   if (!plan || given == plan->shares.end()) return had;
@@ -31,16 +31,16 @@
 
 }  // namespace
 
-void Leavers::read(const std::vector<Record>& records, const std::optional<Plan>& plan, Millis now) {
+void DepartedMembers::read(const std::vector<Record>& records, const std::optional<Plan>& plan, Millis now) {
   if (first_read_ < 0) first_read_ = now;
   std::set<std::string> there;
   for (const Record& record : records) {
     const std::string id = record.id.text();
     there.insert(id);
-    seen_[id] = {-1, record.epoch, had_by(record, plan, id), false};
+    seen_[id] = {-1, record.epoch, held_by(record, plan, id), false};
   }
   if (plan) {
-    // Not seen by us: it may have had any plan in force.
+    // Its record was never seen here: it may have had any plan in force.
     for (const auto& [id, parts] : plan->shares) seen_.try_emplace(id, Seen{-1, 1, parts, false});
   }
   for (auto it = seen_.begin(); it != seen_.end();) {
@@ -51,7 +51,7 @@
   }
 }
 
-std::map<std::string, Parts> Leavers::gone() const {
+std::map<std::string, Parts> DepartedMembers::gone() const {
   std::map<std::string, Parts> gone;
   for (const auto& [id, seen] : seen_) {
     if (seen.gone >= 0 && !seen.out) gone[id] = seen.had;
@@ -59,16 +59,16 @@
   return gone;
 }
 
-std::vector<Record> Leavers::ghosts() const {
-  std::vector<Record> ghosts;
+std::vector<Record> DepartedMembers::substitute_records() const {
+  std::vector<Record> substitute_records;
   for (const auto& [id, seen] : seen_) {
     if (seen.gone < 0 || seen.out) continue;
-    Record ghost;
-    ghost.id.name = id;
-    ghost.epoch = std::max<std::uint64_t>(seen.epoch, 1);
-    ghosts.push_back(std::move(ghost));
+    Record substitute;
+    substitute.id.name = id;
+    substitute.epoch = std::max<std::uint64_t>(seen.epoch, 1);
+    substitute_records.push_back(std::move(substitute));
   }
-  return ghosts;
+  return substitute_records;
 }
 
 }  // namespace shorelead::fleet
--- a/src/fleet/lease_keeper.cpp
+++ b/src/fleet/lease_keeper.cpp
@@ -3,17 +3,17 @@
 namespace shorelead::fleet {
 
 namespace {
-constexpr double kRenewals = 3;  // within the lease's length
-constexpr double kAgain = 20;    // tries of a call that was lost, within the lease's length
+constexpr double kRenewalsPerLease = 3;  // renewals per lease length
+constexpr double kRetriesPerLease = 20;  // retries of a lost call per lease length
 }  // namespace
 
 void LeaseKeeper::call(bool wanted, std::uint64_t& calls, Millis now, std::vector<MemberCall>& out) {
-  if (waits()) return;
+  if (in_flight()) return;
   if (!wanted && lease_ == 0) return;
   if (wanted && now < due_) return;
   underway_ = {++calls, now};
-  gives_back_ = !wanted;
-  due_ = now + sharing_.lease / kRenewals;
+  revoking_ = !wanted;
+  due_ = now + sharing_.lease / kRenewalsPerLease;
   if (!wanted) {
     out.push_back(RevokeLease{calls, lease_});
   } else if (lease_ == 0) {
@@ -29,8 +29,8 @@
 }
 
 void LeaseKeeper::lost(Millis now) {
-  due_ = now + sharing_.lease / kAgain;
-  if (gives_back_) lease_ = 0;
+  due_ = now + sharing_.lease / kRetriesPerLease;
+  if (revoking_) lease_ = 0;
 }
 
 void LeaseKeeper::forget_call() {
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -8,18 +8,19 @@
 
 namespace {
 
-constexpr double kPuts = 3;           // of the record within a lease, though nothing changed
-constexpr double kChangedPuts = 5;    // where what it tells did ...
-constexpr Millis kLongestPut = 1000;  // ... or one in so long
-constexpr double kChanged = 0.25;     // of a figure
-constexpr double kAgain = 20;         // tries of a call that was lost or refused, within a lease
-constexpr double kSmallSteps = 25;    // puts that only lower, within a lease: what is in use ends one by one
-
-bool differ(const std::map<std::string, double>& told, const std::map<std::string, double>& now) {
-  return std::any_of(now.begin(), now.end(), [&told](const auto& figure) {
-    const auto it = told.find(figure.first);
-    const double before = it == told.end() ? 0 : it->second;
-    return std::abs(figure.second - before) > kChanged * std::max(before, figure.second);
+constexpr double kIdlePutsPerLease = 3;     // writes of the record per lease length if nothing changed
+constexpr double kChangedPutsPerLease = 5;  // writes per lease length if the reported traffic changed ...
+constexpr Millis kMaxPutInterval = 1000;    // ... but at least one per this time
+constexpr double kRelativeChange = 0.25;    // relative change of a value that counts as a change
+constexpr double kRetriesPerLease = 20;     // retries of a lost or refused call per lease length
+constexpr double kLoweringPutsPerLease =
+    25;  // writes per lease length that only lower: units in use end one by one
+
+bool differ(const std::map<std::string, double>& reported, const std::map<std::string, double>& now) {
+  return std::any_of(now.begin(), now.end(), [&reported](const auto& figure) {
+    const auto it = reported.find(figure.first);
+    const double before = it == reported.end() ? 0 : it->second;
+    return std::abs(figure.second - before) > kRelativeChange * std::max(before, figure.second);
   });
 }
 
@@ -32,7 +33,7 @@
       sharing_(sharing),
       random_(seed),
       lease_(sharing),
-      holding_(sharing, std::move(budgets)),
+      held_(sharing, std::move(budgets)),
       id_{std::move(name), 0} {}
 
 Millis Member::valid_until() const {
@@ -52,27 +53,27 @@
   std::visit([this](const auto& it) { on(it); }, event);
   MemberOut out;
   call_store(out);
-  out.publish = holding_.take_news();
+  out.publish = held_.take_changed();
   out.incarnation = incarnation();
   out.valid_until = valid_until();
   out.next = next();
   return out;
 }
 
-bool Member::hear(const Header& header, Millis begun) {
-  const History::Told told = history_.heard(header, begun, now_);
-  if (told == History::Told::kLost) {
+bool Member::observe(const Header& header, Millis begun) {
+  const History::Observation observed = history_.observe(header, begun, now_);
+  if (observed == History::Observation::kLost) {
     ++counters_.histories;
     plan_.reset();
     plan_modified_ = 0;
     plan_passed_ = false;
     if (phase_ != Phase::kLeft) end_incarnation();
   }
-  return told == History::Told::kSame || told == History::Told::kFirst;
+  return observed == History::Observation::kSame || observed == History::Observation::kFirst;
 }
 
 void Member::on(const Granted& event) {
-  if (!lease_.answers(event.call) || !hear(event.header, lease_.begun())) return;
+  if (!lease_.answers(event.call) || !observe(event.header, lease_.begun())) return;
   lease_.granted(event.lease);
   id_.incarnation = random_.next();
   phase_ = Phase::kNaming;
@@ -80,7 +81,7 @@
 }
 
 void Member::on(const Renewed& event) {
-  if (!lease_.answers(event.call) || !hear(event.header, lease_.begun())) return;
+  if (!lease_.answers(event.call) || !observe(event.header, lease_.begun())) return;
   if (event.there) {
     lease_.renewed();
   } else {
@@ -92,38 +93,38 @@
 void Member::on(const Revoked& event) {
   if (!lease_.answers(event.call)) return;
   lease_.gone();
-  hear(event.header, lease_.begun());
+  observe(event.header, lease_.begun());
 }
 
-void Member::on(const Lost& event) {
+void Member::on(const MemberCallLost& event) {
   if (lease_.answers(event.call)) {
     ++counters_.lost;
     lease_.lost(now_);
   }
   if (put_call_.ended_by(event.call)) {
     ++counters_.lost;
-    put_again_ = now_ + sharing_.lease / kAgain;
+    put_again_ = now_ + sharing_.lease / kRetriesPerLease;
   }
 }
 
 void Member::on(const RecordPut& event) {
-  if (!put_call_.ended_by(event.call) || !hear(event.header, put_call_.begun)) return;
+  if (!put_call_.ended_by(event.call) || !observe(event.header, put_call_.begun)) return;
   if (!event.done) return refused(event);
   record_ = std::move(put_);
   modified_ = event.revision;
   put_begun_ = put_call_.begun;
   if (phase_ == Phase::kNaming) joined();
-  // Where a newer plan was seen meanwhile what it lowers is lowered already: only that one may raise.
+  // If a newer plan was seen meanwhile, its lowering is already applied and only that plan may raise.
   if (put_epoch_ != 0 && plan_ && plan_->epoch == put_epoch_) {
     ++counters_.epochs;
-    holding_.put_in_force(*plan_, id_);
+    held_.put_in_force(*plan_, id_);
   }
 }
 
-// A record under our number is ours, from a call whose answer was lost, or that was done twice.
+// A record with this incarnation was written by a call whose answer was lost, or that was executed twice.
 void Member::refused(const RecordPut& event) {
   ++counters_.refused;
-  put_again_ = now_ + sharing_.lease / kAgain;
+  put_again_ = now_ + sharing_.lease / kRetriesPerLease;
   const bool ours = event.own && event.own->id == id_;
   if (ours && event.own_modified == modified_) {
     if (plan_ && plan_->epoch == put_epoch_) plan_passed_ = true;
@@ -134,15 +135,15 @@
     if (phase_ == Phase::kNaming) joined();
   } else if (phase_ == Phase::kNaming) {
     ++counters_.name_taken;
-    put_again_ = now_ + std::min(sharing_.lease / kChangedPuts, kLongestPut);
+    put_again_ = now_ + std::min(sharing_.lease / kChangedPutsPerLease, kMaxPutInterval);
   } else {
     end_incarnation();
   }
 }
 
 void Member::on(const PlanSeen& event) {
-  hear(event.header, event.begun);
-  const std::uint64_t in_force = std::max(holding_.epoch(), record_.epoch);
+  observe(event.header, event.begun);
+  const std::uint64_t in_force = std::max(held_.epoch(), record_.epoch);
   if (event.header.cluster != history_.cluster() || event.plan.history != history_.cluster() ||
       event.modified < plan_modified_ || event.plan.epoch < in_force) {
     ++counters_.older;
@@ -152,7 +153,7 @@
   plan_ = event.plan;
   plan_modified_ = event.modified;
   plan_passed_ = false;
-  if (phase_ == Phase::kIn) holding_.lower_to(*plan_, id_);
+  if (phase_ == Phase::kIn) held_.lower_to(*plan_, id_);
 }
 
 void Member::on(const Leave&) {
@@ -175,19 +176,19 @@
   record_ = {};
   modified_ = 0;
   put_begun_ = -1;
-  holding_.end();
+  held_.end();
 }
 
 void Member::call_store(MemberOut& out) {
-  if (phase_ == Phase::kEnding && holding_.over() && lease_.lease() == 0 && !lease_.waits()) {
+  if (phase_ == Phase::kEnding && held_.over() && lease_.lease() == 0 && !lease_.in_flight()) {
     phase_ = leaving_ ? Phase::kLeft : Phase::kNoLease;
   }
   switch (phase_) {
     case Phase::kLeft:
       return;
     case Phase::kEnding:
-      // As long as something is in use the record has to stand.
-      if (lease_.lease() != 0) lease_.call(!holding_.over(), calls_, now_, out.calls);
+      // The record has to exist while any of it is in use.
+      if (lease_.lease() != 0) lease_.call(!held_.over(), calls_, now_, out.calls);
       return;
     case Phase::kNoLease:
     case Phase::kNaming:
@@ -199,17 +200,17 @@
 
 void Member::put_record(MemberOut& out) {
   if (put_call_.call != 0 || now_ < put_again_) return;
-  const bool acknowledges = phase_ == Phase::kIn && plan_ && !plan_passed_ &&
-                            plan_->epoch > holding_.epoch() && holding_.slots_quiet();
+  const bool acknowledges =
+      phase_ == Phase::kIn && plan_ && !plan_passed_ && plan_->epoch > held_.epoch() && held_.slots_quiet();
   Parts parts = record_.in_force;
   if (acknowledges) {
-    parts = holding_.may_use(holding_.own_parts(*plan_, id_), record_.in_force);
-  } else if (holding_.followed()) {
-    parts = holding_.may_use(holding_.parts(), record_.in_force);
+    parts = held_.parts_to_record(held_.own_parts(*plan_, id_), record_.in_force);
+  } else if (held_.applied_by_traffic()) {
+    parts = held_.parts_to_record(held_.parts(), record_.in_force);
   }
   const bool lowers = parts != record_.in_force && now_ >= lower_again_;
-  const TrafficState& traffic = holding_.traffic();
-  // Ranks' loads are the signal of a shortage: they are told as often as they may be.
+  const TrafficState& traffic = held_.traffic();
+  // The loads of the ranks signal overload, so they are reported as often as allowed.
   const bool changed = !traffic.ranks.empty() || differ(record_.demand, traffic.demand) ||
                        differ(record_.spent, traffic.spent);
   if (!acknowledges && !lowers && modified_ != 0 && now_ < (changed ? put_soon_ : put_due_)) return;
@@ -220,17 +221,17 @@
   put_epoch_ = acknowledges ? plan_->epoch : 0;
   put_call_ = {++calls_, now_};
   const double spread = 0.9 + 0.1 * random_.unit();
-  put_due_ = now_ + sharing_.lease / kPuts * spread;
-  put_soon_ = now_ + std::min(sharing_.lease / kChangedPuts, kLongestPut) * spread;
-  lower_again_ = now_ + sharing_.lease / kSmallSteps;
+  put_due_ = now_ + sharing_.lease / kIdlePutsPerLease * spread;
+  put_soon_ = now_ + std::min(sharing_.lease / kChangedPutsPerLease, kMaxPutInterval) * spread;
+  lower_again_ = now_ + sharing_.lease / kLoweringPutsPerLease;
   out.calls.push_back(PutRecord{calls_, lease_.lease(), put_, modified_, acknowledges ? plan_modified_ : 0});
 }
 
 Millis Member::next() const {
   if (phase_ == Phase::kLeft) return now_ + sharing_.lease;
-  if (phase_ == Phase::kEnding) return now_ + sharing_.lease / kAgain;
-  Millis next = now_ + sharing_.lease / kAgain;
-  if (!lease_.waits()) next = std::min(next, std::max(lease_.due(), now_));
+  if (phase_ == Phase::kEnding) return now_ + sharing_.lease / kRetriesPerLease;
+  Millis next = now_ + sharing_.lease / kRetriesPerLease;
+  if (!lease_.in_flight()) next = std::min(next, std::max(lease_.due(), now_));
   if (put_call_.call == 0) next = std::min(next, std::max({put_due_, put_again_, now_}));
   return next;
 }
--- a/src/fleet/port.cpp
+++ b/src/fleet/port.cpp
@@ -9,9 +9,9 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr Millis kPeak = 500;
+constexpr Millis kPeakWindow = 500;
 
-bool closes(const Snapshot& snapshot) {
+bool has_closed_slots(const Snapshot& snapshot) {
   for (const auto& [rule, map] : snapshot.affinity) {
     for (const Slot& slot : map.slots) {
       if (!slot.open) return true;
@@ -70,13 +70,13 @@
 
 void Port::begin_reserve(Millis now, Millis before) {
   for (std::size_t n = 0; n < shares_.size(); ++n) {
-    // Only of a count at once does what was begun go on.
+    // Only units of a concurrency budget stay in use after they were spent.
     const bool lasts = budgets_[n].kind == BudgetKind::kAtOnce;
     reserve_from(n, now + (lasts ? std::max(0.0, before - budgets_[n].hold) : 0), now);
   }
 }
 
-bool Port::take_up() {
+bool Port::take_snapshot() {
   const Millis until_now = valid_until();
   if (!channel_->issues.take()) return false;
   const Millis now = boot_now();
@@ -84,16 +84,16 @@
   const bool another = next.incarnation != incarnation_;
   for (std::size_t n = 0; n < budgets_.size(); ++n) {
     const auto part = next.parts.find(budgets_[n].name);
-    // Of another incarnation: what was saved up of the one before is nothing of its.
+    // Another incarnation: tokens saved by the previous one do not belong to it.
     if (another) set(n, {}, now, until_now);
     set(n, part == next.parts.end() ? Part{} : part->second, now, another ? valid_until() : until_now);
     count_in_use(n, now);
   }
   incarnation_ = next.incarnation;
-  // Before the generation: who reads that finds no older word on its slots.
-  if (!closes(next)) channel_->traffic.slots_quiet.announce(next.generation);
-  channel_->traffic.generation.announce(next.generation);
-  channel_->for_control.ring();
+  // Before the generation, so that a reader of the generation finds the matching state of the slots.
+  if (!has_closed_slots(next)) channel_->traffic.slots_quiet.store_release(next.generation);
+  channel_->traffic.generation.store_release(next.generation);
+  channel_->for_control.notify();
   return true;
 }
 
@@ -139,7 +139,7 @@
   if (share == nullptr) return;
   BudgetCells& cells = channel_->traffic.budgets[budget];
   Peak& peak = peaks_[budget];
-  if (now - peak.began > kPeak) peak = {now, 0, now - peak.began > 2 * kPeak ? 0 : peak.now};
+  if (now - peak.began > kPeakWindow) peak = {now, 0, now - peak.began > 2 * kPeakWindow ? 0 : peak.now};
   peak.now = std::max(peak.now, static_cast<double>(share->in_use()));
   cells.in_use.set(share->in_use());
   cells.beyond_reserve.set(share->beyond_reserve(now));
@@ -149,11 +149,11 @@
 
 const Snapshot* Port::valid(Millis now) const { return now < valid_until() ? last() : nullptr; }
 
-void Port::slots_quiet() { channel_->traffic.slots_quiet.announce(channel_->traffic.generation.get()); }
+void Port::slots_quiet() { channel_->traffic.slots_quiet.store_release(channel_->traffic.generation.get()); }
 
 RankCells* Port::rank(int rank) {
   TrafficCells& cells = channel_->traffic;
-  const auto same = static_cast<std::size_t>(rank);  // as a rule they are numbered in their order
+  const auto same = static_cast<std::size_t>(rank);  // fast path: ranks are usually numbered 0, 1, 2, ...
   if (same < cells.ranks.size() && cells.ranks[same] == rank) return &cells.loads[same];
   for (std::size_t n = 0; n < cells.ranks.size(); ++n) {
     if (cells.ranks[n] == rank) return &cells.loads[n];
--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -75,7 +75,7 @@
   control_ = std::make_unique<fleet::Control>(spec, channel_);
   wake_fd_ = std::make_unique<net::Descriptor>(::dup(port_.wake_fd()));
   on_wake_ = std::make_unique<WakeHandler>([this] {
-    channel_->for_traffic.hush();
+    channel_->for_traffic.reset();
     apply_snapshot();
   });
   watch_ = std::make_unique<net::Watch>(loop_, *wake_fd_, *on_wake_, true, false);
@@ -98,7 +98,7 @@
 }
 
 void FleetAdmission::apply_snapshot() {
-  if (!port_.take_up()) return;
+  if (!port_.take_snapshot()) return;
   // Slots are handed over once nothing is in flight in them; without affinity rules nothing ever is.
   affinity_router_ ? affinity_router_->apply_snapshot() : port_.slots_quiet();
   if (const fleet::Snapshot* const now = port_.last()) spdlog::debug("fleet: epoch {} in force", now->epoch);
--- a/tests/fleet/documents_test.cpp
+++ b/tests/fleet/documents_test.cpp
@@ -1,4 +1,4 @@
-// The texts of a plan and of a record: read again as they were; whatever is broken is nothing, with a cause.
+// The JSON texts of plans and records: they round-trip, and malformed ones are rejected with a cause.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -64,7 +64,7 @@
   return out;
 }
 
-RC_GTEST_PROP(Documents, AreReadAsTheyWere, (std::uint64_t seed)) {
+RC_GTEST_PROP(Documents, RoundTrip, (std::uint64_t seed)) {
   Random random(seed);
   std::string cause;
   const Plan plan = plan_of(random);
@@ -77,12 +77,12 @@
   RC_ASSERT(again && text_of(*again) == line && cause.empty());
   RC_ASSERT(again->id == record.id && again->in_force == record.in_force && again->demand == record.demand);
   RC_ASSERT(again->ranks.size() == record.ranks.size() && again->room == record.room);
-  // Cut anywhere it is nothing, with a cause.
+  // A text cut off anywhere is rejected with a cause.
   RC_ASSERT(!parse_plan(text.substr(0, random.below(text.size())), cause) && !cause.empty());
   RC_ASSERT(!parse_record(line.substr(0, random.below(line.size())), cause) && !cause.empty());
 }
 
-// A good text in which `from` is replaced by `to`; `cause` empty: it is read all the same.
+// A valid text in which `from` is replaced by `to`; with an empty `cause` it is still accepted.
 struct Broken {
   const char* from;
   std::string to;
@@ -98,7 +98,7 @@
   return p;
 }
 
-TEST(Documents, BrokenOnesAreNothing) {
+TEST(Documents, MalformedDocumentsAreRejectedWithACause) {
   Record r;
   r.id = {"n", 1};
   r.demand["b"] = 3;
@@ -115,50 +115,50 @@
   const Broken plans[] = {
       {"\"form\":1", "\"form\":1,\"more\":[{}]", ""},
       {"\"form\":1", "\"form\":2", "form 2 is newer than 1"},
-      {"\"form\":1", "\"form\":0", "form 0 is none"},
-      {"\"form\":1", "\"form\":\"1\"", "form is no whole number"},
+      {"\"form\":1", "\"form\":0", "form 0 is invalid"},
+      {"\"form\":1", "\"form\":\"1\"", "form is not a whole number"},
       {"\"form\":1,", "", "there is no form"},
       {"\"fence\":0,", "", "there is no fence"},
-      {"\"epoch\":7", "\"epoch\":-7", "epoch is no whole number"},
-      {"\"epoch\":7", "\"epoch\":7.5", "epoch is no whole number"},
+      {"\"epoch\":7", "\"epoch\":-7", "epoch is not a whole number"},
+      {"\"epoch\":7", "\"epoch\":7.5", "epoch is not a whole number"},
       {"\"epoch\":7", "\"epoch\":9007199254740992", "epoch is beyond 1000000000000000"},
       {"[10,2]", "[-10,2]", "a whole is negative or beyond 1e12"},
       {"[10,2]", "[10,1.1e12]", "a whole is negative or beyond 1e12"},
       {"[10,2]", "[10,1e999]", "broken JSON at byte"},
       {"[10,2]", "[10,NaN]", "broken JSON at byte"},
-      {"[10,2]", "[10,2,3]", "a whole has not two figures"},
-      {"[10,2]", "\"10\"", "a whole is no number"},
-      {"[10,2]}", "[10,2],\"b\":1}", "wholes has a name twice"},
-      {"[[4.5,1]]", "[[4.5,null]]", "a share is no number"},
-      {"[[4.5,1]]", "[]", "a member has not as many shares"},
-      {"[[4.5,1]]", "{}", "a member's shares is no list"},
-      {"n#1", std::string(222, 'n'), "shares is too long a name"},
-      {"[\"b\"]", "[\"" + std::string(201, 'b') + "\"]", "a budget is too long a name"},
+      {"[10,2]", "[10,2,3]", "a whole does not have two values"},
+      {"[10,2]", "\"10\"", "a whole is not a number"},
+      {"[10,2]}", "[10,2],\"b\":1}", "wholes has a duplicate name"},
+      {"[[4.5,1]]", "[[4.5,null]]", "a share is not a number"},
+      {"[[4.5,1]]", "[]", "a member does not have as many shares"},
+      {"[[4.5,1]]", "{}", "a member's shares is not a list"},
+      {"n#1", std::string(222, 'n'), "shares is too long"},
+      {"[\"b\"]", "[\"" + std::string(201, 'b') + "\"]", "a budget is too long"},
       {"[1073741824,0]", "[1073741825,0]", "the cut-off's rank is beyond"},
-      {"[1073741824,0]", "[0]", "cut_off has not two figures"},
-      {"\"slots\":[0,1]", "\"slots\":[0,1,1]", "slots are no power of two"},
+      {"[1073741824,0]", "[0]", "cut_off does not have two values"},
+      {"\"slots\":[0,1]", "\"slots\":[0,1,1]", "the number of slots is not a power of two"},
       {"\"slots\":[0,1]", "\"slots\":[0,2]", "a slot's box has no name"},
       {"\"slots\":[0,1]", "\"slots\":" + slots + "]", "more than 65536 slots"},
-      {"[1,0]", "[2,0]", "a closed slot is none"},
-      {"[1,0]", "[1,0,1,0]", "a closed slot is none, or stands twice"},
-      {"[1,0]", "[1]", "a pair is not whole"},
-      {"[3,1,4,1]", "[3,1]", "epochs of fewer slots"},
-      {"[3,1,4,1]", "[3,1,4,2]", "epochs of more slots"},
+      {"[1,0]", "[2,0]", "a closed slot does not exist"},
+      {"[1,0]", "[1,0,1,0]", "a closed slot does not exist or is listed twice"},
+      {"[1,0]", "[1]", "a pair is incomplete"},
+      {"[3,1,4,1]", "[3,1]", "epochs for fewer slots"},
+      {"[3,1,4,1]", "[3,1,4,2]", "epochs for more slots"},
       {"}}}", "}}", "broken JSON at byte"},
       {"}}}", "}}}x", "broken JSON at byte"},
-      {"}}}", std::string("}}}\0", 4), "a byte 0"},
-      {plan.c_str(), "[]", "no JSON object"},
+      {"}}}", std::string("}}}\0", 4), "a zero byte"},
+      {plan.c_str(), "[]", "not a JSON object"},
       {plan.c_str(), "", "broken JSON at byte"},
   };
   const Broken records[] = {
-      {"\"name\":\"n\"", "\"name\":7", "name is no text"},
+      {"\"name\":\"n\"", "\"name\":7", "name is not a string"},
       {"\"name\":\"n\"", "\"name\":\"" + std::string(201, 'n') + "\"", "name is too long"},
-      {"\"incarnation\":1", "\"incarnation\":18446744073709551616", "incarnation is no whole number"},
+      {"\"incarnation\":1", "\"incarnation\":18446744073709551616", "incarnation is not a whole number"},
       {"\"b\":3", "\"b\":-3", "demand is negative"},
-      {"\"b\":3", "\"b\":true", "demand is no number"},
-      {"[2,1,", "[-2,1,", "rank is no whole number"},
-      {"[2,1,", "[1,", "a rank has not six figures"},
-      {"[[2,", "[[2,0,0,0,0,0],[2,", "a rank stands twice"},
+      {"\"b\":3", "\"b\":true", "demand is not a number"},
+      {"[2,1,", "[-2,1,", "rank is not a whole number"},
+      {"[2,1,", "[1,", "a rank does not have six values"},
+      {"[[2,", "[[2,0,0,0,0,0],[2,", "a rank is listed twice"},
       {"\"room\":1", "\"rooms\":1", "there is no room"},
   };
   const auto changed = [](std::string text, const Broken& b) {
@@ -177,8 +177,8 @@
   }
 }
 
-// What somebody else worked out wrongly is still written so that all can read it.
-TEST(Documents, FiguresThatAreNoneAreWrittenAsTheNearest) {
+// A wrongly computed number must not make the written document unreadable.
+TEST(Documents, OutOfRangeNumbersAreWrittenAsTheNearestBound) {
   Record r;
   r.demand = {{"huge", 1e300}, {"less", -1}, {"none", std::nan("")}, {"without end", INFINITY}};
   std::string cause;
@@ -188,7 +188,7 @@
             (std::map<std::string, double>{{"huge", 1e12}, {"less", 0}, {"none", 0}, {"without end", 1e12}}));
 }
 
-TEST(Documents, AMapOfSlotsIsShort) {
+TEST(Documents, SlotMapsAreCompact) {
   Random random(1);
   Plan plan;
   std::vector<Slot>& slots = plan.affinity["basket"].slots;
--- a/tests/fleet/model_checks.cpp
+++ b/tests/fleet/model_checks.cpp
@@ -9,7 +9,7 @@
 namespace shorelead::fleet::model {
 
 namespace {
-constexpr double kNear = 1e-6;  // sums of fractions
+constexpr double kNear = 1e-6;  // tolerance for sums of fractions
 }
 
 const Budget* Checks::of(BudgetKind kind) const {
@@ -22,8 +22,8 @@
   if (broken_.empty()) broken_ = what;
 }
 
-// A bucket that starts full admits what every window admits: at most rate x W + burst, by clocks that may be
-// fast by the bound.
+// A token bucket that starts full is equivalent to the limit of rate x W + burst over every window; the rate
+// allows for clocks that are fast by the drift bound.
 void Checks::spent_rate(Millis at) {
   const Budget* budget = of(BudgetKind::kRate);
   if (tokens_ < 0) tokens_ = budget->burst;
@@ -78,10 +78,10 @@
   const Plan* plan = counts ? &*state.plan : nullptr;
   std::map<std::string, const Record*> records;
   std::set<std::string> members;
-  for (const auto& [name, kept] : state.records) {
-    if (kept.blind) continue;
-    records[kept.record.id.text()] = &kept.record;
-    members.insert(kept.record.id.text());
+  for (const auto& [name, stored] : state.records) {
+    if (stored.blind) continue;
+    records[stored.record.id.text()] = &stored.record;
+    members.insert(stored.record.id.text());
   }
   if (plan != nullptr) {
     for (const auto& [id, parts] : plan->shares) members.insert(id);
@@ -108,14 +108,14 @@
   store_slots(store);
 }
 
-// All backends open for a slot in the plan, and in the plans that records have in force, are one.
+// For each slot at most one backend is open, over the current plan and the plans that records have in force.
 void Checks::store_slots(const Store& store) {
   std::vector<const Plan*> plans;
   const StoreState& state = store.state;
   if (state.plan && state.plan->history == state.cluster) plans.push_back(&*state.plan);
-  for (const auto& [name, kept] : state.records) {
-    const auto it = plans_.find(kept.record.epoch);
-    if (!kept.blind && it != plans_.end()) plans.push_back(it->second.get());
+  for (const auto& [name, stored] : state.records) {
+    const auto it = plans_.find(stored.record.epoch);
+    if (!stored.blind && it != plans_.end()) plans.push_back(it->second.get());
   }
   std::map<std::string, std::map<std::size_t, std::set<std::string>>> backends;
   for (const Plan* plan : plans) {
--- a/tests/fleet/search_node.cpp
+++ b/tests/fleet/search_node.cpp
@@ -57,7 +57,7 @@
   messages.emplace_back(Message{process, std::move(call), std::nullopt, now});
 }
 
-// What a process that is not slow sends is done, and answered, before anything else.
+// Calls of processes that are not slow are executed and answered before any other move.
 void Node::settle() {
   for (bool more = true; more;) {
     more = false;
@@ -83,7 +83,7 @@
 void Node::answer(int process, const AnyEvent& event, Millis begun) {
   if (const auto* answer = std::get_if<MemberEvent>(&event)) {
     member(process, *answer);
-    planner(process, HeardHistory{store->header(), begun});
+    planner(process, HistoryObserved{store->header(), begun});
   } else {
     planner(process, std::get<PlannerEvent>(event));
   }
@@ -131,14 +131,14 @@
     messages[i].own().given_up = true;
   }
   if (core) {
-    member(process, Lost{id});
+    member(process, MemberCallLost{id});
   } else {
     planner(process, CallLost{id});
   }
   return true;
 }
 
-// Its traffic takes over what is newest, until there is nothing new.
+// The process's traffic takes over the latest snapshots until there is no newer one.
 void Node::traffic(int process) {
   Cell& it = own(process);
   while (it.there && it.taken != it.latest) {
