--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -32,11 +32,11 @@
 Outcome parse_outcome(std::string_view code) {
   if (code == "served") return Outcome::kServed;
   if (code == "server_error") return Outcome::kError;
-  if (code == "turned_away") return Outcome::kTurnedAway;
+  if (code == "turned_away") return Outcome::kRejected;
   if (code == "no_answer") return Outcome::kNoAnswer;
   if (code == "no_connection") return Outcome::kNoConnection;
   if (code == "connection_lost") return Outcome::kConnectionLost;
-  if (code == "called_off") return Outcome::kCalledOff;
+  if (code == "called_off") return Outcome::kCancelled;
   if (code == "not_sent") return Outcome::kNotSent;
   throw FieldError("unknown StateCode \"" + std::string(code) + "\"");
 }
@@ -177,7 +177,7 @@
   if (message == "Inbox") {
     const auto decoded = peers::decode(parse_hex(text(line, "Raw")));
     if (!decoded) return std::nullopt;
-    return PeerTold{as_index(need(line, "Neighbour"), "Neighbour"), *decoded};
+    return PeerMessageReceived{as_index(need(line, "Neighbour"), "Neighbour"), *decoded};
   }
   throw FieldError("unknown message \"" + std::string(message) + "\"");
 }
@@ -248,7 +248,7 @@
     begin_message("CloseIdle");
     text("NodeId", instance);
     text("Backend", addresses.address(idle->backend));
-  } else if (const auto* to_peer = std::get_if<TellPeer>(&action)) {
+  } else if (const auto* to_peer = std::get_if<SendPeerMessage>(&action)) {
     static constexpr char kDigits[] = "0123456789abcdef";
     std::string raw;
     for (const char c : peers::encode(to_peer->message)) {
--- a/src/node/policy_host.cpp
+++ b/src/node/policy_host.cpp
@@ -61,7 +61,7 @@
   open.over = open.over || pass;
   event.request_over = open.over;
   endpoints_.heard(event.backend, event.outcome);
-  spare_capacity_.attempt_ended(event.outcome == Outcome::kTurnedAway);
+  spare_capacity_.attempt_ended(event.outcome == Outcome::kRejected);
   if (load != nullptr) spare_capacity_.reported(load->busy);
   requests_.ended(request, open);
   feed(event, now);
@@ -225,7 +225,7 @@
   choice.begin_by = send.begin_by;
   open.attempts.push_back(send.backend);
   endpoints_.use(send.backend);
-  if (open.over || choice.until <= now || choice.attempt >= open.rules.most_attempts ||
+  if (open.over || choice.until <= now || choice.attempt >= open.rules.max_attempts ||
       !open.affinity_hold.may_send()) {
     unsent_.emplace_back(AttemptEnded{
         send.request, send.backend, choice.attempt, outcome_of(Ending::kNotSent), 0, open.over, false, {}});
