--- a/src/node/generations.cpp
+++ b/src/node/generations.cpp
@@ -118,7 +118,7 @@
   const auto waits = [](const std::shared_ptr<Pool>& pool) { return !pool->told(); };
   const auto without_list = std::find_if(next->pools.begin(), next->pools.end(), waits);
   // Without a plan, the fleet admission has no backend for a key.
-  const bool without_plan = next->admission && !next->admission->told();
+  const bool without_plan = next->admission && !next->admission->plan_settled();
   if ((without_list != next->pools.end() || without_plan) && loop_.now() < pending_->deadline) {
     activation_timer_ = loop_.after(kActivationCheckInterval, [this] { activate_when_ready(); });
     return;
@@ -132,7 +132,7 @@
     next->pools[n]->follow(pool_configs[n]);
     next->pools[n]->rejoin();
   }
-  admissions_.go_by(*snapshot_, *next);
+  admissions_.switch_to(*snapshot_, *next);
   snapshot_ = next;
   host_.on_activated(next);
   for (const auto& pool : pools_) {
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -52,7 +52,7 @@
 void GracefulShutdown::apply_drain_state() {
   loop_.cancel(drain_timer_);
   const manage::DrainState state = drain_.state(loop_.now());
-  host_.front().follow(state);
+  host_.front().set_drain_state(state);
   spdlog::info("{}, {} requests in progress, {} connections", manage::name_of(state), host_.open_requests(),
                host_.front().clients());
   if (state == manage::DrainState::kDraining && drain_.drained_at() < manage::Drain::kNever)
@@ -60,15 +60,15 @@
 }
 
 void GracefulShutdown::finish_when_empty(Millis deadline) {
-  if (host_.front().empty()) return finish(loop_.now() + kGiveBackTimeout);
+  if (host_.front().close_idle()) return finish(loop_.now() + kGiveBackTimeout);
   if (loop_.now() < deadline) {
     loop_.after(kPollInterval, [this, deadline] { finish_when_empty(deadline); });
     return;
   }
   // Answers requests that came last, or whose deadline is longer than that of any current class.
-  host_.front().give_up();
+  host_.front().fail_all();
   loop_.after(kPollInterval, [this] {
-    host_.front().give_up();  // requests that came meanwhile
+    host_.front().fail_all();  // requests that came meanwhile
     finish(loop_.now() + kGiveBackTimeout);
   });
 }
@@ -78,7 +78,7 @@
     loop_.after(kPollInterval, [this, deadline] { finish(deadline); });
     return;
   }
-  host_.front().give_up();
+  host_.front().fail_all();
   spdlog::info("shut down, {} connections left", host_.front().clients());
   loop_.stop();
 }
--- a/src/node/server.cpp
+++ b/src/node/server.cpp
@@ -28,7 +28,7 @@
       reloader_(loop, {[this]() -> const Shape& { return shape_; },
                        [this](Config fresh) { apply(std::move(fresh)); }}),
       admissions_(loop, context.inherited.has_value(),
-                  [this](RequestId request) { request_table_.again(request); }),
+                  [this](RequestId request) { request_table_.reconsider(request); }),
       generations_(loop, admissions_,
                    {[this](const PoolConfig& pool_config, const Config& whole) {
                       return make_pool(pool_config, whole);
@@ -39,7 +39,7 @@
                     },
                     [this](std::shared_ptr<const RoutingSnapshot> next) {
                       recorder_.generation(next->number);
-                      front_->go_by(std::move(next));
+                      front_->use(std::move(next));
                     }}),
       room_(generations_.pools(), [this] { return max_streams(); }),
       request_table_([this](RequestId request, const Refusal& words) { front_->refuse(request, words); }),
@@ -66,17 +66,17 @@
     for (const auto& pool : generations_.pools()) pool->ban(ban_list_->bans());
   });
   generations_.start(config);
-  Front::Entry entry(config.listen);
-  entry.shared = !hot_restart_.standalone();
-  if (context.inherited) entry.listening = context.inherited->listener;
+  Front::ListenSpec listen(config.listen);
+  listen.shared = !hot_restart_.standalone();
+  if (context.inherited) listen.listening = context.inherited->listener;
   front_ = std::make_unique<Front>(
-      loop_, entry, generations_.snapshot(),
+      loop_, listen, generations_.snapshot(),
       Front::Listener{
           [this](RequestId request, const RequestInfo& info, const RequestRoute& request_route,
                  std::shared_ptr<const Message> message) {
-            request_table_.take(request, info, request_route, std::move(message));
+            request_table_.accept(request, info, request_route, std::move(message));
           },
-          [this](RequestId request) { request_table_.gone(request); },
+          [this](RequestId request) { request_table_.client_gone(request); },
           [this] {
             const bool is_ready = ready();
             if (is_ready) readiness_.log_first_ready(snapshot());
@@ -86,10 +86,10 @@
           [this](std::size_t unused) { return static_cast<int>(unused) * kManyIdleDivisor > max_streams(); },
           [this] { return Stream::open_count() * kPlentifulDivisor < max_streams(); },
           [this] { return room_.make(limits::Purpose::kClient, *front_); },
-          [this](RequestId request, Millis due) { request_table_.body_whole(request, due); }, flow_budget_,
+          [this](RequestId request, Millis due) { request_table_.body_complete(request, due); }, flow_budget_,
           &recorder_});
   if (!hot_restart_.standalone()) ban_list_->use_file(context.ban_file_path());
-  admissions_.go_by(snapshot(), snapshot());
+  admissions_.switch_to(snapshot(), snapshot());
   for (const auto& pool : generations_.pools()) pool->start();
   hot_restart_.begin();
   if (config.admin) {
@@ -106,7 +106,8 @@
   };
   host.refuse = [this](RequestId request, Millis wait) {
     request_table_.close(request, FleetAdmission::End::kFailed);
-    front_->refuse(request, {.why = snapshot().admission ? kWhyNoRoom : "", .wait = wait});
+    front_->refuse(
+        request, {.proxy_status = snapshot().admission ? kProxyStatusUnavailable : "", .retry_after = wait});
   };
   host.fail = [this](RequestId request, int status) {
     request_table_.close(request, FleetAdmission::End::kFailed);
--- a/tests/full_tables_test.cpp
+++ b/tests/full_tables_test.cpp
@@ -1,4 +1,4 @@
-// Which connections are closed when one could not be had: on sockets none, as a full table answers.
+// Which idle connections are closed when a connection to a backend could not be established: none.
 #include <gtest/gtest.h>
 
 #include "node/policy_host.h"
@@ -17,9 +17,10 @@
   return settings;
 }
 
-// Guards against handshakes by the hundred after a process died or a way was cut: all idle connections were
-// closed, to all backends, though only those there were of no use.
-TEST(FullTables, AConnectionThatCouldNotBeHadClosesNoOthers) {
+// When a backend process had died or its network was cut, the idle connections to all backends used to be
+// closed, which caused hundreds of new handshakes although only the connections to that backend were of no
+// use.
+TEST(FullTables, AFailedConnectionClosesNoOthers) {
   for (const bool reloaded : {false, true}) {
     HostSettings host;
     host.classes = {"look"};
@@ -44,7 +45,7 @@
       for (; choice.kind == Choice::Kind::kSend; ++sent) {
         const Ending ending = sent % 2 == 0 ? Ending::kRefused : Ending::kConnectTimeout;
         choice = policy_host.report(request, choice.attempt, ending, 1, nullptr, now);
-        EXPECT_TRUE(policy_host.tick(now).crowded.empty()) << name_of(ending);
+        EXPECT_TRUE(policy_host.tick(now).close_idle.empty()) << name_of(ending);
       }
     }
     EXPECT_GT(sent, 3U);
