--- a/src/node/affinity_router.cpp
+++ b/src/node/affinity_router.cpp
@@ -81,7 +81,7 @@
   std::uint64_t changes = 0;
   for (const auto& watched : pools_) {
     const std::shared_ptr<Pool> pool = watched.lock();
-    if (!pool || !pool->told()) return;
+    if (!pool || !pool->has_current_list()) return;
     changes += pool->list_changes();
   }
   if (changes == list_changes_ && loop_.now() - sent_at_ < kWarmthUpdateInterval) return;
@@ -97,7 +97,7 @@
       backend.cell = cell_name(one.site, one.cell);
       backend.pool = pool->name();
       backend.weight = one.size > 0 ? one.size : 1;
-      backend.warm = affinity::warm_step(warmth(pool->config().settings, one.born, loop_.now()));
+      backend.warm = affinity::warm_step(warmth(pool->config().settings, one.started, loop_.now()));
       backend.draining = one.health != "ready";
       backends.push_back(std::move(backend));
     }
--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -10,8 +10,8 @@
 namespace shorelead::node {
 namespace {
 
-// Whatever of a pool's configuration its module and its connections were made from.
-bool same_making(const PoolConfig& a, const PoolConfig& b) {
+// Whether the parts of the configuration that the policy and the connections were built from are the same.
+bool same_structure(const PoolConfig& a, const PoolConfig& b) {
   return a.settings == b.settings && a.host.zones == b.host.zones &&
          a.host.idle_timeout == b.host.idle_timeout && a.host.tenants == b.host.tenants &&
          a.host.classes == b.host.classes && a.fleet == b.fleet && a.view == b.view &&
@@ -28,8 +28,8 @@
       policy_host_(config.settings, config.host, seed, config.fleet),
       record_({loop, host_.recorder}) {
   policy_host_.on_deferred_action([this] {
-    if (std::exchange(settling_, true)) return;
-    loop_.later([this] { settle(); });
+    if (std::exchange(run_due_scheduled_, true)) return;
+    loop_.later([this] { run_due(); });
   });
   const auto purpose = [](bool probe) { return probe ? limits::Purpose::kProbe : limits::Purpose::kRequest; };
   upstream_ = std::make_unique<Upstream>(
@@ -39,7 +39,7 @@
                          },
                          [this](BackendId backend, const Result& result) {
                            counters_.probe_ended(policy_host_.host(backend), result.ending, result.elapsed);
-                           record_.probed(policy_host_.host(backend), result, loop_.now());
+                           record_.probe_ended(policy_host_.host(backend), result, loop_.now());
                            policy_host_.report_probe(backend, result.ending, result.elapsed,
                                                      result.load ? &*result.load : nullptr, loop_.now());
                          },
@@ -60,10 +60,10 @@
                                 record_.list(list);
                                 const auto unwanted = policy_host_.report_list(list, from, loop_.now());
                                 for (const BackendId one : unwanted)
-                                  record_.withdrawn_by(list.version, policy_host_.host(one));
+                                  record_.log_withdrawn(list.version, policy_host_.host(one));
                                 upstream_->withdraw(unwanted);
                                 for (const auto& one : policy_host_.take_restarted())
-                                  upstream_->restarted(one.backend, one.started);
+                                  upstream_->backend_restarted(one.backend, one.started);
                               },
                               [this] { policy_host_.report_watch_ended(loop_.now()); },
                               [this](const ListValidity& validity) {
@@ -72,7 +72,7 @@
                               }});
 }
 
-Pool::~Pool() { loop_.cancel(wake_); }
+Pool::~Pool() { loop_.cancel(wake_timer_); }
 
 void Pool::start() {
   const List known = source_->known();
@@ -84,7 +84,7 @@
 std::string Pool::list_text() const {
   std::vector<ListedBackend> all = listed_backends();
   for (ListedBackend& backend : all) {
-    if (backend.born > 0) backend.born = loop_.to_wall(backend.born);
+    if (backend.started > 0) backend.started = loop_.to_wall(backend.started);
   }
   return node::list_text(all);
 }
@@ -99,10 +99,10 @@
   policy_host_.body_complete(request, due);
 }
 
-bool Pool::serves_as(const PoolConfig& config) const { return same_making(config_, config); }
+bool Pool::serves_as(const PoolConfig& config) const { return same_structure(config_, config); }
 
 void Pool::follow(const PoolConfig& config) {
-  if (config.name != config_.name) spdlog::info("pool {} is now called {}", config_.name, config.name);
+  if (config.name != config_.name) spdlog::info("pool {} was renamed to {}", config_.name, config.name);
   config_ = config;
   source_->follow(config);
 }
@@ -122,10 +122,10 @@
 void Pool::request(RequestId request, const RequestInfo& info, std::shared_ptr<const Message> message) {
   open_[request].message = std::move(message);
   record_.request(request, policy_host_.settings(), info);
-  carry_out(policy_host_.pick(request, info, loop_.now()));
+  execute(policy_host_.pick(request, info, loop_.now()));
 }
 
-void Pool::gone(RequestId request) {
+void Pool::client_gone(RequestId request) {
   policy_host_.report_client_gone(request, loop_.now());
   close(request);
 }
@@ -137,24 +137,24 @@
   close(request);
 }
 
-void Pool::carry_out(const Choice& choice) {
+void Pool::execute(const Choice& choice) {
   guarded(
-      choice.request, [&] { carry_out_step(choice); }, [&] { abandon(choice.request); });
+      choice.request, [&] { execute_step(choice); }, [&] { fail_after_exception(choice.request); });
 }
 
-// Its way broke off within this node: nothing more of it is sent, and it is answered as failed.
-void Pool::abandon(RequestId request) {
-  record_.threw(request);
+// An exception interrupted the handling of the request: nothing more is sent for it, and it fails.
+void Pool::fail_after_exception(RequestId request) {
+  record_.handler_threw(request);
   policy_host_.cancel(request, loop_.now());
   host_.fail(request, 500);
   close(request);
 }
 
-void Pool::carry_out_step(const Choice& choice) {
+void Pool::execute_step(const Choice& choice) {
   const auto it = open_.find(choice.request);
   switch (choice.kind) {
     case Choice::Kind::kSend:
-      // Of a body that comes by parts, what was given to one backend is not there for another.
+      // A streamed body of which a part was given to one backend is not available for another.
       if (it == open_.end() || (it->second.message->flow && it->second.message->flow->touched())) {
         Result result;
         return attempt_done(choice.request, choice.attempt, result);
@@ -181,36 +181,36 @@
   }
 }
 
-// The request is over: an attempt at it that waits for a connection has not been sent, and is not to be.
+// The request is over: an attempt that still waits for a connection must not be written.
 void Pool::close(RequestId request) {
   open_.erase(request);
-  upstream_->stop_unsent(request);
+  upstream_->cancel_unsent(request);
 }
 
-// Does what fell due, and sees to it that the next is not missed.
-void Pool::settle() {
-  settling_ = false;
+// Runs the actions that are due and sets the timer for the next.
+void Pool::run_due() {
+  run_due_scheduled_ = false;
   const DeferredActions due = policy_host_.tick(loop_.now());
   upstream_->withdraw(due.unwanted);
-  upstream_->close_unused(due.close_idle);
-  for (const Choice& choice : due.choices) carry_out(choice);
-  for (const auto& [request, attempt] : due.cancellations) upstream_->call_off(request, attempt);
+  upstream_->close_idle(due.close_idle);
+  for (const Choice& choice : due.choices) execute(choice);
+  for (const auto& [request, attempt] : due.cancellations) upstream_->cancel(request, attempt);
   for (const BackendId backend : due.probes) probe(backend);
   if (due.start_watch) source_->watch();
-  if (due.next == wake_at_ && wake_ != 0) return;
-  loop_.cancel(wake_);
+  if (due.next == wake_at_ && wake_timer_ != 0) return;
+  loop_.cancel(wake_timer_);
   wake_at_ = due.next;
   if (due.next > 0) {
-    wake_ = loop_.at(due.next, [this] {
-      wake_ = 0;
-      settle();
+    wake_timer_ = loop_.at(due.next, [this] {
+      wake_timer_ = 0;
+      run_due();
     });
   }
 }
 
 void Pool::probe(BackendId backend) {
-  if (left_) {
-    // By whoever has its backends now. Not from within settle(), which the answer would call.
+  if (retired_) {
+    // The pool that replaced this one probes its backends. Deferred, as run_due() must not call itself.
     loop_.later(
         [this, backend] { policy_host_.report_probe(backend, Ending::kNotSent, 0, nullptr, loop_.now()); });
     return;
@@ -221,7 +221,7 @@
 
 void Pool::attempt_done(RequestId request, int attempt, const Result& result) {
   guarded(
-      request, [&] { attempt_ended(request, attempt, result); }, [&] { abandon(request); });
+      request, [&] { attempt_ended(request, attempt, result); }, [&] { fail_after_exception(request); });
 }
 
 void Pool::attempt_ended(RequestId request, int attempt, const Result& result) {
@@ -231,20 +231,20 @@
   const Choice choice = policy_host_.report(request, attempt, result.ending, result.elapsed,
                                             result.load ? &*result.load : nullptr, loop_.now());
   if (choice.kind == Choice::Kind::kForward) {
-    host_.serve(request, *result.answer, result.flow);
+    host_.serve(request, *result.response, result.flow);
     close(request);
     return;
   }
-  carry_out(choice);
+  execute(choice);
 }
 
-void Pool::log_counters(const std::string& before) const {
-  counters_.log(before);
-  source_->log_counters(before);
-  spdlog::info("counters: {}boxes={} ready={} backends={} idle={} made={} reused={} open_requests={}", before,
+void Pool::log_counters(const std::string& prefix) const {
+  counters_.log(prefix);
+  source_->log_counters(prefix);
+  spdlog::info("counters: {}boxes={} ready={} backends={} idle={} made={} reused={} open_requests={}", prefix,
                policy_host_.backends(), policy_host_.ready(), upstream_->connections(), upstream_->idle(),
                upstream_->opened(), upstream_->reused(), policy_host_.open_requests());
-  if (const auto subset = policy_host_.subset_counters()) PoolCounters::log_subset(before, *subset);
+  if (const auto subset = policy_host_.subset_counters()) PoolCounters::log_subset(prefix, *subset);
 }
 
 }  // namespace shorelead::node
--- a/tests/crossings/attempts_test.cpp
+++ b/tests/crossings/attempts_test.cpp
@@ -1,5 +1,5 @@
-// Attempts and the moments that bound them: the window for repeats, the time given, the end of a body, a
-// call-off; each as it meets the connection coming up, a write or an answer.
+// Attempts and the times that bound them: the window for repeats, the due time, the end of a body, a
+// cancellation; each at the same time as a connect, a write or a response.
 #include <gtest/gtest.h>
 
 #include "upstream_case.h"
@@ -7,9 +7,9 @@
 namespace shorelead::node {
 namespace {
 
-// Rule "no effect twice": decided within the window of the attempt before it, but its connection came up
-// after.
-TEST(Attempts, ARepeatIsNotWrittenAfterItsWindow) {
+// Rule "no effect twice": decided within the window of the attempt before, but the connection was established
+// later.
+TEST(Attempts, RepeatIsNotWrittenAfterItsWindow) {
   Peer peer;
   Backends b;
   b.send(peer, kLong, post_of(1), b.loop.now() + kSoon);
@@ -19,7 +19,7 @@
   EXPECT_EQ(there.rest(), "");
 }
 
-TEST(Attempts, ARepeatWaitsForAConnectionNoLongerThanItsWindow) {
+TEST(Attempts, RepeatWaitsForAConnectionNoLongerThanItsWindow) {
   FullPeer peer;
   Backends b;
   const Millis began = b.loop.now();
@@ -29,7 +29,7 @@
 }
 
 // A backend begins a request with its last byte.
-TEST(Attempts, ARepeatThatTheSocketTookInPartEndsWithItsWindow) {
+TEST(Attempts, PartlyWrittenRepeatEndsWithItsWindow) {
   Peer peer;
   Backends b;
   const auto message = post_of(kMuch);
@@ -41,7 +41,7 @@
   EXPECT_LT(there.rest().size(), kMuch);
 }
 
-TEST(Attempts, ARepeatsBodyThatEndsAfterItsWindowIsNotEndedThere) {
+TEST(Attempts, RepeatsBodyEndingAfterTheWindowIsNotCompleted) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts();
@@ -57,8 +57,8 @@
   EXPECT_FALSE(there.rest().ends_with("0\r\n\r\n"));
 }
 
-// Rule "one final answer": nothing is sent for a request after its time.
-TEST(Attempts, NothingIsWrittenOnceItsTimeIsUp) {
+// Rule "one final answer": nothing is sent for a request after its due time.
+TEST(Attempts, NothingIsWrittenAfterTheDueTime) {
   Peer peer;
   Backends b;
   b.send(peer, kSoon);
@@ -68,8 +68,8 @@
   EXPECT_EQ(there.rest(), "");
 }
 
-// The time that a backend is told is what is left when its connection is there.
-TEST(Attempts, TheTimeToldIsWhatIsLeftAtTheWrite) {
+// The time sent to a backend is what is left when the request is written.
+TEST(Attempts, TimeSentToTheBackendIsWhatIsLeftAtTheWrite) {
   Peer peer;
   Backends b;
   b.send(peer, kLong);
@@ -85,8 +85,8 @@
   EXPECT_EQ(b.run(), Ending::kServed);
 }
 
-// Each would get a part of it, and the one with the end would run on that part.
-TEST(Attempts, TwoDoNotShareABodyThatComesByParts) {
+// Each attempt would get a part of the body, and the one with the end would run on that part.
+TEST(Attempts, TwoAttemptsDoNotShareAStreamedBody) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts();
@@ -112,9 +112,9 @@
   EXPECT_EQ(two.rest(), "");
 }
 
-// The limit of a body that was whole at once, on a connection used again, outlived its attempt: it ended the
-// next one there, or found none.
-TEST(Attempts, ALimitEndsWithItsAttempt) {
+// The timer of a request with an unstreamed body, on a reused connection, outlived its attempt: it ended the
+// next attempt there, or found none.
+TEST(Attempts, TimerEndsWithItsAttempt) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts(4);
@@ -138,12 +138,12 @@
     b.loop.after(3 * kSoon, answer);
   });
   EXPECT_EQ(b.run(), Ending::kServed);
-  EXPECT_EQ(b.told, 3);
+  EXPECT_EQ(b.reports, 3);
   EXPECT_EQ(b.upstream.opened(), 1U);
 }
 
-// The same where nothing is under way there by then: it was a crash.
-TEST(Attempts, ALimitDoesNotReachAConnectionThatStandsUnused) {
+// The same if the connection is idle by then, which crashed the process.
+TEST(Attempts, TimerDoesNotFireOnAnIdleConnection) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts(4);
@@ -165,8 +165,8 @@
   EXPECT_EQ(b.upstream.idle(), 1U);
 }
 
-// Answer and time-out in the same turn: more of it than one read takes.
-TEST(Attempts, ALongAnswerThatHasComeIsNotLate) {
+// Response and timeout in the same turn, with more of the response than one read takes.
+TEST(Attempts, LongResponseAlreadyReceivedAtTheDeadlineIsServed) {
   Peer peer;
   Backends b;
   b.send(peer, kLong);
@@ -183,11 +183,11 @@
   });
   EXPECT_EQ(b.run(), Ending::kServed);
   EXPECT_EQ(b.answer.size(), 60000U);
-  EXPECT_EQ(b.told, 2);
+  EXPECT_EQ(b.reports, 2);
 }
 
-// Answer and call-off in the same turn: one end, and the connection goes with the answer unread.
-TEST(Attempts, AnAnswerAndItsCallOffInOneTurnAreOneEnd) {
+// Response and cancellation in the same turn: one end, and the connection is closed with the response unread.
+TEST(Attempts, ResponseAndCancellationInOneTurnEndTheAttemptOnce) {
   Peer peer;
   Backends b;
   b.send(peer, kLong);
@@ -195,24 +195,24 @@
   once_readable(b.loop, there, [&] {
     there.request();
     there.write(kEmptyOk);
-    b.upstream.call_off(1, 0);
-    b.upstream.call_off(1, 0);
+    b.upstream.cancel(1, 0);
+    b.upstream.cancel(1, 0);
   });
   EXPECT_EQ(b.run(), Ending::kCancelled);
-  EXPECT_EQ(b.told, 1);
+  EXPECT_EQ(b.reports, 1);
   EXPECT_EQ(b.upstream.connections(), 0U);
 }
 
-// The connection is up, but the loop has not seen it yet: given up, over, or its backend withdrawn.
-TEST(Attempts, AConnectionThatComesUpAfterItWasGivenUpCarriesNothing) {
+// The connection is established but the loop has not seen it: timed out, request over, or backend withdrawn.
+TEST(Attempts, ConnectionEstablishedAfterItWasGivenUpCarriesNothing) {
   for (int n = 0; n < 3; ++n) {
     Peer peer;
     Backends b;
     b.send(peer, kLong);
     Line there = peer.accept();
     b.loop.later([&] {
-      if (n == 0) b.upstream.call_off(1, 0);
-      if (n == 1) b.upstream.stop_unsent(1);
+      if (n == 0) b.upstream.cancel(1, 0);
+      if (n == 1) b.upstream.cancel_unsent(1);
       if (n == 2) b.upstream.withdraw({0});
     });
     EXPECT_EQ(b.run(), Ending::kStoppedUnsent) << n;
@@ -221,7 +221,7 @@
 }
 
 // For drains a send counts from its first byte.
-TEST(Attempts, ABodyThatGoesOutWhenItsBackendIsWithdrawnGoesOn) {
+TEST(Attempts, BodyBeingSentContinuesAfterTheBackendsWithdrawal) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts();
--- a/tests/crossings/connections_test.cpp
+++ b/tests/crossings/connections_test.cpp
@@ -1,5 +1,5 @@
-// Connections to backends and how they end: resets and ends before, in and behind the last byte written, and
-// within an answer; what was written to and what stood unused.
+// Connections to backends and how they end: resets and ends of stream before, during and after the last byte
+// written, and within a response; connections in use and idle ones.
 #include <gtest/gtest.h>
 
 #include "upstream_case.h"
@@ -29,8 +29,8 @@
   bool was_cut = false;
 };
 
-// A reset is no end: also where it lies behind the bytes unread, over several reads.
-TEST(Connections, AResetIsNoEndOfAnAnswerWithoutLength) {
+// A reset is no end of stream, even behind unread bytes that take several reads.
+TEST(Connections, ResetDoesNotCompleteAResponseWithoutLength) {
   for (const std::size_t size : {4U, 40000U}) {
     for (const bool reset : {false, true}) {
       Peer peer;
@@ -48,8 +48,8 @@
   }
 }
 
-// Nor of one that is already passed on.
-TEST(Connections, AResetCutsAnAnswerThatIsPassedOn) {
+// The same for a response that is already being forwarded.
+TEST(Connections, ResetCutsAStreamedResponse) {
   for (const bool reset : {false, true}) {
     Peer peer;
     Backends b;
@@ -73,9 +73,9 @@
   }
 }
 
-// The system tells of a reset once: where a write has met it, the read behind it sees but an end, and part of
-// an answer would have passed for all of it.
-TEST(Connections, AResetThatAWriteHasMetIsNoEnd) {
+// The system reports a reset once: after a write has met it, a read sees only an end of stream, and a part of
+// a response would be taken for all of it.
+TEST(Connections, ResetSeenByAWriteDoesNotCompleteTheResponse) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts();
@@ -92,8 +92,8 @@
   EXPECT_EQ(b.run(), Ending::kBrokenUnsent);
 }
 
-// "It breaks before the request's last byte is written: never run"; behind it, it may have.
-TEST(Connections, AResetTellsByTheLastByteWhetherItMayHaveRun) {
+// A reset before the request's last byte is written: never run; after it, it may have run.
+TEST(Connections, ResetAfterTheLastByteMayHaveRunAndBeforeItHasNot) {
   for (const auto& [size, ending] :
        {std::pair{kMuch, Ending::kBrokenUnsent}, std::pair{std::size_t{1}, Ending::kBroken}}) {
     Peer peer;
@@ -108,8 +108,8 @@
   }
 }
 
-// The last part is written to a connection that was reset in the same turn: nothing of it has gone.
-TEST(Connections, ALastPartThatCouldNotBeWrittenHasNotRun) {
+// The last part is written to a connection that was reset in the same turn: nothing of it was sent.
+TEST(Connections, LastPartThatCouldNotBeWrittenHasNotRun) {
   Peer peer;
   Backends b;
   const auto message = b.by_parts(9);
@@ -125,9 +125,9 @@
   EXPECT_EQ(b.run(), Ending::kBrokenUnsent);
 }
 
-// What came on a new connection before its request was written is no answer to it, and an end proves that it
-// cannot have run.
-TEST(Connections, WhatComesBeforeTheRequestMeansThatItCannotHaveRun) {
+// Input on a new connection before its request is written is no response to it, and an end of stream proves
+// that it cannot have run.
+TEST(Connections, InputBeforeTheRequestMeansThatItCannotHaveRun) {
   for (const std::string& first : {std::string(), std::string("HTTP/1.1 408 Timeout\r\n"), kEmptyOk}) {
     Peer peer;
     Backends b;
@@ -141,8 +141,8 @@
   }
 }
 
-// Closed or spoken on while it stood unused, and not read yet: another one is made.
-TEST(Connections, WhatWasEndedUnreadIsNotUsedAgain) {
+// An idle connection was closed or received input that was not read yet: a new one is opened.
+TEST(Connections, IdleConnectionWithUnreadInputIsNotReused) {
   const std::vector<std::function<void(Line&)>> surprises = {[](Line& there) { there.close(); },
                                                              [](Line& there) { there.reset(); },
                                                              [](Line& there) { there.write("HTTP/1"); }};
@@ -172,8 +172,8 @@
   }
 }
 
-// Right after the write: it may have run, and is told so.
-TEST(Connections, OneUsedAgainThatIsResetUnderItsRequestMayHaveRun) {
+// A reset right after the write: the request may have run, and is reported so.
+TEST(Connections, ResetOfAReusedConnectionAfterTheWriteMayHaveRun) {
   Peer peer;
   Backends b;
   b.send(peer, kLong);
@@ -190,8 +190,8 @@
   EXPECT_EQ(b.upstream.reused(), 1U);
 }
 
-// The backend may close it after the stated time; half of that is left to what is on its way.
-TEST(Connections, OneIsUsedAgainForHalfOfTheTimeThatItsBackendKeepsIt) {
+// The backend may close it after the idle timeout; half of that is left as a margin for data in transit.
+TEST(Connections, ConnectionIsReusedForHalfOfTheBackendsIdleTimeout) {
   constexpr Millis kKeeps = 100;
   Peer peer;
   Backends b(kKeeps);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The watch on the list, alone on a loop, against a discovery that the test plays.
+// The watch on the list, alone on a loop, against a discovery that the test scripts.
 #include "node/discovery.h"
 
 #include <gtest/gtest.h>
@@ -13,10 +13,10 @@
 constexpr Millis kSoon = 30;
 constexpr Millis kLong = 15000;
 
-// Discovery with a record of what it told.
+// A Discovery that records what it reports.
 class Watched {
  public:
-  explicit Watched(const Discovery::Waits& waits = {kLong, kLong, kLong})
+  explicit Watched(const Discovery::Timeouts& timeouts = {kLong, kLong, kLong})
       : discovery(loop, Poco::Net::SocketAddress("127.0.0.1", peer.port()), 5,
                   {[this](const List& list) {
                      lists.push_back(list);
@@ -26,11 +26,11 @@
                      ending = how;
                      loop.stop();
                    }},
-                  waits) {
+                  timeouts) {
     discovery.watch();
   }
 
-  // Answers the watch with `text` and runs the loop until something was told.
+  // Answers the watch with `text` and runs the loop until something is reported.
   void answer(const std::string& text) {
     Line there = peer.accept();
     once_readable(loop, there, [&] {
@@ -49,26 +49,26 @@
 
 const std::string kWatchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-TEST(Discovery, ASilentWatchIsDead) {
+TEST(Discovery, SilentWatchEndsAsSilent) {
   Watched w({kLong, kLong, kSoon});
   w.answer(kWatchHead + "1\r\n\n\r\n");
   EXPECT_EQ(w.ending, Ending::kSilent);
   EXPECT_FALSE(w.discovery.watching());
 }
 
-TEST(Discovery, ACallWithoutAnswerIsGivenUp) {
+TEST(Discovery, CallWithoutResponseTimesOut) {
   Watched w({kLong, kSoon, kLong});
   w.loop.run();
   EXPECT_EQ(w.ending, Ending::kTimeout);
 }
 
-TEST(Discovery, ATurnedAwayCallEndsTheWatch) {
+TEST(Discovery, RejectedCallEndsTheWatch) {
   Watched w;
   w.answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
   EXPECT_EQ(w.ending, Ending::kRejected);
 }
 
-TEST(Discovery, LinesMaySpanChunks) {
+TEST(Discovery, ListsMaySpanChunks) {
   Watched w;
   w.answer(kWatchHead + "8\r\n{\"seq\":6\r\n1a\r\n,\"whole\":true,\"hosts\":[]}\n\r\n");
   ASSERT_EQ(w.lists.size(), 1U);
@@ -77,8 +77,8 @@
   EXPECT_EQ(w.discovery.version(), 6U);
 }
 
-// Guards against a list that is wrong for good: a line that cannot be read is not passed over.
-TEST(Discovery, ALineThatCannotBeReadEndsTheWatch) {
+// Skipping an invalid list would leave the node's list wrong for good.
+TEST(Discovery, InvalidListEndsTheWatch) {
   for (const std::string line : {"7\r\n{\"seq\"}\r\n1\r\n\n\r\n", "9\r\n{\"seq\":6}\r\n1\r\n\n\r\n"}) {
     Watched w;
     w.answer(kWatchHead + line);
--- a/tests/membership/writes_test.cpp
+++ b/tests/membership/writes_test.cpp
@@ -1,5 +1,5 @@
-// What is said to a registry to change it: any transaction means the same to the stand-in, which reads and
-// answers with texts of its own; whatever is cut, foreign or does not fit is refused with its cause.
+// Requests that change a registry: the simulated registry, which parses and answers with its own code, takes
+// any transaction in the same sense; responses that are cut, foreign or do not fit are rejected with a cause.
 #include "membership/registry/writes.h"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
   return txn;
 }
 
-// The stand-in's answer to a request's text.
+// The simulated registry's response to a request's text.
 std::string answer_of(lab::KeyStore& store, const std::string& text, lab::TxnResult& result) {
   std::string cause;
   const auto call = etcd::read_call("/v3/kv/txn", text, cause);
@@ -47,7 +47,7 @@
   return etcd::head(store.cluster(), 0, result.revision) + etcd::tail(asked, result) + "}";
 }
 
-RC_GTEST_PROP(Writes, ATransactionMeansTheSameToBothSides, ()) {
+RC_GTEST_PROP(Writes, TransactionMeansTheSameToTheSimulatedRegistry, ()) {
   lab::KeyStore store;
   store.grant(7, 1000, 0);
   store.put("/f/a", "1", 7);
@@ -83,14 +83,14 @@
       RC_ASSERT((found.items.empty() || found.items[0].second.lease == put->lease));
     }
   }
-  // Cut anywhere it is refused, with a cause.
+  // Cut anywhere it is rejected with a cause.
   const std::size_t cut = *rc::gen::inRange<std::size_t>(0, text.size());
   cause.clear();
   RC_ASSERT(!parse_txn(asked, text.substr(0, cut), cause).has_value());
   RC_ASSERT(!cause.empty());
 }
 
-TEST(Writes, WhatDoesNotFitIsRefusedWithItsCause) {
+TEST(Writes, ResponsesThatDoNotFitAreRejectedWithACause) {
   const Txn asked{{}, {Put{"a", "b"}, Get{"a", ""}}, {Delete{"a"}}};
   const std::string good = R"({"response_put":{}},{"response_range":{"count":"1","kvs":[{"key":"YQ=="}]}})";
   std::string cause;
@@ -100,11 +100,11 @@
       {R"({"succeeded":true,"responses":[)" + good + "]}", "no header"},
       {R"({"header":{},"succeeded":true})", "not as many responses"},
       {R"({"header":{},"responses":[)" + good + "]}", "not as many responses"},
-      {R"({"header":{},"responses":[{"response_put":{}}]})", "not to its step"},
+      {R"({"header":{},"responses":[{"response_put":{}}]})", "does not fit its step"},
       {R"({"header":{},"succeeded":1})", "succeeded is neither"},
-      {R"({"header":{},"succeeded":true,"responses":[3,4]})", "not to its step"},
+      {R"({"header":{},"succeeded":true,"responses":[3,4]})", "does not fit its step"},
       {R"({"header":{},"succeeded":true,"responses":[{"response_put":{}},{"response_range":{"kvs":3}}]})",
-       "kvs is no list"},
+       "kvs is not a list"},
   };
   for (const auto& [text, words] : bad) {
     EXPECT_FALSE(parse_txn(asked, text, cause)) << text;
@@ -112,7 +112,7 @@
   }
 }
 
-TEST(Writes, LeasesAreReadAsPublished) {
+TEST(Writes, LeaseResponsesAreParsed) {
   std::string cause;
   const auto granted =
       parse_grant(R"({"header":{"cluster_id":"3","revision":"5"},"ID":"7587848390","TTL":"5"})", cause);
@@ -128,7 +128,7 @@
     ASSERT_TRUE(parse_kept(7, gone, cause)) << cause;
     EXPECT_EQ(parse_kept(7, gone, cause)->seconds, 0);
   }
-  EXPECT_FALSE(parse_kept(8, R"({"result":{"header":{},"ID":"7","TTL":"4"}})", cause));  // another's
+  EXPECT_FALSE(parse_kept(8, R"({"result":{"header":{},"ID":"7","TTL":"4"}})", cause));  // of another lease
   for (const char* const bad :
        {"", "{}", R"({"header":{},"TTL":"5"})", R"({"header":{},"ID":"-7","TTL":"5"})",
         R"({"header":{},"ID":"7"})", R"({"header":{},"ID":"7","TTL":"x"})"}) {
--- a/tests/upstream_answers_test.cpp
+++ b/tests/upstream_answers_test.cpp
@@ -1,4 +1,4 @@
-// Attempts and probes by what comes back on their connections, and by how old these are.
+// Attempts and probes by what arrives on their connections, and by how long these were idle.
 #include <gtest/gtest.h>
 
 #include <thread>
@@ -8,21 +8,21 @@
 namespace shorelead::node {
 namespace {
 
-TEST(Upstream, ConnectionsOfAnUnfitAgeAreNotUsedAgain) {
+TEST(Upstream, ConnectionsIdleForAnUnusableTimeAreNotReused) {
   Peer peer;
   UpstreamAlone b;
   const std::string ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
   std::vector<Line> lines;
   int broke = 0;
   const auto wait = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
-  // Each connection answers its first request, stands unused for 30 ms and is reset by the next.
+  // Each connection answers its first request, is idle for 30 ms and is reset by the next.
   std::function<void()> next = [&] {
     if (broke == 6) return b.loop.stop();
     b.steps.push_back([&] {
       wait();
       const auto opened = b.upstream.opened();
       b.send(peer, kLong);
-      if (b.upstream.opened() != opened) return b.loop.stop();  // it was not used again
+      if (b.upstream.opened() != opened) return b.loop.stop();  // it was not reused
       ++broke;
       lines.back().request();
       lines.back().reset();
@@ -41,7 +41,7 @@
   EXPECT_LT(broke, 6);
 }
 
-TEST(Upstream, ProbesBringTheLoadInBodyOrHeader) {
+TEST(Upstream, ProbesReportTheLoadFromBodyOrHeader) {
   for (const std::string answer :
        {"HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\ninflight=7,queue=2,util=.5",
         "HTTP/1.1 200 OK\r\nX-Server-Load: inflight=7, queue=2,util=0.5\r\nContent-Length: 0\r\n\r\n"}) {
@@ -62,8 +62,8 @@
   }
 }
 
-// Interim answers before the final one, more than a stack would hold; but nobody asked for another protocol.
-TEST(Upstream, InterimAnswersHoweverManyAreNotTheFinalOne) {
+// More interim responses than a stack would hold, before the final one; a switch of protocols is malformed.
+TEST(Upstream, ManyInterimResponsesAreSkipped) {
   for (const auto& [last, ending] :
        {std::pair{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Ending::kServed},
         std::pair{"HTTP/1.1 101 Switching Protocols\r\n\r\n", Ending::kMalformed}}) {
@@ -81,9 +81,9 @@
   }
 }
 
-// What was written before its backend was withdrawn comes to its end, and then the connection goes: the
-// number of a backend that is gone may pass to another.
-TEST(Upstream, AConnectionToAWithdrawnBackendIsNotKept) {
+// A request written before its backend was withdrawn completes, then its connection is closed: the number of
+// a gone backend may be reused for another.
+TEST(Upstream, ConnectionToAWithdrawnBackendIsNotKept) {
   Peer peer;
   UpstreamAlone b;
   b.send(peer, kLong);
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -9,7 +9,7 @@
 namespace shorelead::node {
 namespace {
 
-TEST(Upstream, NoAnswerInTimeMayHaveRun) {
+TEST(Upstream, NoResponseInTimeEndsAsTimeout) {
   Peer peer;
   UpstreamAlone b;
   b.send(peer, kSoon);
@@ -17,21 +17,21 @@
   EXPECT_EQ(b.upstream.connections(), 0U);
 }
 
-TEST(Upstream, AConnectionThatNeverComesUpHasRunNothing) {
+TEST(Upstream, ConnectThatNeverSucceedsEndsAsConnectTimeout) {
   FullPeer peer;
   UpstreamAlone b(kSoon);
   b.send(peer, kLong);
   EXPECT_EQ(b.run(), Ending::kConnectTimeout);
 }
 
-TEST(Upstream, StoppedBeforeTheConnectionIsUp) {
+TEST(Upstream, AttemptTimeEndingBeforeConnectEndsAsStoppedUnsent) {
   FullPeer peer;
   UpstreamAlone b;
   b.send(peer, kSoon);
   EXPECT_EQ(b.run(), Ending::kStoppedUnsent);
 }
 
-TEST(Upstream, ASilentMachineLeavesTimeForAnother) {
+TEST(Upstream, ConnectToASilentMachineEndsBeforeTheAttemptsTime) {
   Peer peer;
   FullPeer silent;
   UpstreamAlone b;
@@ -45,27 +45,27 @@
   EXPECT_EQ(b.run(), Ending::kConnectTimeout) << "not stopped at its due time";
 }
 
-TEST(Upstream, RefusedIsToldAfterTheCallThatSent) {
+TEST(Upstream, RefusedConnectIsReportedAfterSendReturns) {
   Peer peer;
   const std::string dial = peer.dial();
   peer.close();
   UpstreamAlone b;
   b.upstream.send(1, 0, 0, dial, b.loop.now() + kLong, b.message);
-  EXPECT_EQ(b.told, 0);
+  EXPECT_EQ(b.reports, 0);
   EXPECT_EQ(b.run(), Ending::kRefused);
 }
 
-TEST(Upstream, WithoutADescriptorNothingIsSent) {
+TEST(Upstream, WithoutADescriptorTheAttemptEndsAsNoDescriptor) {
   Peer peer;
   UpstreamAlone b;
-  b.room = false;
+  b.may_open = false;
   b.send(peer, kLong);
-  EXPECT_EQ(b.told, 0);
+  EXPECT_EQ(b.reports, 0);
   EXPECT_EQ(b.run(), Ending::kNoDescriptor);
 }
 
-// Rule "drains are kept": what waits for a connection does not go to a backend that now drains.
-TEST(Upstream, WithdrawalStopsWhatWasNotWritten) {
+// Rule "drains are kept": an attempt that waits for a connection does not go to a backend that now drains.
+TEST(Upstream, WithdrawalStopsUnwrittenAttempts) {
   FullPeer peer;
   UpstreamAlone b;
   b.send(peer, kLong);
@@ -73,35 +73,34 @@
   EXPECT_EQ(b.run(), Ending::kStoppedUnsent);
 }
 
-// Rule "no request is lost": nothing is sent for a request after its final answer.
-TEST(Upstream, WhatIsOverIsNotWrittenAnyMore) {
+// Rule "no request is lost": nothing is sent for a request after its final response.
+TEST(Upstream, AttemptOfAFinishedRequestIsNotWritten) {
   FullPeer peer;
   UpstreamAlone b;
   b.send(peer, kLong);
   b.loop.later([&b] {
-    b.upstream.stop_unsent(2);  // another request
-    EXPECT_EQ(b.told, 0);
-    b.upstream.stop_unsent(1);
+    b.upstream.cancel_unsent(2);  // another request
+    EXPECT_EQ(b.reports, 0);
+    b.upstream.cancel_unsent(1);
   });
   EXPECT_EQ(b.run(), Ending::kStoppedUnsent);
 }
 
-TEST(Upstream, CalledOffAttemptsEndTheirConnection) {
+TEST(Upstream, CancelledAttemptClosesItsConnection) {
   Peer peer;
   UpstreamAlone b;
   b.send(peer, kLong);
   Line there = peer.accept();
   once_readable(b.loop, there, [&b, &there] {
     EXPECT_FALSE(there.request().empty());
-    b.upstream.call_off(1, 0);
+    b.upstream.cancel(1, 0);
   });
   EXPECT_EQ(b.run(), Ending::kCancelled);
   EXPECT_EQ(there.rest(), "");
 }
 
-// Guards against calling an answer late that lies there to be read, when the node got no processor for a
-// while.
-TEST(Upstream, AnAnswerThatHasComeIsNotLate) {
+// A response that has already arrived must not count as late when the node was not scheduled for a while.
+TEST(Upstream, ResponseAlreadyReceivedAtTheDeadlineIsServed) {
   Peer peer;
   UpstreamAlone b;
   b.send(peer, kLong);
@@ -116,17 +115,17 @@
     b.send(peer, kSoon);  // on the same connection, so it is written at once
     there.request();
     there.write(ok);
-    // The loop is held up here until after the limit.
+    // Blocks the loop until after the deadline.
     const Millis until = b.loop.now() + 2 * kSoon;
     while (b.loop.now() < until) std::this_thread::sleep_for(std::chrono::milliseconds(1));
   });
   EXPECT_EQ(b.run(), Ending::kServed);
-  EXPECT_EQ(b.told, 2);
+  EXPECT_EQ(b.reports, 2);
   EXPECT_EQ(b.upstream.reused(), 1U);
 }
 
-// Who was silent may have lost the connections kept to it; what went there next might run and be reset.
-TEST(Upstream, SilenceDropsTheConnectionsKept) {
+// A silent backend may have lost its idle connections; a request written on one might run and then be reset.
+TEST(Upstream, TimeoutClosesIdleConnectionsToTheBackend) {
   Peer peer;
   UpstreamAlone b;
   const std::string ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -146,12 +145,12 @@
     b.send(peer, kSoon);
   });
   EXPECT_EQ(b.run(), Ending::kTimeout);
-  EXPECT_EQ(b.told, 3);
+  EXPECT_EQ(b.reports, 3);
   EXPECT_EQ(b.upstream.connections(), 0U);
 }
 
-// But an answer on another connection meanwhile shows that the backend is there: only that one was lost.
-TEST(Upstream, ALostAnswerLeavesConnectionsUsedSince) {
+// But a response on another connection meanwhile shows that the backend is alive.
+TEST(Upstream, TimeoutKeepsConnectionsUsedSinceTheAttempt) {
   Peer peer;
   UpstreamAlone b;
   const std::string ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -170,7 +169,7 @@
   });
   b.steps.push_back([] {});
   EXPECT_EQ(b.run(), Ending::kTimeout);
-  EXPECT_EQ(b.told, 2);
+  EXPECT_EQ(b.reports, 2);
   EXPECT_EQ(b.upstream.idle(), 1U);
 }
 
