--- a/src/node/pool_record.h
+++ b/src/node/pool_record.h
@@ -26,7 +26,7 @@
     recorder_->list(list.version, list.whole);
   }
   void log_withdrawn(std::uint64_t version, const std::string& host) {
-    spdlog::info("list {}: no new requests go to {}", version, host);
+    spdlog::info("by list {} no new requests go to {}", version, host);
   }
   void bans(const manage::BanSet& bans) {
     listed_.out_by_hand_begins();
