--- a/src/affinity/condition.cpp
+++ b/src/affinity/condition.cpp
@@ -83,6 +83,8 @@
 template <typename Rule>
 using control = pegtl::must_if<messages>::control<Rule>;
 
+// The rules that get a node in the parse tree. `all_of` and `any_of` get one only for several parts; "=" gets
+// none, so the second child of a comparison is either `unequal` or its value.
 template <typename Rule>
 using selector = pegtl::parse_tree::selector<
     Rule, pegtl::parse_tree::store_content::on<plain_value, quoted_text, subject, field_name>,
--- a/src/fleet/cells.h
+++ b/src/fleet/cells.h
@@ -27,20 +27,20 @@
   std::atomic<T> value_{};
 };
 
-// One budget: counters since the start of the process, and the current `in_use` and `beyond_reserve`. `peak`
-// is the highest concurrent use in the last half to one second before `peak_at`.
+// One budget. The integers are counters since the start of the process; `in_use` and `beyond_reserve` are
+// current values. `peak` is the highest concurrent use within the 0.5 to 1 s before `peak_at`.
 struct BudgetCells {
   Cell<std::uint64_t> asked;
   Cell<std::uint64_t> spent;
-  Cell<std::uint64_t> bound_by_share;
-  Cell<std::uint64_t> bound_by_reserve;  // the share had expired
+  Cell<std::uint64_t> bound_by_share;    // denied while the share was valid
+  Cell<std::uint64_t> bound_by_reserve;  // denied after the share had expired
   Cell<double> in_use;
   Cell<double> beyond_reserve;
   Cell<double> peak;
   Cell<double> peak_at;  // CLOCK_BOOTTIME, ms
 };
 
-// One rank, counted since the start of the process; the fields are those of RankLoad.
+// One rank, counted since the start of the process; the fields are those of RankLoad (plan.h).
 struct RankCells {
   Cell<std::uint64_t> offered;
   Cell<std::uint64_t> taken;
@@ -58,11 +58,12 @@
   const std::vector<int> ranks;
   std::vector<RankCells> loads;     // in the order of `ranks`
   Cell<double> room;                // unused fraction of the backends' capacity, 0 to 1
-  Cell<std::uint64_t> slots_quiet;  // last generation in whose closed slots no request is in flight
-  Cell<std::uint64_t> generation;   // of the snapshot in force; announced after all of it is in force
+  Cell<std::uint64_t> slots_quiet;  // last generation with no request in flight in its closed slots
+  Cell<std::uint64_t> generation;   // of the snapshot in force; stored after it has been applied
 };
 
-// Written by the control thread, read for the metrics.
+// Written by the control thread, read for the metrics. The rows of counters are from MemberCounters
+// (member.h), PlannerCounters (planner.h), and the counters of Store and PlanWatch.
 struct ControlCells {
   Cell<std::uint64_t> epoch, incarnation, elected;  // current values; `elected` is 0 or 1
   Cell<std::uint64_t> joined, ended, lapsed, refused, histories, epochs, older, name_taken;
--- a/src/fleet/held_budgets.h
+++ b/src/fleet/held_budgets.h
@@ -1,6 +1,7 @@
-// The part of the plan that this process's traffic may use now. No I/O. Owns the snapshot in force: a plan
-// seen lowers shares and closes slots in it immediately; only `put_in_force` raises and opens, once the
-// record in the store has it. Nothing is reported as released while the traffic may still use it.
+// The part of the plan that this process's traffic may use now. Owns the snapshot in force. `lower_to` lowers
+// shares and closes slots as soon as a plan is seen; only `put_in_force` raises shares and opens slots, after
+// the record in the store contains them. Nothing is reported as released while the traffic may still use it.
+// No I/O.
 #pragma once
 
 #include <cstdint>
@@ -22,22 +23,24 @@
   void put_in_force(const Plan& plan, const MemberId& member);
   void end();  // afterwards nothing is in force
 
-  // The plan's shares as limited by the own configuration: never more than the smaller of the two totals.
+  // This process's shares in the plan, reduced where its own configuration has a smaller total than the plan
+  // (`usable` in division.h).
   Parts own_parts(const Plan& plan, const MemberId& member) const;
-  // What the record must report while `parts` may be newly spent: for a concurrency budget also the units
-  // still in use, as far as the record had them; they are released only when they have ended.
+  // What the record has to report while the traffic may spend `parts`. For a concurrency budget this is at
+  // least the units still in use beyond the reserve, up to the amount in `recorded`: a unit is released only
+  // when its use ends.
   Parts parts_to_record(const Parts& parts, const Parts& recorded) const;
   const Parts& parts() const { return now_.parts; }
   // Whether the traffic applies the last snapshot.
   bool applied_by_traffic() const { return traffic_.generation >= now_.generation; }
   bool slots_quiet() const { return applied_by_traffic() && traffic_.slots_quiet; }
-  // After `end`: whether the traffic no longer uses any of it.
+  // After `end`: whether the traffic no longer uses any concurrency unit or slot.
   bool over() const;
 
   std::uint64_t epoch() const { return now_.epoch; }
   bool holds() const { return now_.incarnation != 0; }
   const TrafficState& traffic() const { return traffic_; }
-  std::shared_ptr<const Snapshot> take_changed();  // null: unchanged
+  std::shared_ptr<const Snapshot> take_changed();  // null: unchanged since the last call
 
  private:
   friend struct ModelEye;
--- a/src/guard/checker.h
+++ b/src/guard/checker.h
@@ -1,6 +1,6 @@
-// Counts violations of the rules as they happen, from the same events as the guard but from a record of its
-// own: it never consults what the guard knows of a request or a backend. Owns that record, which has a fixed
-// size, so that no event allocates. Pure: the caller passes the time, and violations go to a callback.
+// Counts violations of the rules below as they happen, as an independent check of the guard: it receives the
+// same events, but keeps its own records and never reads the guard's state. Owns those records, whose number
+// is fixed, so that no event allocates. Pure: the caller passes the time, and violations go to a callback.
 #pragma once
 
 #include <array>
@@ -22,11 +22,11 @@
   kAfterDue,
   kDeadlineTooLong,  // a deadline stated to a backend was longer than the client's
   // No effect happens twice.
-  kRunTwice,
-  kTwoAtOnce,
-  kOutsideWindow,
+  kRunTwice,       // a `run_once` request was sent again though an attempt may have run
+  kTwoAtOnce,      // two attempts were in flight without `parallel`
+  kOutsideWindow,  // a keyed request was sent again after its `window`
   kTooManyAttempts,
-  kRefusedAfterRun,
+  kRefusedAfterRun,  // refused though an attempt may have run and `refusal_is_safe` is false
   // No new request goes to a backend that drains, is gone or was taken out of service.
   kToWithdrawn,
   kCount
@@ -40,12 +40,13 @@
 struct RequestRules {
   bool run_once = false;  // unsafe: not repeated once an attempt may have run
   bool parallel = false;  // two attempts may be in flight at once
-  // A client that repeats it after a refusal does no harm, even if an attempt ran.
+  // The client can repeat the request after a refusal without harm, even if an attempt ran.
   bool refusal_is_safe = true;
   int max_attempts = 1;
-  // Keyed requests: for how long backends know its key after the first attempt. 0 = not keyed.
+  // Keyed requests: how long backends recognize the key, from the first attempt that may have run. 0 = not
+  // keyed.
   Millis window = 0;
-  Millis due = 0;  // its client waits until then
+  Millis due = 0;  // deadline: the client waits until then
 };
 
 enum class Answer : std::uint8_t { kServed, kRefused, kFailed };
@@ -59,8 +60,8 @@
 
   void request_accepted(RequestId request, const RequestRules& rules);
   void deadline_set(RequestId request, Millis due);  // once its body has arrived
-  // The first byte of an attempt was handed to the system. `withdrawn`: the backend was to get no new
-  // requests by then; `stated_timeout`: the time left that the attempt states to the backend.
+  // The first byte of an attempt was handed to the system. `withdrawn`: the backend was no longer to get new
+  // requests; `stated_timeout`: the remaining time sent to the backend.
   void attempt_written(RequestId request, bool withdrawn, Millis stated_timeout, Millis now);
   // An attempt that was written has ended. `never_ran`: its outcome proves that it did not run.
   void attempt_ended(RequestId request, bool never_ran);
@@ -70,7 +71,7 @@
 
   std::uint64_t violations() const;  // of all rules
   std::uint64_t violations(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
-  std::uint64_t unchecked() const { return unchecked_; }  // requests for which the record was full
+  std::uint64_t unchecked() const { return unchecked_; }  // requests whose record was still in use
 
  private:
   struct Record {
@@ -84,7 +85,7 @@
     Millis first_written = 0;   // first attempt that may have run
     Millis client_left_at = 0;  // 0 = its client is there
   };
-  // Concurrent requests; more than a node has file descriptors.
+  // Records, one for each concurrent request; a node has fewer file descriptors.
   static constexpr std::size_t kCapacity = 2048;
 
   Record* find(RequestId request);
--- a/src/language/consistency_affinity.cpp
+++ b/src/language/consistency_affinity.cpp
@@ -51,6 +51,7 @@
 
 }  // namespace
 
+// `wait`, `hold` and `finish` have no effect with some values of `must`, `on_loss` and `on_drain`.
 void check_affinity(const Section& rule, Problems& problems) {
   check_key(rule, problems);
   const bool must = rule.number("must").value_or(0) > 0;
--- a/src/node/affinity_router.h
+++ b/src/node/affinity_router.h
@@ -1,8 +1,9 @@
-// Affinity rules in this process, on the traffic thread: which requests a rule matches, where those may go
-// now, which wait for a slot and which are in flight in closed slots; also feeds the planner its list of
-// backends. Owns the places of requests (affinity/bindings.h) and the timer that checks them. Chooses no
-// backend within a unit and answers no client. Slots are reported quiet only once nothing is in flight in
-// them: a slot that moved earlier would have two backends serve one key at once.
+// Applies the affinity rules in this process, on the traffic thread: finds the rule that a request matches,
+// decides where the request may go now, and tracks the requests that wait for a slot or are in flight in a
+// closed one. Also sends the planner its list of backends. Owns the places of requests (affinity/bindings.h)
+// and the timer that checks them. Chooses no backend within a unit and answers no client. Closed slots are
+// reported quiet only once no request is in flight in them: if a slot moved earlier, two backends could serve
+// one key at the same time.
 #pragma once
 
 #include <functional>
@@ -25,7 +26,8 @@
 
 class AffinityRouter : public AffinityPlaces {
  public:
-  // `reconsider` is called for each waiting request that may be able to go on; it calls reconsider().
+  // The callback `reconsider` is called for each waiting request, at intervals and after each new snapshot;
+  // it has to call the member function reconsider() with the request's place.
   AffinityRouter(Loop& loop, const FleetConfig& fleet, fleet::Port& port,
                  std::function<void(RequestId)> reconsider);
   ~AffinityRouter() override;
@@ -33,19 +35,19 @@
   AffinityRouter& operator=(const AffinityRouter&) = delete;
 
   const std::shared_ptr<AffinityPlanner>& planner() const { return planner_; }
-  // The pools whose backends the planner uses from now on; with none, its list is updated no more.
+  // Sets the pools whose backends are sent to the planner from now on; if empty, nothing more is sent.
   void watch(const std::vector<std::shared_ptr<Pool>>& pools);
 
   struct Decision {
     affinity::RoutingAction action = affinity::RoutingAction::kFree;
     affinity::RoutingReason reason = affinity::RoutingReason::kNoKey;
-    Unit home{};     // kOnly, kPrefer
-    int place = -1;  // kOnly, kWait
+    Unit home{};     // set for kOnly and kPrefer
+    int place = -1;  // set for kOnly and kWait
   };
   std::optional<affinity::RuleMatch> find(const affinity::Request& request) const {
     return affinity::find(bindings_.rules(), request);
   }
-  // Whether a request of this rule may go to no other unit.
+  // Whether requests that match this rule may be sent only to the unit that owns their key.
   bool must(const affinity::RuleMatch& found) const { return bindings_.rules()[found.rule].must; }
   // `due`: the request's deadline on the loop's clock.
   Decision route(RequestId request, const affinity::RuleMatch& found, const std::shared_ptr<Pool>& pool,
@@ -76,11 +78,11 @@
   const std::function<void(RequestId)> reconsider_;
   affinity::Bindings bindings_;
   const std::shared_ptr<AffinityPlanner> planner_;
-  std::vector<std::weak_ptr<Pool>> pools_;   // watched
+  std::vector<std::weak_ptr<Pool>> pools_;   // those passed to watch()
   std::vector<std::weak_ptr<Pool>> places_;  // the pool of each place
   std::vector<affinity::BackendStatus> sent_to_planner_;
   bool ever_sent_ = false;
-  std::uint64_t list_changes_ = 0;  // of all pools, when the list was last sent
+  std::uint64_t list_changes_ = 0;  // changes of all pools' lists when the list was last sent
   Millis sent_at_ = 0;
   Loop::TimerId check_timer_ = 0;
   Loop::TimerId planner_timer_ = 0;
--- a/src/node/client.cpp
+++ b/src/node/client.cpp
@@ -90,7 +90,7 @@
   state = State::kWaiting;
   streamed_body = true;
   const auto& flows = host_.flows();
-  // No attempt was made, so a repeat is harmless.
+  // 503: no attempt was made, so the client can repeat it. 413: this node takes no bodies of this size.
   if (!flows || !flows->room())
     return answer(flows ? 503 : 413, "no memory for one more large body", 0, true);
   message->raw = std::exchange(stream.input(), {});
@@ -141,7 +141,7 @@
       host_.release(*this, manage::RequestEnd::kPassed);
       return answered(hold->last());
     case ResponseForwarder::Step::kTruncated:
-      // The client has to see that the response is truncated: a plain close may mean the end of the body.
+      // The client must see the truncation, so a connection whose close would mark the end is reset.
       host_.release(*this, manage::RequestEnd::kBadGateway);
       if (hold->ends_with_connection()) stream.reset_on_close();
       host_.forget(*this, Ending::kBroken);
@@ -177,8 +177,8 @@
   answered(closes);
 }
 
-// Where only the host asks for the close, the connection stays open while there is unread input: a request
-// that has been received already has to be answered.
+// If only the host wants to close the connection, it stays open while it has unread input: that may be a
+// further request, which must be answered.
 bool Client::last() const {
   return !keep_alive_ || forwarding_request_body() || (host_.is_last(*this) && stream.quiet());
 }
@@ -203,8 +203,8 @@
   message = std::make_shared<Message>(Parser::Kind::kRequest, net::kMaxRequestBody);
   stream.want_input(true);
   if (stream.input().empty()) return;
-  // A further request has been received already; deferred, as this may run within the handling of the last
-  // one.
+  // Reads the next request, which is already buffered. Deferred, as this may run while the last one is still
+  // being handled.
   loop_.later([this, hold = shared_from_this()] {
     if (stream.open() && state == State::kReading) guarded(&Client::read);
   });
--- a/src/node/log_output.cpp
+++ b/src/node/log_output.cpp
@@ -14,8 +14,8 @@
 
 std::atomic<int> nonblocking_descriptor{-1};
 
-// O_NONBLOCK belongs to the open file description, which other processes may share, so the pipe is opened
-// once more. Returns -1 if `fd` is no pipe or cannot be opened again.
+// Opens the pipe once more instead of setting O_NONBLOCK on `fd`: the flag belongs to the open file
+// description, which other processes may share. Returns -1 if `fd` is not a pipe or cannot be opened again.
 int reopen_nonblocking(int fd) {
   struct stat info {};
   if (::fstat(fd, &info) != 0 || !S_ISFIFO(info.st_mode)) return -1;
@@ -42,10 +42,12 @@
     ++lost_;
     return;
   }
+  // The notice has reported the lines lost before.
   lost_ = write_line({text.data(), text.size()}) ? 0 : 1;
 }
 
-// Up to PIPE_BUF bytes are written atomically (pipe(7)).
+// A pipe takes up to PIPE_BUF bytes whole or not at all (pipe(7)); a longer line may be written in part, and
+// then the next one begins with a line break.
 bool LogOutput::write_line(std::string_view line) {
   std::string text(partial_line_ ? "\n" : "");
   text += line;
--- a/src/node/log_output.h
+++ b/src/node/log_output.h
@@ -13,7 +13,7 @@
 
 class LogOutput : public spdlog::sinks::base_sink<std::mutex> {
  public:
-  // Writes to the file of `fd`, which the caller owns. If it is no pipe, writes may block as the file does.
+  // Writes to the file of `fd`, which the caller owns. If it is not a pipe, writes may block.
   explicit LogOutput(int fd);
   ~LogOutput() override;
 
--- a/src/node/request_body_forwarder.h
+++ b/src/node/request_body_forwarder.h
@@ -1,6 +1,6 @@
-// Forwards a request body while it is received. Owns the client's end of the body's flow and the time for
-// which this node stopped reading from the client because the backend took nothing. Does not parse the body
-// or end the request.
+// Forwards a request body while it is received. Owns the source side of the body's flow (net/flow.h) and the
+// time for which this node stopped reading from the client because the backend took nothing. Does not parse
+// the body or end the request.
 #pragma once
 
 #include <cstdint>
--- a/src/node/response_forwarder.h
+++ b/src/node/response_forwarder.h
@@ -1,6 +1,6 @@
-// Forwards a response to a client while it is received. Owns the client's end of the body's flow and the
-// framing of the body. Reports the progress of the body; ending the request and the connection is up to the
-// caller.
+// Forwards a response to a client while it is received. Owns the sink side of the body's flow (net/flow.h)
+// and the framing of the body. Reports the progress of the body; the caller ends the request and the
+// connection.
 #pragma once
 
 #include <functional>
@@ -25,14 +25,15 @@
         chunked_(!flow_->length() && minor == 1),
         last_(last || (!flow_->length() && !chunked_)) {}
 
-  // Sends the head at once. `pump` is called whenever there is more of the body to send with pump().
+  // Sends the head at once. The callback `pump` is called whenever more of the body or its end has arrived,
+  // or its source has failed; it has to call the member function pump().
   void begin(Stream& stream, const Message& response, const std::function<void()>& pump, Millis now);
   Step pump(Stream& stream, Millis now);
-  // The client takes no more of the body.
+  // Stops forwarding: the client takes no more of the body.
   void leave();
 
   bool last() const { return last_; }
-  // Without a length and without chunks, the end of the connection is the end of the body.
+  // Whether closing the connection marks the end of the body, as it has neither a length nor chunks.
   bool ends_with_connection() const { return !flow_->length() && !chunked_; }
   Millis progress_at() const { return progress_at_; }  // when bytes were last passed to the connection
 
