--- a/tests/crossings/answering_peer.h
+++ b/tests/crossings/answering_peer.h
@@ -6,7 +6,6 @@
 
 #include <algorithm>
 #include <atomic>
-#include <csignal>
 #include <functional>
 #include <map>
 #include <mutex>
@@ -17,6 +16,7 @@
 #include <vector>
 
 #include "node_case.h"
+#include "start_without_signals.h"
 
 namespace shorelead::node {
 
@@ -29,7 +29,8 @@
 
   // Returns once the thread is about to call poll(); it allocates nothing before a connection arrives. A test
   // may fork then, and the child of a sanitized build must not inherit a locked allocator.
-  explicit AnsweringPeer(Answer answer) : answer_(std::move(answer)), thread_([this] { run(); }) {
+  explicit AnsweringPeer(Answer answer)
+      : answer_(std::move(answer)), thread_(start_without_signals([this] { run(); })) {
     waits_.acquire();
   }
   ~AnsweringPeer() {
@@ -50,9 +51,6 @@
 
  private:
   void run() {
-    sigset_t all_signals;
-    sigfillset(&all_signals);
-    ::pthread_sigmask(SIG_BLOCK, &all_signals, nullptr);  // the node handles them
     for (bool first = true;; first = false) {
       std::vector<pollfd> all = {{peer_.fd(), POLLIN, 0}};
       for (const auto& [fd, text] : texts_) all.push_back({fd, POLLIN, 0});
--- a/tests/crossings/backends.h
+++ b/tests/crossings/backends.h
@@ -16,6 +16,7 @@
 #include <vector>
 
 #include "node_case.h"
+#include "start_without_signals.h"
 
 namespace shorelead::node {
 
@@ -32,7 +33,8 @@
   };
 
   // Requests for paths that contain `hangs` wait until break_held(); all others are served at once.
-  explicit Backends(std::string hangs) : hangs_(std::move(hangs)), thread_([this] { run(); }) {}
+  explicit Backends(std::string hangs)
+      : hangs_(std::move(hangs)), thread_(start_without_signals([this] { run(); })) {}
   ~Backends() {
     {
       const std::lock_guard lock(mutex_);
@@ -92,9 +94,6 @@
   static void say(int fd) { ::send(fd, kOk.data(), kOk.size(), MSG_NOSIGNAL); }
 
   void run() {
-    sigset_t all_signals;
-    sigfillset(&all_signals);
-    ::pthread_sigmask(SIG_BLOCK, &all_signals, nullptr);  // signals are handled by the node
     while (true) {
       std::vector<pollfd> all = {{door_.fd(), POLLIN, 0}};
       {
