--- a/src/affinity/choice.cpp
+++ b/src/affinity/choice.cpp
@@ -3,72 +3,73 @@
 namespace shorelead::affinity {
 namespace {
 
-// `prefer` never stands in the way: what the rule cannot have, the module decides.
-Decision preferred(const Ask& ask) {
-  // Whatever the validity: a stale seat is a guess that costs a warm backend at worst, never rule 2 to 4,
-  // which the module keeps among all backends.
-  if (!ask.mapped) return {Go::kFree, -1, Why::kNoMap};
-  if (!ask.valid) return {Go::kFree, -1, Why::kNotValid};
-  if (ask.repeat_at >= 0 && ask.repeat_at != ask.seat.unit) return {Go::kFree, -1, Why::kRepeat};
-  if (!ask.seat.open) return {Go::kFree, -1, Why::kClosed};
-  if (ask.seat.unit < 0) return {Go::kFree, -1, Why::kUnknown};
-  switch (ask.standing) {
-    case Standing::kReady:
-      return {Go::kPrefer, ask.seat.unit, Why::kKept};
-    case Standing::kFull:
-      return {Go::kFree, -1, Why::kFull};
-    case Standing::kDraining:
-      return {Go::kFree, -1, Why::kDraining};
-    case Standing::kGone:
-      return {Go::kFree, -1, Why::kGone};
+// `prefer` never blocks a request: where the rule cannot be kept, the policy selects the backend.
+Decision preferred(const RoutingQuery& query) {
+  // A wrong owner costs a warm cache at worst. Rules 2 to 4 are kept by the policy among all backends.
+  if (!query.mapped) return {RoutingAction::kFree, -1, RoutingReason::kNoMap};
+  if (!query.valid) return {RoutingAction::kFree, -1, RoutingReason::kNotValid};
+  if (query.repeat_at >= 0 && query.repeat_at != query.owner.unit)
+    return {RoutingAction::kFree, -1, RoutingReason::kRepeat};
+  if (!query.owner.open) return {RoutingAction::kFree, -1, RoutingReason::kClosed};
+  if (query.owner.unit < 0) return {RoutingAction::kFree, -1, RoutingReason::kUnknown};
+  switch (query.status) {
+    case UnitStatus::kReady:
+      return {RoutingAction::kPrefer, query.owner.unit, RoutingReason::kKept};
+    case UnitStatus::kFull:
+      return {RoutingAction::kFree, -1, RoutingReason::kFull};
+    case UnitStatus::kDraining:
+      return {RoutingAction::kFree, -1, RoutingReason::kDraining};
+    case UnitStatus::kGone:
+      return {RoutingAction::kFree, -1, RoutingReason::kGone};
   }
-  return {Go::kFree, -1, Why::kUnknown};
+  return {RoutingAction::kFree, -1, RoutingReason::kUnknown};
 }
 
-Decision wait(const Ask& ask, Why why) {
-  return {ask.waited < ask.rule->wait ? Go::kWait : Go::kRefuse, -1, why};
+Decision wait(const RoutingQuery& query, RoutingReason reason) {
+  return {query.waited < query.rule->wait ? RoutingAction::kWait : RoutingAction::kRefuse, -1, reason};
 }
 
-Decision required(const Ask& ask) {
-  // Not waited for: the plan may be away for long, and what waits meanwhile is more with every second.
-  if (!ask.mapped) return {Go::kRefuse, -1, Why::kNoMap};
-  if (!ask.valid) return {Go::kRefuse, -1, Why::kNotValid};
-  // Not waited for either: no snapshot brings the earlier unit back but by chance, and sent anywhere else it
-  // may run twice.
-  if (ask.repeat_at >= 0 && ask.repeat_at != ask.seat.unit) return {Go::kRefuse, -1, Why::kRepeat};
-  if (!ask.seat.open) return wait(ask, Why::kClosed);
-  if (ask.seat.unit < 0) return wait(ask, Why::kUnknown);
-  switch (ask.standing) {
-    case Standing::kReady:
-      return {Go::kOnly, ask.seat.unit, Why::kKept};
-    case Standing::kFull:
-      return wait(ask, Why::kFull);
-    case Standing::kDraining:
-      return wait(ask, Why::kDraining);
-    case Standing::kGone:
-      if (ask.rule->on_loss == OnLoss::kRefuse) return {Go::kRefuse, -1, Why::kGone};
-      return wait(ask, Why::kGone);
+Decision required(const RoutingQuery& query) {
+  // Does not wait: the plan may be missing for long, and the queue would grow meanwhile.
+  if (!query.mapped) return {RoutingAction::kRefuse, -1, RoutingReason::kNoMap};
+  if (!query.valid) return {RoutingAction::kRefuse, -1, RoutingReason::kNotValid};
+  // Does not wait: a later snapshot brings the earlier unit back only by chance, and sent to any other unit
+  // the request may run twice.
+  if (query.repeat_at >= 0 && query.repeat_at != query.owner.unit)
+    return {RoutingAction::kRefuse, -1, RoutingReason::kRepeat};
+  if (!query.owner.open) return wait(query, RoutingReason::kClosed);
+  if (query.owner.unit < 0) return wait(query, RoutingReason::kUnknown);
+  switch (query.status) {
+    case UnitStatus::kReady:
+      return {RoutingAction::kOnly, query.owner.unit, RoutingReason::kKept};
+    case UnitStatus::kFull:
+      return wait(query, RoutingReason::kFull);
+    case UnitStatus::kDraining:
+      return wait(query, RoutingReason::kDraining);
+    case UnitStatus::kGone:
+      if (query.rule->on_loss == OnLoss::kRefuse) return {RoutingAction::kRefuse, -1, RoutingReason::kGone};
+      return wait(query, RoutingReason::kGone);
   }
-  return {Go::kRefuse, -1, Why::kUnknown};
+  return {RoutingAction::kRefuse, -1, RoutingReason::kUnknown};
 }
 
 }  // namespace
 
-Seats::Seats(const fleet::SlotMap& map, const std::function<int(const std::string&)>& index_of) {
-  seats_.reserve(map.slots.size());
-  for (const fleet::Slot& slot : map.slots) seats_.push_back({index_of(slot.backend), slot.open});
+SlotOwners::SlotOwners(const fleet::SlotMap& map, const std::function<int(const std::string&)>& index_of) {
+  owners_.reserve(map.slots.size());
+  for (const fleet::Slot& slot : map.slots) owners_.push_back({index_of(slot.backend), slot.open});
 }
 
-Decision choose(const Ask& ask) {
-  if (!ask.keyed) return {Go::kFree, -1, Why::kNoKey};
-  return ask.rule->must ? required(ask) : preferred(ask);
+Decision choose(const RoutingQuery& query) {
+  if (!query.keyed) return {RoutingAction::kFree, -1, RoutingReason::kNoKey};
+  return query.rule->must ? required(query) : preferred(query);
 }
 
-Closing closing(const Rule& rule, const UnderWay& under_way) {
-  if (!rule.must || under_way.count <= 0) return Closing::kQuiet;
-  if (!under_way.valid) return Closing::kCallOff;
-  const bool at_once = rule.on_drain == OnDrain::kMove && under_way.drains;
-  return at_once || under_way.closed_for >= rule.finish ? Closing::kCallOff : Closing::kUnderWay;
+Closing closing(const Rule& rule, const InFlight& in_flight) {
+  if (!rule.must || in_flight.count <= 0) return Closing::kQuiet;
+  if (!in_flight.valid) return Closing::kCancel;
+  const bool at_once = rule.on_drain == OnDrain::kMove && in_flight.drains;
+  return at_once || in_flight.closed_for >= rule.finish ? Closing::kCancel : Closing::kInFlight;
 }
 
 }  // namespace shorelead::affinity
--- a/src/affinity/rule_checks.cpp
+++ b/src/affinity/rule_checks.cpp
@@ -8,10 +8,10 @@
 namespace shorelead::affinity {
 namespace {
 
-// `must` holds its bound by moving slots only, and each that moves is closed for a while: weights wobble by a
-// few percent, and under this the wobble alone would move slots without end (slots.h).
-constexpr double kLeastMustBound = 1.1;
-constexpr std::size_t kMostSlots = 65536;  // of one rule: the plan is one document
+// A `must` rule keeps its bound only by moving slots, and each moved slot is closed for a while. Weights vary
+// by a few percent, and below this bound that variation alone would move slots without end (slots.h).
+constexpr double kMinMustBound = 1.1;
+constexpr std::size_t kMaxSlots = 65536;  // of one rule; the plan is stored as one document
 
 std::string seconds(Millis span) {
   std::ostringstream out;
@@ -25,14 +25,14 @@
   return out.str();
 }
 
-// The first of the classes that the rule takes, whose repeats only a cell or zone drops, by the longest
-// window.
+// Returns the class with the longest deduplication window among those that the rule matches and whose repeats
+// are dropped only within a cell or zone.
 std::optional<std::string> narrow_class(const Rule& rule, const Universe& universe) {
   std::optional<std::string> worst;
   for (const auto& [name, one] : universe.classes) {
     if (!one.narrow || one.window <= 0) continue;
     if (worst && universe.classes.at(*worst).window >= one.window) continue;
-    if (can_hold(all({rule.when, is(Subject::kClass, name)}), universe) != Can::kNo) worst = name;
+    if (can_hold(all({rule.when, is(Subject::kClass, name)}), universe) != Satisfiability::kNo) worst = name;
   }
   return worst;
 }
@@ -44,10 +44,10 @@
   std::vector<Problem> check() {
     for (at_ = 0; at_ < rules_.size(); ++at_) {
       const Rule& rule = rules_[at_];
-      figures(rule);
+      check_limits(rule);
       names(rule);
       key(rule);
-      reached(rule);
+      check_reachable(rule);
       bound(rule);
       repeats(rule);
     }
@@ -59,23 +59,23 @@
     problems_.push_back({at_, rules_[at_].place, std::move(cause), other});
   }
 
-  void figures(const Rule& rule) {
+  void check_limits(const Rule& rule) {
     for (std::size_t n = 0; n < at_; ++n) {
       if (rules_[n].name != rule.name) continue;
-      problem("another rule is called \"" + rule.name + "\": maps go by the rule's name", n);
+      problem("another rule is called \"" + rule.name + "\": slot maps are stored by the rule's name", n);
       break;
     }
-    if (!std::has_single_bit(rule.slots) || rule.slots > kMostSlots) {
-      problem("the number of slots is a power of two, at most " + std::to_string(kMostSlots));
+    if (!std::has_single_bit(rule.slots) || rule.slots > kMaxSlots) {
+      problem("the number of slots must be a power of two, at most " + std::to_string(kMaxSlots));
     }
     if (rule.hold > universe_.keeps) {
-      problem("it holds an assignment for " + seconds(rule.hold) + ", but what was lost is known for " +
-              seconds(universe_.keeps) + " only");
+      problem("it holds an assignment for " + seconds(rule.hold) +
+              ", but the state of a lost backend is known for " + seconds(universe_.keeps) + " only");
     }
   }
 
-  // Words that nothing in the configuration is called by; a condition on them never holds, but the name says
-  // more than that.
+  // Reports names that the configuration does not declare. A condition on one never holds, but a message with
+  // the name is clearer than "it never matches".
   void names(const Rule& rule) {
     std::vector<const Condition*> open = {&rule.when};
     while (!open.empty()) {
@@ -102,42 +102,45 @@
     const bool any = std::any_of(universe_.paths.begin(), universe_.paths.end(), [&](const auto& route) {
       const std::size_t found = (route.second + "/").find(wanted + "/");
       return found != std::string::npos &&
-             can_hold(all({rule.when, is(Subject::kRoute, route.first)}), universe_) != Can::kNo;
+             can_hold(all({rule.when, is(Subject::kRoute, route.first)}), universe_) != Satisfiability::kNo;
     });
     if (!any) problem("no route that it takes has a parameter {" + rule.key.name + "}");
   }
 
-  void reached(const Rule& rule) {
-    const Can alone = can_hold(rule.when, universe_);
-    if (alone == Can::kTooMany) return problem("its condition names too many words to be decided; divide it");
-    if (alone == Can::kNo)
-      return problem("it never matches: its condition contradicts itself, or what there is");
+  void check_reachable(const Rule& rule) {
+    const Satisfiability alone = can_hold(rule.when, universe_);
+    if (alone == Satisfiability::kTooMany)
+      return problem("its condition names too many values to be decided; split the rule");
+    if (alone == Satisfiability::kNo)
+      return problem("it never matches: its condition contradicts itself or the configuration");
     std::vector<Condition> left = {rule.when};
     for (std::size_t n = 0; n < at_; ++n) {
-      if (can_hold(all({rule.when, negated(rules_[n].when)}), universe_) == Can::kNo) {
+      if (can_hold(all({rule.when, negated(rules_[n].when)}), universe_) == Satisfiability::kNo) {
         return problem("it is never reached: \"" + rules_[n].name + "\" before it takes all its requests", n);
       }
       left.push_back(negated(rules_[n].when));
     }
-    const Can together = can_hold(all(std::move(left)), universe_);
-    if (together == Can::kNo)
+    const Satisfiability together = can_hold(all(std::move(left)), universe_);
+    if (together == Satisfiability::kNo)
       return problem("it is never reached: those before it together take all its requests");
-    if (together == Can::kTooMany) problem("whether it is ever reached cannot be decided; make it simpler");
+    if (together == Satisfiability::kTooMany)
+      problem("whether it is ever reached cannot be decided; simplify its condition");
   }
 
   void bound(const Rule& rule) {
-    if (rule.bound < 1) return problem("a bound on load over the mean is at least 100 %");
+    if (rule.bound < 1) return problem("a bound on load relative to the mean must be at least 100 %");
     if (!rule.must) return;
     const double grain = static_cast<double>(universe_.units) / static_cast<double>(rule.slots);
-    const double least = std::max(kLeastMustBound, 1 + grain);
+    const double least = std::max(kMinMustBound, 1 + grain);
     if (rule.bound >= least) return;
-    problem("\"must\" cannot hold a bound of " + percent(rule.bound) +
-            ": it never sends a key elsewhere, so only whole slots that move hold it, which takes " +
-            percent(least) + " or more");
+    problem(
+        "\"must\" cannot hold a bound of " + percent(rule.bound) +
+        ": it never sends a key to another unit, so only moving whole slots keeps the bound, which takes " +
+        percent(least) + " or more");
   }
 
   void repeats(const Rule& rule) {
-    if (!rule.must) return;  // else the module keeps a repeat where it is dropped
+    if (!rule.must) return;  // otherwise the policy keeps a repeat where it is dropped
     const auto narrow = narrow_class(rule, universe_);
     if (!narrow) return;
     const Millis window = universe_.classes.at(*narrow).window;
@@ -171,7 +174,7 @@
 std::vector<Rule> completed(std::vector<Rule> rules, const Universe& universe) {
   for (Rule& rule : rules) {
     const auto narrow = rule.must ? narrow_class(rule, universe) : std::nullopt;
-    rule.still = narrow ? universe.classes.at(*narrow).window : 0;
+    rule.dedup_window = narrow ? universe.classes.at(*narrow).window : 0;
   }
   return rules;
 }
--- a/src/fleet/control.cpp
+++ b/src/fleet/control.cpp
@@ -14,15 +14,16 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr Millis kReadEvery = 100;   // the traffic's cells
-constexpr Millis kReadEagerly = 20;  // while it has not followed, or what is in use has to come down
+constexpr Millis kReadEvery = 100;            // interval for reading the traffic's cells
+constexpr Millis kReadEveryWhileBehind = 20;  // while the traffic has not followed, or use has to come down
 constexpr Millis kLogEvery = 1000;
-constexpr Millis kSoonest = 1;  // a tick that is due again at once must not starve the sockets
+constexpr Millis kMinTimer =
+    1;  // lower bound of timers: a tick that is due again must not starve the sockets
 
-struct BellHandler : net::Watch::Handler {
-  explicit BellHandler(std::function<void()> rung) : on_rung(std::move(rung)) {}
-  void on_readable() override { on_rung(); }
-  std::function<void()> on_rung;
+struct WakeupHandler : net::Watch::Handler {
+  explicit WakeupHandler(std::function<void()> callback) : on_wakeup(std::move(callback)) {}
+  void on_readable() override { on_wakeup(); }
+  std::function<void()> on_wakeup;
 };
 
 int copy_of(int fd) {
@@ -43,8 +44,8 @@
              {[this](const MemberEvent& event) { member(event); },
               [this](const PlannerEvent& event) { planner(event); },
               [this](const std::string& text) { trouble(text); }}) {
-  watch_bell();
-  // Signals are the first thread's: the new one is born with all of them blocked.
+  watch_wakeup();
+  // Signals are handled on the main thread: the new thread starts with all of them blocked.
   sigset_t all;
   sigset_t before;
   sigfillset(&all);
@@ -60,26 +61,26 @@
 
 Control::~Control() {
   channel_->ending.store(2, std::memory_order_release);
-  channel_->for_control.ring();
+  channel_->for_control.notify();
   thread_.join();
 }
 
 void Control::leave() {
   int none = 0;
   channel_->ending.compare_exchange_strong(none, 1, std::memory_order_acq_rel);
-  channel_->for_control.ring();
+  channel_->for_control.notify();
 }
 
-void Control::watch_bell() {
-  bell_ = std::make_unique<net::Descriptor>(copy_of(channel_->for_control.fd()));
-  bell_handler_ = std::make_unique<BellHandler>([this] {
-    channel_->for_control.hush();
+void Control::watch_wakeup() {
+  wakeup_ = std::make_unique<net::Descriptor>(copy_of(channel_->for_control.fd()));
+  wakeup_handler_ = std::make_unique<WakeupHandler>([this] {
+    channel_->for_control.reset();
     const int ending = channel_->ending.load(std::memory_order_acquire);
     if (ending == 2) return loop_.stop();
     if (ending == 1 && !std::exchange(leaving_, true)) member(Leave{});
     read_traffic();
   });
-  bell_watch_ = std::make_unique<net::Watch>(loop_, *bell_, *bell_handler_, true, false);
+  wakeup_watch_ = std::make_unique<net::Watch>(loop_, *wakeup_, *wakeup_handler_, true, false);
 }
 
 void Control::run() {
@@ -98,26 +99,26 @@
   publish(out);
   for (const MemberCall& call : out.calls) store_.carry_out(call);
   loop_.cancel(member_at_);
-  member_at_ = loop_.after(std::max(kSoonest, out.next - now), [this] {
+  member_at_ = loop_.after(std::max(kMinTimer, out.next - now), [this] {
     member_at_ = 0;
     member(Tick{});
   });
-  if (member_.left()) channel_->control.left.announce(1);
-  tell_planner_of_lease();
+  if (member_.left()) channel_->control.left.store_release(1);
+  report_lease_to_planner();
 }
 
-// The parts and until when they hold are told together: a snapshot with its incarnation's validity.
+// Publishes a snapshot together with the validity of its incarnation.
 void Control::publish(const MemberOut& out) {
   const std::uint64_t incarnation = out.incarnation;
   if (validity_ && validity_->incarnation != incarnation) {
-    validity_->until.store(0, std::memory_order_release);  // it is over, whatever the traffic still has
+    validity_->until.store(0, std::memory_order_release);  // ended, whatever snapshot the traffic still has
     validity_ = nullptr;
   }
   if (!validity_) {
     validity_ = std::make_shared<Validity>();
     validity_->incarnation = incarnation;
   }
-  // A snapshot of an incarnation that has ended gets a validity that never begins.
+  // A snapshot of an ended incarnation gets a validity that is never set.
   if (incarnation != 0 && out.valid_until > validity_->until.load(std::memory_order_relaxed)) {
     validity_->until.store(out.valid_until, std::memory_order_release);
   }
@@ -125,13 +126,13 @@
   generation_ = out.publish->generation;
   const bool its = out.publish->incarnation == incarnation;
   channel_->issues.put({out.publish, its ? validity_ : std::make_shared<Validity>()});
-  channel_->for_traffic.ring();
+  channel_->for_traffic.notify();
 }
 
-void Control::tell_planner_of_lease() {
+void Control::report_lease_to_planner() {
   const LeaseValid now{member_.lease(), leaving_ ? 0 : member_.lease_until()};
-  if (now.lease == told_lease_.lease && now.until == told_lease_.until) return;
-  told_lease_ = now;
+  if (now.lease == reported_lease_.lease && now.until == reported_lease_.until) return;
+  reported_lease_ = now;
   planner(now);
 }
 
@@ -140,7 +141,7 @@
   const PlannerOut out = planner_.handle(event, now);
   for (const PlannerCall& call : out.calls) store_.carry_out(call);
   loop_.cancel(planner_at_);
-  planner_at_ = loop_.after(std::max(kSoonest, out.next - now), [this] {
+  planner_at_ = loop_.after(std::max(kMinTimer, out.next - now), [this] {
     planner_at_ = 0;
     planner(PlannerTick{});
   });
@@ -153,7 +154,7 @@
   member(Traffic{std::move(state)});
   show();
   loop_.cancel(traffic_at_);
-  traffic_at_ = loop_.after(eager ? kReadEagerly : kReadEvery, [this] {
+  traffic_at_ = loop_.after(eager ? kReadEveryWhileBehind : kReadEvery, [this] {
     traffic_at_ = 0;
     read_traffic();
   });
@@ -167,7 +168,7 @@
   }
   logged_at_ = now;
   if (!spec_.log) return;
-  spec_.log(text + (unlogged_ > 0 ? ", and " + std::to_string(unlogged_) + " more such" : ""));
+  spec_.log(text + (unlogged_ > 0 ? ", and " + std::to_string(unlogged_) + " more messages" : ""));
   unlogged_ = 0;
 }
 
--- a/src/fleet/next_plan.cpp
+++ b/src/fleet/next_plan.cpp
@@ -1,4 +1,5 @@
-// Cuts the aim of a division to what the invariant of plan.h leaves, and says whether it is worth a write.
+// Limits the targets of a division to what the invariant of plan.h allows, and decides whether the plan is
+// worth a write.
 #include <algorithm>
 #include <cmath>
 #include <numeric>
@@ -9,50 +10,52 @@
 namespace shorelead::fleet {
 namespace {
 
-constexpr double kWorth = 0.05;   // of an equal part: less is not worth a write
-constexpr double kPressed = 0.9;  // of what it may spend: who asks for more than that has use for more
-constexpr std::uint64_t kGreatestEpoch = 1e15;  // a record that says more lies
-constexpr double kNone = 1e-9;                  // rounding
+constexpr double kMinChange = 0.05;        // fraction of an equal part; a smaller change is not worth a write
+constexpr double kHighUse = 0.9;           // a demand above this fraction of what it may spend can use more
+constexpr std::uint64_t kMaxEpoch = 1e15;  // a record that reports more is wrong
+constexpr double kTolerance = 1e-9;        // for rounding errors
 
-// Of what may be divided: less that is with nobody is not looked after.
-double least_left(double most, bool units) { return std::max(units ? 1.0 : 0.0, kWorth * most) - kNone; }
+// The smallest unassigned amount, of `most` divisible, that is worth assigning.
+double min_assignable(double most, bool units) {
+  return std::max(units ? 1.0 : 0.0, kMinChange * most) - kTolerance;
+}
 
 struct Member {
   std::string id;
-  const Record* record;        // null: gone lately
-  const Parts* had = nullptr;  // by who is gone
+  const Record* record;        // null: recently departed
+  const Parts* had = nullptr;  // what a departed member may still use
 };
 
-// One figure (amount, or burst) of one budget for all members.
+// One value (amount or burst) of one budget for all members.
 struct Column {
   std::vector<double> old, bound, aim, next;
   double most = 0;
-  bool units = false;  // whole ones only
+  bool units = false;  // whole units only
 
   double sum(const std::vector<double>& values) const {
     return std::accumulate(values.begin(), values.end(), 0.0);
   }
 
-  // Lowers always; raises in proportion out of what nobody has or may have.
+  // Always lowers; raises in proportion from what no member has or may still have.
   void cut(bool may_raise) {
     next = aim;
-    double wished = 0;
-    for (std::size_t n = 0; n < aim.size(); ++n) wished += std::max(0.0, aim[n] - bound[n]);
-    const double free = std::max(0.0, most - sum(bound) + (units ? kNone : 0));
-    const double share = !may_raise || wished <= 0 ? 0 : std::min(1.0, free / wished);
+    double wanted = 0;
+    for (std::size_t n = 0; n < aim.size(); ++n) wanted += std::max(0.0, aim[n] - bound[n]);
+    const double free = std::max(0.0, most - sum(bound) + (units ? kTolerance : 0));
+    const double share = !may_raise || wanted <= 0 ? 0 : std::min(1.0, free / wanted);
     double given = 0, due = 0;
     for (std::size_t n = 0; n < aim.size(); ++n) {
       if (aim[n] <= bound[n]) continue;
       due += (aim[n] - bound[n]) * share;
       const double to = bound[n] + (aim[n] - bound[n]) * share;
       const double raise =
-          units ? std::floor(due + kNone) - given : std::max(0.0, grained(to, most) - bound[n]);
+          units ? std::floor(due + kTolerance) - given : std::max(0.0, grained(to, most) - bound[n]);
       given += raise;
       next[n] = bound[n] + raise;
     }
   }
-  // What nobody had and may now have.
-  double given_on() const {
+  // Newly assigned: the sum of all raises above the bounds.
+  double newly_assigned() const {
     double sum = 0;
     for (std::size_t n = 0; n < next.size(); ++n) sum += std::max(0.0, next[n] - bound[n]);
     return sum;
@@ -64,7 +67,7 @@
   }
 };
 
-// One budget's next parts, into `plan`. Whether that is worth a write.
+// Adds one budget's next parts to `plan`. Returns whether they are worth a write.
 bool next_parts(const Budget& budget, const PlannerInput& input, const std::vector<Member>& members,
                 std::uint64_t turn, Plan& plan) {
   const bool rate = budget.kind == BudgetKind::kRate;
@@ -78,7 +81,7 @@
   burst.units = true;
   const double reserve = reserve_of(budget, input.sharing).amount;
   const double equal = all.amount / static_cast<double>(std::max<std::size_t>(1, members.size()));
-  const double worth = rate ? kWorth * equal : std::max(1.0, kWorth * equal);
+  const double worth = rate ? kMinChange * equal : std::max(1.0, kMinChange * equal);
   bool pressed = false;
   bool idle = false;
   for (std::size_t n = 0; n < members.size(); ++n) {
@@ -100,11 +103,11 @@
     if (m.record == nullptr) continue;
     const auto demand = m.record->demand.find(budget.name);
     const double asked = demand == m.record->demand.end() ? 0 : demand->second;
-    const bool wants = aim.amount - old.amount >= std::max(worth, kWorth * old.amount) - kNone;
+    const bool wants = aim.amount - old.amount >= std::max(worth, kMinChange * old.amount) - kTolerance;
     if (old.amount <= 0 && wants) idle = true;
-    if (asked > 0 && asked >= kPressed * (old.amount + reserve) && wants) pressed = true;
+    if (asked > 0 && asked >= kHighUse * (old.amount + reserve) && wants) pressed = true;
   }
-  // Who asks for nothing gets from what is free, but nobody is lowered for it.
+  // A member without demand is raised from what is free, but no other member is lowered for it.
   pressed = pressed || (idle && amount.most - amount.sum(amount.bound) >= worth);
   amount.cut(input.may_raise && !(input.at_once_waits && budget.kind == BudgetKind::kAtOnce));
   burst.cut(input.may_raise);
@@ -113,12 +116,12 @@
     if (rate && part.burst < 1) part = {};
     if (part.amount > 0) plan.shares[members[n].id][budget.name] = part;
   }
-  const bool over = amount.sum(amount.bound) > amount.most * (1 + kNone) + kNone ||
-                    burst.sum(burst.bound) > burst.most + kNone;
-  const bool moves = amount.moved() >= worth - kNone || (rate && burst.moved() >= 1);
-  // An earlier plan left it to nobody, as it was not known to be free; there is no need for anybody to press.
-  const bool gives_on = amount.given_on() >= least_left(amount.most, amount.units);
-  return (over && amount.moved() + burst.moved() > 0) || (pressed && moves) || gives_on;
+  const bool over = amount.sum(amount.bound) > amount.most * (1 + kTolerance) + kTolerance ||
+                    burst.sum(burst.bound) > burst.most + kTolerance;
+  const bool moves = amount.moved() >= worth - kTolerance || (rate && burst.moved() >= 1);
+  // An earlier plan left this unassigned until it was known to be free; it is assigned even without demand.
+  const bool assigns_free = amount.newly_assigned() >= min_assignable(amount.most, amount.units);
+  return (over && amount.moved() + burst.moved() > 0) || (pressed && moves) || assigns_free;
 }
 
 }  // namespace
@@ -130,12 +133,12 @@
   for (const Record& r : input.records) {
     members.push_back({r.id.text(), &r, nullptr});
     here.insert(members.back().id);
-    if (r.epoch < kGreatestEpoch) next.epoch = std::max(next.epoch, r.epoch);
+    if (r.epoch < kMaxEpoch) next.epoch = std::max(next.epoch, r.epoch);
   }
   if (input.plan) {
     for (const auto& [id, parts] : input.plan->shares) {
-      const auto gone = input.lately_gone.find(id);
-      if (here.count(id) == 0 && gone != input.lately_gone.end())
+      const auto gone = input.recently_departed.find(id);
+      if (here.count(id) == 0 && gone != input.recently_departed.end())
         members.push_back({id, nullptr, &gone->second});
     }
     next.cut_off = input.plan->cut_off;
@@ -168,7 +171,7 @@
     double given = 0;
     for (const auto& [member, parts] : plan.shares)
       given += bound_of(&plan, nullptr, member, budget.name).amount;
-    return all.amount - given >= least_left(all.amount, budget.kind != BudgetKind::kRate);
+    return all.amount - given >= min_assignable(all.amount, budget.kind != BudgetKind::kRate);
   });
 }
 
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-Header plain(const registry::Header& header) { return {header.cluster, header.revision}; }
+Header fleet_header(const registry::Header& header) { return {header.cluster, header.revision}; }
 
 }  // namespace
 
@@ -25,15 +25,15 @@
       plan_key_(plan_key(sharing)),
       members_(members_prefix(sharing)),
       listener_(std::move(listener)),
-      lines_(loop, spec, [this](const std::string& text) { listener_.trouble(text); }),
-      watch_(loop, lines_, sharing, seed,
+      connections_(loop, spec, [this](const std::string& text) { listener_.trouble(text); }),
+      watch_(loop, connections_, sharing, seed,
              {[this](const PlanSeen& seen) { listener_.member(seen); },
               [this](const PlannerSeen& seen) { listener_.planner(seen); },
               [this](const Header& header, Millis begun, bool latest) {
-                const Header told = heard(header, begun, latest);
-                listener_.member(Heard{told, begun});
-                listener_.planner(HeardHistory{told, begun});
-                return told;
+                const Header effective = effective_header(header, begun, latest);
+                listener_.member(HeaderObserved{effective, begun});
+                listener_.planner(HistoryObserved{effective, begun});
+                return effective;
               },
               [this](const std::string& text) { listener_.trouble(text); }}) {}
 
@@ -44,19 +44,19 @@
   std::visit([this](const auto& one) { begin_call(one); }, call);
 }
 
-// What is to be believed of an answer's header; the watch begins anew where a history was lost.
-Header Store::heard(const Header& header, Millis begun, bool whole) {
-  const LatestHeader::Believed told = latest_.hear(header, begun, whole, boot_now());
-  if (told.lost) watch_.begin_anew();
-  return told.header;
+// Returns the effective header of an answer; restarts the watch if a history was lost.
+Header Store::effective_header(const Header& header, Millis begun, bool whole) {
+  const LatestHeader::EffectiveHeader effective = latest_.observe(header, begun, whole, boot_now());
+  if (effective.lost) watch_.restart();
+  return effective.header;
 }
 
 void Store::post(const std::string& path, const std::string& body,
                  std::function<void(Reply, Millis begun)> done) {
   ++counters_.calls;
   const Millis begun = boot_now();
-  lines_.post(path, body, call_within(sharing_),
-              [begun, done = std::move(done)](Reply reply) { done(std::move(reply), begun); });
+  connections_.post(path, body, call_within(sharing_),
+                    [begun, done = std::move(done)](Reply reply) { done(std::move(reply), begun); });
 }
 
 registry::Refusal Store::refusal(const Reply& reply) {
@@ -64,7 +64,7 @@
   if (reply.status == 0) return {};
   ++counters_.refused;
   const registry::Refusal refusal = registry::parse_refusal(reply.body);
-  listener_.trouble("the store refused with status " + std::to_string(reply.status) + ": " + refusal.text);
+  listener_.trouble("the store answered with status " + std::to_string(reply.status) + ": " + refusal.text);
   return refusal;
 }
 
@@ -78,13 +78,13 @@
          const auto answer = registry::parse_txn(txn, std::move(reply.body), cause);
          if (answer) return answered(*answer, begun);
          ++counters_.unreadable;
-         listener_.trouble("an answer cannot be read: " + cause);
+         listener_.trouble("an answer of the store cannot be parsed: " + cause);
          failed({});
        });
 }
 
 void Store::begin_call(const GrantLease& call) {
-  // In whole seconds, never less than was asked for.
+  // etcd takes whole seconds; rounded up, so that the lease is never shorter than requested.
   const auto seconds = static_cast<std::int64_t>(std::ceil(call.length / 1000));
   post("/v3/lease/grant", registry::grant_request(seconds),
        [this, call, seconds](const Reply& reply, Millis begun) {
@@ -93,15 +93,15 @@
          if (reply.status != 200) {
            refusal(reply);
          } else if (!granted) {
-           listener_.trouble("a lease cannot be read: " + cause);
+           listener_.trouble("the answer to a lease grant cannot be parsed: " + cause);
          } else if (granted->seconds < seconds) {
-           listener_.trouble("the store gives leases of " + std::to_string(granted->seconds) +
-                             " s only: ask for shorter ones");
+           listener_.trouble("the store grants leases of only " + std::to_string(granted->seconds) +
+                             " s: configure a shorter lease");
          } else {
-           const Header header = heard(plain(granted->header), begun, true);
+           const Header header = effective_header(fleet_header(granted->header), begun, true);
            return listener_.member(Granted{call.call, granted->id, to_member(header, begun)});
          }
-         listener_.member(Lost{call.call});
+         listener_.member(MemberCallLost{call.call});
        });
 }
 
@@ -114,14 +114,14 @@
          if (reply.status != 200) {
            refusal(reply);
          } else if (!kept) {
-           listener_.trouble("a renewal cannot be read: " + cause);
+           listener_.trouble("the answer to a lease renewal cannot be parsed: " + cause);
          } else if (kept->seconds > 0 && static_cast<Millis>(kept->seconds) * 1000 < sharing_.lease) {
            listener_.trouble("a lease was renewed for less than its length");
          } else {
-           const Header header = heard(plain(kept->header), begun, false);
+           const Header header = effective_header(fleet_header(kept->header), begun, false);
            return listener_.member(Renewed{call.call, kept->seconds > 0, to_member(header, begun)});
          }
-         listener_.member(Lost{call.call});
+         listener_.member(MemberCallLost{call.call});
        });
 }
 
@@ -131,14 +131,14 @@
          std::string cause;
          const auto header = reply.status == 200 ? registry::parse_revoked(reply.body, cause) : std::nullopt;
          if (header) {
-           const Header told = heard(plain(*header), begun, true);
-           return listener_.member(Revoked{call.call, to_member(told, begun)});
+           const Header effective = effective_header(fleet_header(*header), begun, true);
+           return listener_.member(Revoked{call.call, to_member(effective, begun)});
          }
-         // One that is not there any more is as good as given back.
+         // A lease that no longer exists counts as revoked.
          if (reply.status != 200 && refusal(reply).code == registry::kNotFound && latest_.any()) {
            return listener_.member(Revoked{call.call, latest_.get()});
          }
-         listener_.member(Lost{call.call});
+         listener_.member(MemberCallLost{call.call});
        });
 }
 
@@ -150,7 +150,7 @@
   if (call.plan_modified != 0) {
     asked.compare.push_back({plan_key_, Compare::Of::kChanged, call.plan_modified});
   }
-  // Each answer says whether there is a newer plan, in case the watch does not.
+  // Every answer shows whether there is a newer plan, in case the watch misses it.
   asked.success = {registry::Put{key, text_of(call.record), call.lease}, registry::Get{plan_key_, "", true}};
   asked.failure = {registry::Get{key, "", false}, registry::Get{plan_key_, "", true}};
   txn(
@@ -164,21 +164,21 @@
           put.own = parse_record(answer.pages[0].items[0].value, cause);
           put.own_modified = answer.pages[0].items[0].revision;
         }
-        put.header = to_member(heard(plain(answer.header), begun, true), begun);
+        put.header = to_member(effective_header(fleet_header(answer.header), begun, true), begun);
         const std::uint64_t plan_modified = put.plan_modified;
         listener_.member(put);
-        watch_.plan_stands(plan_modified);
+        watch_.plan_modified(plan_modified);
       },
       [this, call](const registry::Refusal& refusal) {
-        // Without its lease the record is gone as well.
+        // Without the lease the record is gone as well.
         if (refusal.code != registry::kNotFound || !latest_.any()) {
-          return listener_.member(Lost{call.call});
+          return listener_.member(MemberCallLost{call.call});
         }
         listener_.member(RecordPut{call.call, false, 0, {}, 0, 0, latest_.get()});
       });
 }
 
-void Store::begin_call(const Elect& call) {
+void Store::begin_call(const Campaign& call) {
   registry::Txn asked;
   asked.compare = {{planner_key_, Compare::Of::kCreated, 0}};
   asked.success = {registry::Put{planner_key_, call.value, call.lease},
@@ -188,12 +188,13 @@
       std::move(asked),
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
         const registry::Page& page = answer.pages.back();
-        Elected elected{call.call, 0, "", to_planner(heard(plain(answer.header), begun, true), begun)};
+        CampaignResult result{call.call, 0, "",
+                              to_planner(effective_header(fleet_header(answer.header), begun, true), begun)};
         if (!page.items.empty()) {
-          elected.created = page.items[0].created;
-          elected.value = page.items[0].value;
+          result.created = page.items[0].created;
+          result.value = page.items[0].value;
         }
-        listener_.planner(elected);
+        listener_.planner(result);
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
 }
@@ -207,7 +208,7 @@
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
         AllRead all = read_all(answer, [this](const std::string& text) { listener_.trouble(text); });
         all.call = call.call;
-        all.header = to_planner(heard(plain(answer.header), begun, true), begun);
+        all.header = to_planner(effective_header(fleet_header(answer.header), begun, true), begun);
         listener_.planner(all);
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
@@ -221,20 +222,21 @@
   txn(
       std::move(asked),
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
-        const Header header = to_planner(heard(plain(answer.header), begun, true), begun);
+        const Header header = to_planner(effective_header(fleet_header(answer.header), begun, true), begun);
         listener_.planner(PlanPut{call.call, answer.succeeded, header});
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
 }
 
-void Store::begin_call(const Abdicate& call) {
+void Store::begin_call(const Resign& call) {
   registry::Txn asked;
   asked.compare = {{planner_key_, Compare::Of::kCreated, call.fence}};
   asked.success = {registry::Delete{planner_key_}};
   txn(
       std::move(asked),
       [this, call](const registry::TxnAnswer& answer, Millis begun) {
-        listener_.planner(Abdicated{call.call, to_planner(heard(plain(answer.header), begun, true), begun)});
+        listener_.planner(Resigned{
+            call.call, to_planner(effective_header(fleet_header(answer.header), begun, true), begun)});
       },
       [this, call](const registry::Refusal&) { listener_.planner(CallLost{call.call}); });
 }
--- a/src/language/fit_affinity.cpp
+++ b/src/language/consistency_affinity.cpp
@@ -1,9 +1,9 @@
-// What has to fit together in one rule of affinity; its condition and its place among the others are looked
-// at where conditions are known (src/affinity).
+// Checks the consistency of one affinity rule. Its condition and its order among the other rules are checked
+// in src/affinity, which parses conditions.
 #include <algorithm>
 #include <array>
 
-#include "language/fit.h"
+#include "language/consistency.h"
 #include "language/sections.h"
 #include "language/units.h"
 
@@ -12,7 +12,7 @@
 
 struct Source {
   std::string_view name;
-  std::string_view takes;  // behind it; empty = nothing
+  std::string_view takes;  // help for the argument that follows it; empty = takes none
 };
 constexpr std::array<Source, 5> kSources = {
     {{"header", "its name, as in: key header X-Basket"},
@@ -21,7 +21,7 @@
      {"parameter", "its name in the route's path, as in: key parameter id"},
      {"tenant", ""}}};
 
-void fit_key(const Section& rule, Problems& problems) {
+void check_key(const Section& rule, Problems& problems) {
   const auto key = rule.words.find("key");
   if (key == rule.words.end() || key->second.empty()) return;
   const Place& place = rule.places.at("key");
@@ -51,23 +51,24 @@
 
 }  // namespace
 
-void fit_affinity(const Section& rule, Problems& problems) {
-  fit_key(rule, problems);
+// `wait`, `hold` and `finish` have no effect with some values of `must`, `on_loss` and `on_drain`.
+void check_affinity(const Section& rule, Problems& problems) {
+  check_key(rule, problems);
   const bool must = rule.number("must").value_or(0) > 0;
   if (rule.places.count("wait") > 0 && !must) {
-    problems.problem(rule.places.at("wait"), "nothing waits by " + called(rule) + ", which is no \"must\"",
+    problems.problem(rule.places.at("wait"), "nothing waits by " + title_of(rule) + ", which is no \"must\"",
                      "take it out, or say: must yes");
   }
   if (rule.places.count("hold") > 0 && rule.word("on_loss") != "refuse") {
     problems.problem(rule.places.at("hold"),
-                     called(rule) + " moves keys of a lost box at once and holds none",
+                     title_of(rule) + " moves keys of a lost box at once and holds none",
                      "take it out, or say: on_loss refuse");
   }
   if (rule.places.count("finish") > 0 && rule.word("on_drain") == "move") {
     problems
-        .problem(rule.places.at("finish"), "nothing finishes at a box that drains by " + called(rule),
+        .problem(rule.places.at("finish"), "nothing finishes at a box that drains by " + title_of(rule),
                  "take one of them out")
-        .also.emplace_back(rule.places.at("on_drain"), "here it is called off");
+        .related.emplace_back(rule.places.at("on_drain"), "here it is called off");
   }
 }
 
--- a/src/node/affinity_binding.cpp
+++ b/src/node/affinity_binding.cpp
@@ -41,7 +41,9 @@
   rule.place = section.place.file + ":" + std::to_string(section.place.line);
   rule.key = key_of(section.words.at("key"));
   const std::string to = section.word("to");
-  rule.to = to == "cell" ? affinity::To::kCell : to == "zone" ? affinity::To::kZone : affinity::To::kBackend;
+  rule.to = to == "cell"   ? affinity::Scope::kCell
+            : to == "zone" ? affinity::Scope::kZone
+                           : affinity::Scope::kBackend;
   rule.must = section.number("must").value_or(0) > 0;
   rule.hold = section.number("hold").value_or(rule.hold);
   if (section.word("on_drain") == "move") rule.on_drain = affinity::OnDrain::kMove;
@@ -61,7 +63,7 @@
 bool can_match(const affinity::Rule& rule, affinity::Subject subject, const std::string& value,
                const affinity::Universe& universe) {
   return affinity::can_hold(affinity::all({affinity::is(subject, value), rule.when}), universe) !=
-         affinity::Can::kNo;
+         affinity::Satisfiability::kNo;
 }
 
 // Returns the indices of the pools that requests of a rule can be routed to; fallbacks are not counted.
@@ -71,8 +73,9 @@
   if (!config.routes) return {0};
   for (const routing::Route& route : config.routes->routes) {
     if (!can_match(rule, affinity::Subject::kRoute, route.name, universe)) continue;
-    if (route.arms.empty()) pools.insert(0);
-    for (const routing::Arm& arm : route.arms) pools.insert(static_cast<std::size_t>(arm.pool));
+    if (route.weighted_pools.empty()) pools.insert(0);
+    for (const routing::WeightedPool& weighted : route.weighted_pools)
+      pools.insert(static_cast<std::size_t>(weighted.pool));
   }
   return pools;
 }
--- a/src/node/endpoint_list.cpp
+++ b/src/node/endpoint_list.cpp
@@ -151,11 +151,11 @@
   const auto it = numbers_.find(name);
   if (it == numbers_.end()) return std::nullopt;
   const Endpoint& endpoint = backends_[it->second];
-  using affinity::Standing;
+  using affinity::UnitStatus;
   return UnitState{{kind, it->second},
-                   endpoint.gone    ? Standing::kGone
-                   : endpoint.ready ? Standing::kReady
-                                    : Standing::kDraining};
+                   endpoint.gone    ? UnitStatus::kGone
+                   : endpoint.ready ? UnitStatus::kReady
+                                    : UnitStatus::kDraining};
 }
 
 // Returns whether it was ready before.
@@ -204,7 +204,7 @@
 }
 
 // Recycles the numbers of gone backends that nothing refers to any more; otherwise the table would grow with
-// every replaced backend. Done with the next list, when whoever keeps connections by number has closed them.
+// every replaced backend. Done with the next list, when connections that are kept by number have been closed.
 void EndpointList::recycle_numbers() {
   std::erase_if(to_recycle_, [this](BackendId number) {
     Endpoint& endpoint = backends_[number];
--- a/src/node/fleet_admission.cpp
+++ b/src/node/fleet_admission.cpp
@@ -9,14 +9,14 @@
 #include <utility>
 
 #include "node/error_responses.h"
-#include "plans/coin.h"
+#include "plans/stable_sample.h"
 
 namespace shorelead::node {
 namespace {
 
 constexpr Millis kSecond = 1000;
-// Share of the longest stated wait that a client is told at least when a budget is spent; the rest is spread
-// over clients, so that they do not come back together.
+// The least part of the longest Retry-After that a client gets when a budget is spent; the rest is spread
+// over clients, so that they do not retry at the same time.
 constexpr double kMinRetryAfterShare = 0.25;
 constexpr Millis kCutOffValidity = 2 * kSecond;  // of a cut-off read once a second
 
@@ -75,7 +75,7 @@
   control_ = std::make_unique<fleet::Control>(spec, channel_);
   wake_fd_ = std::make_unique<net::Descriptor>(::dup(port_.wake_fd()));
   on_wake_ = std::make_unique<WakeHandler>([this] {
-    channel_->for_traffic.hush();
+    channel_->for_traffic.reset();
     apply_snapshot();
   });
   watch_ = std::make_unique<net::Watch>(loop_, *wake_fd_, *on_wake_, true, false);
@@ -98,7 +98,7 @@
 }
 
 void FleetAdmission::apply_snapshot() {
-  if (!port_.take_up()) return;
+  if (!port_.take_snapshot()) return;
   // Slots are handed over once nothing is in flight in them; without affinity rules nothing ever is.
   affinity_router_ ? affinity_router_->apply_snapshot() : port_.slots_quiet();
   if (const fleet::Snapshot* const now = port_.last()) spdlog::debug("fleet: epoch {} in force", now->epoch);
@@ -111,12 +111,12 @@
   if (fleet_.plans.empty()) return;
   const Millis now = fleet::boot_now();
   if (const fleet::Snapshot* const valid = port_.valid(now))
-    shedder_.told(valid->cut_off, now + kCutOffValidity);
+    shedder_.set_plan_cut_off(valid->cut_off, now + kCutOffValidity);
   const auto loads = rank_counts_.since_last([this](int rank) { return cells_of(rank); });
   const fleet::CutOff next = shedder_.in_force(loads, channel_->traffic.room.get(), now);
   if (next == cut_off_) return;
   spdlog::info("fleet: in a shortage rank {} and {:.0f} % of it are refused, by {}", next.rank + 1,
-               next.share * 100, shedder_.alone() ? "own counters" : "the plan");
+               next.share * 100, shedder_.without_plan() ? "own counters" : "the plan");
   cut_off_ = next;
 }
 
@@ -127,19 +127,19 @@
   if (!affinity_router_) apply_snapshot();
   // The same for all repeats of one client, and spread over clients; by the same reading of the clock as
   // above.
-  const plans::Coin coin(request.tenant, request.client, now + wall_offset_);
+  const plans::StableSample sample(request.tenant, request.client, now + wall_offset_);
   if (!fleet_.plans.empty()) {
     const int plan = order_.plan_of(request.tenant);
     const int rank = order_.rank_of(plan, request.request_class);
     fleet::RankCells& cells = *port_.rank(rank);
     cells.offered.add(1);
-    const plans::Verdict said = admission_.decide(cut_off_, plan, request.request_class, coin, now);
+    const plans::Verdict said = admission_.decide(cut_off_, plan, request.request_class, sample, now);
     if (!said.taken()) {
       cells.refused.add(1);
       verdict.refused = 503;
       verdict.cause = "a shortage of the fleet, trying again later is harmless";
       verdict.proxy_status = kProxyStatusShortage;
-      verdict.retry_after = std::min(said.come_back, request.max_retry_after);
+      verdict.retry_after = std::min(said.retry_after, request.max_retry_after);
       return verdict;
     }
     verdict.ticket.rank = rank;
@@ -158,7 +158,7 @@
       verdict.cause = "the fleet's budget is spent, trying again is harmless";
       verdict.proxy_status = kProxyStatusBudget;
       verdict.retry_after =
-          request.max_retry_after * (kMinRetryAfterShare + (1 - kMinRetryAfterShare) * coin);
+          request.max_retry_after * (kMinRetryAfterShare + (1 - kMinRetryAfterShare) * sample);
       return verdict;
     }
     if (kind == fleet::BudgetKind::kAtOnce) verdict.ticket.at_once |= std::uint64_t{1} << budget;
@@ -236,9 +236,9 @@
   for (int rank = 0; !fleet_.plans.empty() && rank < order_.ranks(); ++rank) {
     const auto count = [&](plans::Admitted as) { return admission_.count(rank, as); };
     spdlog::info("counters: rank {} of plans taken={} floor={} order={} cut={} waits={}", rank + 1,
-                 count(plans::Admitted::kTaken), count(plans::Admitted::kFloor),
-                 count(plans::Admitted::kOrder), count(plans::Admitted::kCut),
-                 count(plans::Admitted::kWaits));
+                 count(plans::Admitted::kAdmitted), count(plans::Admitted::kAdmittedForFloor),
+                 count(plans::Admitted::kAdmittedForOrder), count(plans::Admitted::kRejected),
+                 count(plans::Admitted::kRejectedForOrder));
   }
 }
 
--- a/tests/affinity/rules_test.cpp
+++ b/tests/affinity/rules_test.cpp
@@ -1,4 +1,4 @@
-// Rules of affinity: which is taken, and by what key. By table.
+// Affinity rules: which one matches a request, and by which key. Table-driven.
 #include "affinity/rules.h"
 
 #include <gtest/gtest.h>
@@ -10,24 +10,25 @@
 
 using Fields = std::map<std::string, std::string, std::less<>>;
 
-struct Asked {
-  explicit Asked(Fields given) : fields(std::move(given)) {
-    look = [this](std::string_view name) {
+struct TestRequest {
+  explicit TestRequest(Fields given) : fields(std::move(given)) {
+    field_lookup = [this](std::string_view name) {
       const auto it = fields.find(name);
       return it == fields.end() ? std::string_view() : std::string_view(it->second);
     };
-    request = {"shop", "check", "acme", "gold", "GET", "/baskets/b77/items?x=/1", "/baskets/{id}/*", &look};
+    request = {"shop",       "check", "acme", "gold", "GET", "/baskets/b77/items?x=/1", "/baskets/{id}/*",
+               &field_lookup};
   }
-  Asked(const Asked&) = delete;
+  TestRequest(const TestRequest&) = delete;
   Fields fields;
-  std::function<std::string_view(std::string_view)> look;
+  std::function<std::string_view(std::string_view)> field_lookup;
   Request request;
 };
 
-TEST(Rules, ConditionsHold) {
-  const Asked asked({{"x-test", "yes"}, {"x-empty", ""}});
+TEST(Rules, EvaluatesConditions) {
+  const TestRequest test_request({{"x-test", "yes"}, {"x-empty", ""}});
   const Condition yes = is(Subject::kClass, "check");
-  const Condition no = is(Subject::kMethod, "get");  // byte by byte
+  const Condition no = is(Subject::kMethod, "get");  // methods are compared byte by byte
   const std::vector<std::pair<Condition, bool>> table = {
       {{}, true},
       {yes, true},
@@ -37,26 +38,27 @@
       {is(Subject::kPlan, "silver"), false},
       {field_is("x-test", "yes"), true},
       {field_is("x-test", "ye"), false},
-      {field_there("x-test"), true},
-      {field_there("x-empty"), false},
-      {negated(field_there("x-none")), true},
+      {field_present("x-test"), true},
+      {field_present("x-empty"), false},
+      {negated(field_present("x-none")), true},
       {all({yes, no}), false},
       {any({no, yes}), true},
       {any({no, all({yes, negated(no)})}), true},
       {negated(all({yes, negated(no)})), false},
   };
   for (std::size_t n = 0; n < table.size(); ++n) {
-    EXPECT_EQ(holds(table[n].first, asked.request), table[n].second) << n;
+    EXPECT_EQ(holds(table[n].first, test_request.request), table[n].second) << n;
   }
-  // Without any fields none is there.
-  Request bare = asked.request;
+  // Without a field look-up no field is present.
+  Request bare = test_request.request;
   bare.field = nullptr;
-  EXPECT_FALSE(holds(field_there("x-test"), bare));
+  EXPECT_FALSE(holds(field_present("x-test"), bare));
 }
 
-TEST(Rules, KeysAreReadWhereTheyStand) {
+TEST(Rules, ReadsTheKeyFromEachSource) {
   using From = KeySource::From;
-  const Asked asked({{"x-basket", "b1"}, {"cookie", "basketx=no; basket=b 9; quoted=\"q\";last=z "}});
+  const TestRequest test_request(
+      {{"x-basket", "b1"}, {"cookie", "basketx=no; basket=b 9; quoted=\"q\";last=z "}});
   const std::vector<std::pair<KeySource, std::string>> table = {
       {{From::kTenant, "", 0}, "acme"},
       {{From::kField, "x-basket", 0}, "b1"},
@@ -74,25 +76,25 @@
       {{From::kParameter, "other", 0}, ""},
   };
   for (std::size_t n = 0; n < table.size(); ++n) {
-    EXPECT_EQ(key_of(table[n].first, asked.request), table[n].second) << n;
+    EXPECT_EQ(key_of(table[n].first, test_request.request), table[n].second) << n;
   }
 }
 
-TEST(Rules, TheFirstThatMatchesCountsEvenWithoutAKey) {
+TEST(Rules, FirstMatchingRuleCountsEvenWithoutAKey) {
   Rule first;
   first.when = is(Subject::kMethod, "PUT");
   Rule second;
   second.when = is(Subject::kClass, "check");
   second.key = {KeySource::From::kField, "x-basket", 0};
-  Rule third;  // by tenant, which every request here has
+  Rule third;  // keyed by tenant, which every request here has
   const std::vector<Rule> rules = {first, second, third};
-  const Asked with(Fields{{"x-basket", "b1"}});
+  const TestRequest with(Fields{{"x-basket", "b1"}});
   const auto found = find(rules, with.request);
   ASSERT_TRUE(found);
   EXPECT_EQ(found->rule, 1u);
   EXPECT_TRUE(found->keyed);
   EXPECT_EQ(found->key, hash_of("b1"));
-  const Asked without(Fields{});
+  const TestRequest without(Fields{});
   const auto unkeyed = find(rules, without.request);
   ASSERT_TRUE(unkeyed);
   EXPECT_EQ(unkeyed->rule, 1u);
@@ -100,8 +102,8 @@
   EXPECT_FALSE(find({first}, with.request));
 }
 
-// Two versions of the program side by side have one map: a key's slot never changes.
-TEST(Rules, TheSlotsOfKnownKeysStand) {
+// Two versions of the program side by side share one map, so a key's slot must never change.
+TEST(Rules, SlotsOfKnownKeysNeverChange) {
   struct Known {
     const char* key;
     std::size_t of_1024, of_65536;
@@ -114,7 +116,7 @@
   }
 }
 
-TEST(Rules, DoublingTheSlotsSplitsEach) {
+TEST(Rules, DoublingTheSlotsSplitsEachInTwo) {
   for (std::uint64_t n = 0; n < 2000; ++n) {
     const std::uint64_t key = hash_of(std::to_string(n));
     for (std::size_t slots = 1; slots <= 4096; slots *= 2) {
@@ -124,13 +126,13 @@
   }
 }
 
-TEST(Rules, AnotherKeyIsAnotherMap) {
+TEST(Rules, AnotherKeyOrUnitGivesAnotherMapName) {
   Rule rule;
   rule.name = "baskets";
   Rule other = rule;
   other.bound = 2;
   EXPECT_EQ(map_name(rule), map_name(other));
-  other.to = To::kZone;
+  other.to = Scope::kZone;
   EXPECT_NE(map_name(rule), map_name(other));
   other = rule;
   other.key.part = 2;
--- a/tests/crossings/answers_test.cpp
+++ b/tests/crossings/answers_test.cpp
@@ -130,8 +130,8 @@
   }
 }
 
-// Of a response of unknown length that nobody reads, no more is buffered than a flow may hold.
-TEST(Answers, AnEndlessResponseThatNobodyReadsIsBufferedWithinBounds) {
+// Of a response of unknown length that its client does not read, no more is buffered than a flow may hold.
+TEST(Answers, AnEndlessUnreadResponseIsBufferedWithinBounds) {
   Peer peer;
   Backends b;
   std::size_t most = 0;
--- a/tests/fleet/model_process.cpp
+++ b/tests/fleet/model_process.cpp
@@ -15,7 +15,7 @@
 void Process::member(const MemberEvent& event, Millis at, const Send& send) {
   MemberOut out = core.handle(event, now(at));
   if (out.publish) traffic.publish(out.publish);
-  traffic.told(out.incarnation, out.valid_until);
+  traffic.set_validity(out.incarnation, out.valid_until);
   for (const MemberCall& call : out.calls) send(AnyCall(call));
 }
 
@@ -42,9 +42,9 @@
   if (header.cluster != 0) heard_ = header.cluster;
   if (const auto* answer = std::get_if<MemberEvent>(&event)) {
     member(*answer, at, send);
-    if (header.cluster != 0) planner(HeardHistory{header, begun}, at, send);
+    if (header.cluster != 0) planner(HistoryObserved{header, begun}, at, send);
   } else {
-    if (header.cluster != 0) member(Heard{header, begun}, at, send);
+    if (header.cluster != 0) member(HeaderObserved{header, begun}, at, send);
     planner(std::get<PlannerEvent>(event), at, send);
   }
 }
--- a/tests/fleet/model_store.cpp
+++ b/tests/fleet/model_store.cpp
@@ -8,7 +8,7 @@
 void Store::drop(std::int64_t lease) {
   state.leases.erase(lease);
   ++state.revision;
-  std::erase_if(state.records, [&](const auto& kept) { return kept.second.lease == lease; });
+  std::erase_if(state.records, [&](const auto& stored) { return stored.second.lease == lease; });
   if (state.leader && state.leader->lease == lease) state.leader.reset();
 }
 
@@ -25,8 +25,8 @@
   const std::uint64_t revision = state.revision;
   state = copies_[copies_.size() - 1 - std::min(back, copies_.size() - 1)];
   state.cluster = ++clusters_;
-  // A store that starts gives its leases their whole length anew. Its revisions may be any that are not
-  // above those of the copy's end: as they were.
+  // After a restart the store extends all leases by their whole length. Revisions continue from those of the
+  // copy, at most.
   for (auto& [id, lease] : state.leases) lease.ends = now + lease.length;
   state.revision = std::min(state.revision, revision);
   copies_.clear();
@@ -61,7 +61,8 @@
 MemberEvent Store::put(const PutRecord& call, std::uint64_t knows) {
   const auto it = state.records.find(call.record.id.name);
   const std::uint64_t modified = it == state.records.end() ? 0 : it->second.modified;
-  // Where the lease is gone so is all under it; the store says so, and the client reads what stands.
+  // An expired lease has removed all its keys; the store reports that, and the client reads the current
+  // state.
   const bool lease = state.leases.contains(call.lease);
   const bool plan = call.plan_modified == 0 || call.plan_modified == state.plan_modified;
   if (!lease || modified != call.modified || !plan) {
@@ -87,12 +88,12 @@
 
 std::optional<PlannerEvent> Store::execute(const PlannerCall& call, Millis now) {
   expire(now);
-  if (const auto* elect = std::get_if<Elect>(&call)) {
+  if (const auto* campaign = std::get_if<Campaign>(&call)) {
     if (!state.leader) {
-      if (!state.leases.contains(elect->lease)) return std::nullopt;
-      state.leader = {elect->value, ++state.revision, elect->lease};
+      if (!state.leases.contains(campaign->lease)) return std::nullopt;
+      state.leader = {campaign->value, ++state.revision, campaign->lease};
     }
-    return Elected{elect->call, state.leader->created, state.leader->value, header()};
+    return CampaignResult{campaign->call, state.leader->created, state.leader->value, header()};
   }
   if (const auto* read = std::get_if<ReadAll>(&call)) {
     AllRead answer{};
@@ -101,7 +102,7 @@
     answer.plan_modified = state.plan_modified;
     if (state.plan && state.plan_text == StoreState::Text::kGood) answer.plan = state.plan;
     answer.newer_form = state.plan_text == StoreState::Text::kNewer;
-    for (const auto& [name, kept] : state.records) answer.records.push_back(kept.record);
+    for (const auto& [name, stored] : state.records) answer.records.push_back(stored.record);
     answer.header = header();
     return answer;
   }
@@ -109,12 +110,12 @@
     const bool written = done(*wanted);
     return PlanPut{wanted->call, written, header()};
   }
-  const auto& abdicate = std::get<Abdicate>(call);
-  if (state.leader && state.leader->created == abdicate.fence) {
+  const auto& resign = std::get<Resign>(call);
+  if (state.leader && state.leader->created == resign.fence) {
     state.leader.reset();
     ++state.revision;
   }
-  return Abdicated{abdicate.call, header()};
+  return Resigned{resign.call, header()};
 }
 
 }  // namespace shorelead::fleet::model
